--- a/src/direct/admission.cpp
+++ b/src/direct/admission.cpp
@@ -23,7 +23,7 @@
 
 std::optional<double> Admission::mostQueueMs(const ForwardRequest &request,
                                              const Catalog &catalog) const {
-  Duration target = catalog.Config->tightestTarget(request.Service);
+  Duration target = catalog.Config->minTargetLatency(request.Service);
   if (Settings.QueueShare <= 0 || target <= Duration::zero())
     return std::nullopt;
   double out = millisecondsOf(target) * Settings.QueueShare;
@@ -40,8 +40,8 @@
   if (most && Cost.readMs(request, static_cast<double>(load.Tokens)) > *most)
     return true;
   Duration patience = request.Deadline - now;
-  if (request.Via.FirstEventPatience > Duration::zero())
-    patience = std::min(patience, request.Via.FirstEventPatience);
+  if (request.Via.MaxFirstEventWait > Duration::zero())
+    patience = std::min(patience, request.Via.MaxFirstEventWait);
   if (patience <= Duration::zero())
     return false;
   double least = Cost.firstTokenMs(request, load, 0);
--- a/src/direct/candidate.h
+++ b/src/direct/candidate.h
@@ -2,7 +2,7 @@
 /// Looked up once, so that all parts of a choice decide on the same belief.
 #pragma once
 
-#include "direct/facts.h"
+#include "direct/records.h"
 #include "direct/server_loads.h"
 
 #include <vector>
--- a/src/direct/catalog.cpp
+++ b/src/direct/catalog.cpp
@@ -19,7 +19,7 @@
 /// large deployment, at one server a second.
 constexpr size_t DeletionsRemembered = 2000;
 
-bool isOtherStart(const FactValue &before, const BackendServer &server) {
+bool isOtherStart(const RecordValue &before, const BackendServer &server) {
   const auto *known = std::get_if<BackendServer>(&before);
   return known && known->StartedMs != server.StartedMs;
 }
@@ -33,7 +33,7 @@
   return it == Servers.end() ? None : it->second;
 }
 
-bool Catalog::isListed(std::string_view name, const Endpoint &peer) const {
+bool Catalog::isAnnounced(std::string_view name, const Endpoint &peer) const {
   return std::any_of(Entries.begin(), Entries.end(), [&](const EntryPeer &it) {
     return it.Name == name && it.Peer == peer;
   });
@@ -47,23 +47,23 @@
   };
   for (const BackendServer &server : AllServers)
     add(server.Weights);
-  add(HiddenWeights);
+  add(LastKnownWeights);
   return out;
 }
 
-uint64_t Catalog::wantedVersion(std::string_view model) const {
-  auto it = Wanted.find(model);
-  return it == Wanted.end() ? 0 : it->second.back().Version;
+uint64_t Catalog::desiredVersion(std::string_view model) const {
+  auto it = DesiredVersions.find(model);
+  return it == DesiredVersions.end() ? 0 : it->second.back().Version;
 }
 
 std::optional<TimePoint> Catalog::behindSince(std::string_view model,
                                               uint64_t version) const {
-  auto it = Wanted.find(model);
-  if (it == Wanted.end())
+  auto it = DesiredVersions.find(model);
+  if (it == DesiredVersions.end())
     return std::nullopt;
-  for (const WantedVersion &wanted : it->second)
-    if (wanted.Version > version)
-      return wanted.Since;
+  for (const DesiredVersion &desired : it->second)
+    if (desired.Version > version)
+      return desired.Since;
   return std::nullopt;
 }
 
@@ -101,26 +101,26 @@
 void CatalogKeeper::applyAll(const std::vector<StoreRecord> &records,
                              uint64_t revision, TimePoint now) {
   bool changed = eraOf(revision) > Era;
-  IsSettled = IsSettled || wantsSettling(now);
+  IsRestoreSettled = IsRestoreSettled || needsReread(now);
   onRestored(revision, now);
   std::map<std::string_view, const StoreRecord *> present;
   for (const StoreRecord &record : records)
     present[record.Key] = &record;
-  for (auto &[key, held] : Known) {
-    bool isOlder = held.Record.Revision <= revision;
-    bool isGone = !held.Record.IsDeleted && isOlder && !present.contains(key);
-    if (isGone && !outlastsRestore(held))
-      changed |= mergeDeletion(held, revision, now);
+  for (auto &[key, state] : Known) {
+    bool isOlder = state.Record.Revision <= revision;
+    bool isGone = !state.Record.IsDeleted && isOlder && !present.contains(key);
+    if (isGone && !outlastsRestore(state))
+      changed |= mergeDeletion(state, revision, now);
   }
   IsFirstRead = !HasReadAll;
   for (const StoreRecord &record : records)
     changed |= merge(record, now);
   IsFirstRead = false;
   HasReadAll = true;
-  Highest = std::max(Highest, revision);
+  HighestRevision = std::max(HighestRevision, revision);
   // Keys that were deleted before, and that this process never knew, are not
   // among what it passes on.
-  ForgottenTo = std::max(ForgottenTo, revision);
+  DeletionsMissingTo = std::max(DeletionsMissingTo, revision);
   if (changed)
     publish(now);
 }
@@ -134,37 +134,40 @@
     return;
   RestoredTo = upTo;
   RestoredAt = now;
-  IsSettled = false;
+  IsRestoreSettled = false;
   // Servers that registered since the copy are absent from it like those that
   // lapse with an outage.
-  StoreIsLost = true;
-  onStoreBack(now);
+  IsStoreLost = true;
+  onStoreRecovered(now);
 }
 
-bool CatalogKeeper::wantsSettling(TimePoint now) const {
-  return !IsSettled && now >= *RestoredAt + Settings.RestoreGrace;
+bool CatalogKeeper::needsReread(TimePoint now) const {
+  return !IsRestoreSettled && now >= *RestoredAt + Settings.RestoreGrace;
 }
 
-bool CatalogKeeper::outlastsRestore(const Held &held) const {
-  if (eraOf(held.Record.Revision) == Era)
+bool CatalogKeeper::outlastsRestore(const KeyState &state) const {
+  if (eraOf(state.Record.Revision) == Era)
     return false;
-  FactKind kind = held.Subject.Kind;
+  RecordKind kind = state.Subject.Kind;
   // These are only ever replaced.
-  bool isReplaced = kind == FactKind::Config || kind == FactKind::Weights;
-  return isReplaced || (!IsSettled && kind == FactKind::Evacuation);
+  bool isNeverDeleted =
+      kind == RecordKind::Config || kind == RecordKind::Weights;
+  return isNeverDeleted ||
+         (!IsRestoreSettled && kind == RecordKind::Evacuation);
 }
 
 std::partial_ordering
-CatalogKeeper::compareContent(const Held &held, const FactValue &value) const {
+CatalogKeeper::compareContent(const KeyState &state,
+                              const RecordValue &value) const {
   const auto *config = std::get_if<ServingConfig>(&value);
   if (config && Config)
     return config->Version <=> Config->config().Version;
-  const auto *wanted = std::get_if<DesiredWeights>(&value);
-  const auto *known = std::get_if<DesiredWeights>(&held.Value);
-  if (wanted && known)
-    return wanted->Wanted.Version <=> known->Wanted.Version;
+  const auto *desired = std::get_if<DesiredWeights>(&value);
+  const auto *known = std::get_if<DesiredWeights>(&state.Value);
+  if (desired && known)
+    return desired->Wanted.Version <=> known->Wanted.Version;
   const auto *server = std::get_if<BackendServer>(&value);
-  const auto *before = std::get_if<BackendServer>(&held.Value);
+  const auto *before = std::get_if<BackendServer>(&state.Value);
   if (!server || !before || server->StartedMs != before->StartedMs)
     return std::partial_ordering::unordered;
   // One start neither comes back from draining nor goes back to older weights.
@@ -174,66 +177,68 @@
   return content(*server) <=> content(*before);
 }
 
-bool CatalogKeeper::isOutdated(const StoreRecord &record, const Held &held,
+bool CatalogKeeper::isOutdated(const StoreRecord &record, const KeyState &state,
                                TimePoint now) const {
-  uint64_t known = held.Record.Revision;
+  uint64_t known = state.Record.Revision;
   bool isBefore = record.Revision <= known;
   if (eraOf(record.Revision) == eraOf(known) || record.IsDeleted)
     return isBefore;
   Error unused;
-  std::optional<FactValue> value = Hooks.Decode(record, unused);
+  std::optional<RecordValue> value = Hooks.Decode(record, unused);
   if (!value)
     return isBefore;
-  FactKind kind = held.Subject.Kind;
-  bool isAfterRestore = !IsSettled && !wantsSettling(now);
+  RecordKind kind = state.Subject.Kind;
+  bool isAfterRestore = !IsRestoreSettled && !needsReread(now);
   bool mayBeCopy =
       isBefore || (isAfterRestore && record.Revision <= RestoredTo);
-  std::partial_ordering order = compareContent(held, *value);
+  std::partial_ordering order = compareContent(state, *value);
   if (order > 0)
     return false;
   if (order < 0) {
-    bool neverGoesBack = kind == FactKind::Config || kind == FactKind::Weights;
+    bool neverGoesBack =
+        kind == RecordKind::Config || kind == RecordKind::Weights;
     return neverGoesBack || mayBeCopy;
   }
   // Nothing tells the two apart. What the system wrote itself is taken as the
   // service has it, as conditions on it name its revision.
-  bool isOfOthers = kind == FactKind::Server || kind == FactKind::Evacuation;
-  return isBefore || (mayBeCopy && isOfOthers);
+  bool isWrittenByOthers =
+      kind == RecordKind::Server || kind == RecordKind::Evacuation;
+  return isBefore || (mayBeCopy && isWrittenByOthers);
 }
 
 bool CatalogKeeper::merge(const StoreRecord &record, TimePoint now) {
-  Highest = std::max(Highest, record.Revision);
+  HighestRevision = std::max(HighestRevision, record.Revision);
   auto it = Known.find(record.Key);
   if (it != Known.end() && isOutdated(record, it->second, now))
     return false;
-  FactSubject subject = Hooks.SubjectOf(record.Key);
-  if (subject.Kind == FactKind::Other)
+  RecordSubject subject = Hooks.SubjectOf(record.Key);
+  if (subject.Kind == RecordKind::Other)
     return false;
   if (record.IsDeleted) {
     if (it == Known.end())
-      it = Known.emplace(record.Key, Held{record, subject, {}, {}, {}, now})
+      it = Known.emplace(record.Key, KeyState{record, subject, {}, {}, {}, now})
                .first;
     return mergeDeletion(it->second, record.Revision, now);
   }
   Error reason;
-  std::optional<FactValue> value = Hooks.Decode(record, reason);
+  std::optional<RecordValue> value = Hooks.Decode(record, reason);
   if (!value)
     return mergeUnreadable(record, subject, reason, now);
-  if (const auto *wanted = std::get_if<DesiredWeights>(&*value))
-    noteWanted(wanted->Wanted,
-               IsFirstRead ? now - Settings.AgeAtFirstRead : now);
+  if (const auto *desired = std::get_if<DesiredWeights>(&*value))
+    noteDesiredVersion(desired->Wanted,
+                       IsFirstRead ? now - Settings.AgeAtFirstRead : now);
   if (auto *config = std::get_if<ServingConfig>(&*value)) {
     Config = std::make_shared<const ConfigIndex>(std::move(*config));
     ConfigRevision = record.Revision;
     value = std::monostate();
   }
   if (const auto *retired = std::get_if<RetiredContext>(&*value))
-    EverRetired = mergeRetired(std::move(EverRetired), retired->What);
+    EverRetired = mergeRetired(std::move(EverRetired), retired->Retirements);
   const auto *server = std::get_if<BackendServer>(&*value);
   bool isRestart =
       server && it != Known.end() && isOtherStart(it->second.Value, *server);
   if (server)
-    dropSpentNotes(*server, isRestart);
+    dropOutdatedNotes(*server, isRestart);
   Hooks.Changed(subject,
                 it == Known.end() ? "new"
                 : isRestart       ? "restarted"
@@ -244,33 +249,35 @@
                      {ErrorKind::BadValue, "its service or its weights are not "
                                            "those of the configuration"},
                      now);
-  hold(record, subject, std::move(*value), now);
+  replaceState(record, subject, std::move(*value), now);
   return true;
 }
 
 bool CatalogKeeper::mergeUnreadable(const StoreRecord &record,
-                                    const FactSubject &subject,
+                                    const RecordSubject &subject,
                                     const Error &reason, TimePoint now) {
   Hooks.Unreadable(record, reason, now);
   auto before = Known.find(record.Key);
-  bool staysInForce = subject.Kind != FactKind::Server &&
+  bool staysInForce = subject.Kind != RecordKind::Server &&
                       before != Known.end() && !before->second.Record.IsDeleted;
-  hold(record, subject, staysInForce ? before->second.Value : FactValue(), now);
+  replaceState(record, subject,
+               staysInForce ? before->second.Value : RecordValue(), now);
   return true;
 }
 
-void CatalogKeeper::hold(const StoreRecord &record, const FactSubject &subject,
-                         FactValue value, TimePoint now) {
+void CatalogKeeper::replaceState(const StoreRecord &record,
+                                 const RecordSubject &subject,
+                                 RecordValue value, TimePoint now) {
   std::vector<ModelVersion> weights;
   auto before = Known.find(record.Key);
   const auto *server = std::get_if<BackendServer>(&value);
   if (server && isConfigured(*server))
     weights = server->Weights;
   else if (before != Known.end() && !before->second.Record.IsDeleted)
-    weights = std::move(before->second.LastWeights);
+    weights = std::move(before->second.LastUsableWeights);
   Known.insert_or_assign(
       record.Key,
-      Held{record, subject, std::move(value), std::move(weights), {}, now});
+      KeyState{record, subject, std::move(value), std::move(weights), {}, now});
 }
 
 bool CatalogKeeper::isConfigured(const BackendServer &server) const {
@@ -286,87 +293,92 @@
          });
 }
 
-bool CatalogKeeper::mergeDeletion(Held &held, uint64_t revision,
+bool CatalogKeeper::mergeDeletion(KeyState &state, uint64_t revision,
                                   TimePoint now) {
-  held.Record.Revision = revision;
+  state.Record.Revision = revision;
   // Also of an evacuation that this process never knew.
-  bool isLift = held.Subject.Kind == FactKind::Evacuation;
-  if (isLift)
-    Lifted[held.Subject.Name] = {now, revision};
-  if (std::exchange(held.Record.IsDeleted, true))
-    return isLift;
-  held.Record.Value.clear();
+  bool endsEvacuation = state.Subject.Kind == RecordKind::Evacuation;
+  if (endsEvacuation)
+    EvacuationEnds[state.Subject.Name] = {now, revision};
+  if (std::exchange(state.Record.IsDeleted, true))
+    return endsEvacuation;
+  state.Record.Value.clear();
   // The configuration is never deleted; a store that says so is not believed.
-  if (held.Subject.Kind == FactKind::Config)
+  if (state.Subject.Kind == RecordKind::Config)
     return false;
-  const auto *server = std::get_if<BackendServer>(&held.Value);
-  bool mayHaveLapsed = server && !server->IsDraining && isInGrace(now);
-  if (mayHaveLapsed)
-    held.KeptUntil =
-        StoreBackAt ? *StoreBackAt + Settings.LapseGrace : TimePoint::max();
-  Hooks.Changed(held.Subject, mayHaveLapsed ? "lapsed" : "gone", revision, now);
+  const auto *server = std::get_if<BackendServer>(&state.Value);
+  bool mayHaveExpired = server && !server->IsDraining && isInGrace(now);
+  if (mayHaveExpired)
+    state.KeptUntil = StoreRecoveredAt
+                          ? *StoreRecoveredAt + Settings.ExpiryGrace
+                          : TimePoint::max();
+  Hooks.Changed(state.Subject, mayHaveExpired ? "lapsed" : "gone", revision,
+                now);
   return true;
 }
 
 bool CatalogKeeper::isInGrace(TimePoint now) const {
-  return StoreIsLost ||
-         (StoreBackAt && now < *StoreBackAt + Settings.LapseGrace);
+  return IsStoreLost ||
+         (StoreRecoveredAt && now < *StoreRecoveredAt + Settings.ExpiryGrace);
 }
 
-void CatalogKeeper::noteWanted(const ModelVersion &wanted, TimePoint since) {
-  std::vector<WantedVersion> &known = Wanted[wanted.Model];
-  if (!known.empty() && known.back().Version >= wanted.Version)
+void CatalogKeeper::noteDesiredVersion(const ModelVersion &desired,
+                                       TimePoint since) {
+  std::vector<DesiredVersion> &known = DesiredVersions[desired.Model];
+  if (!known.empty() && known.back().Version >= desired.Version)
     return;
-  known.push_back({wanted.Version, since});
+  known.push_back({desired.Version, since});
   if (known.size() > VersionsRemembered)
     known.erase(known.begin());
 }
 
-void CatalogKeeper::dropSpentNotes(const BackendServer &server,
-                                   bool isRestart) {
-  std::erase_if(Loaded, [&](const auto &it) {
-    const auto &[start, has] = it;
+void CatalogKeeper::dropOutdatedNotes(const BackendServer &server,
+                                      bool isRestart) {
+  std::erase_if(NotedVersions, [&](const auto &it) {
+    const auto &[start, loaded] = it;
     if (start.Id != server.Id)
       return false;
     bool isSame = start.StartedMs == server.StartedMs;
-    bool isSaid = isSame && server.versionOf(has.Model) >= has.Version;
-    return isSaid || (isRestart && !isSame);
+    bool isRecorded =
+        isSame && server.versionOf(loaded.Model) >= loaded.Version;
+    return isRecorded || (isRestart && !isSame);
   });
 }
 
 void CatalogKeeper::noteLoaded(const ServerStart &server,
-                               const ModelVersion &has, TimePoint now) {
-  ModelVersion &known = Loaded[server];
-  if (known.Model == has.Model && known.Version >= has.Version)
+                               const ModelVersion &loaded, TimePoint now) {
+  ModelVersion &known = NotedVersions[server];
+  if (known.Model == loaded.Model && known.Version >= loaded.Version)
     return;
-  known = has;
+  known = loaded;
   publish(now);
 }
 
-BackendServer CatalogKeeper::withLoaded(const BackendServer &server) const {
+BackendServer
+CatalogKeeper::withNotedVersions(const BackendServer &server) const {
   BackendServer out = server;
-  auto it = Loaded.find(server.ref().start());
-  if (it == Loaded.end())
+  auto it = NotedVersions.find(server.ref().start());
+  if (it == NotedVersions.end())
     return out;
-  for (ModelVersion &has : out.Weights)
-    if (has.Model == it->second.Model)
-      has.Version = std::max(has.Version, it->second.Version);
+  for (ModelVersion &loaded : out.Weights)
+    if (loaded.Model == it->second.Model)
+      loaded.Version = std::max(loaded.Version, it->second.Version);
   return out;
 }
 
-TimePoint CatalogKeeper::coldUntil(const Held &held,
+TimePoint CatalogKeeper::coldUntil(const KeyState &state,
                                    const BackendServer &server) const {
-  TimePoint out = held.ReadAt + server.ColdFor;
-  auto lift = Lifted.find(server.FailureDomain);
+  TimePoint out = state.ReadAt + server.ColdFor;
+  auto evacuationEnd = EvacuationEnds.find(server.FailureDomain);
   const Service *service =
       Config ? Config->findService(server.Service) : nullptr;
-  if (lift == Lifted.end() || !service ||
-      held.Record.Revision > lift->second.Revision)
+  if (evacuationEnd == EvacuationEnds.end() || !service ||
+      state.Record.Revision > evacuationEnd->second.Revision)
     return out;
-  return std::max(out, lift->second.At + service->ColdStart);
+  return std::max(out, evacuationEnd->second.At + service->ColdStart);
 }
 
-void CatalogKeeper::list(BackendServer server, Catalog &to) const {
+void CatalogKeeper::addToLists(BackendServer server, Catalog &to) const {
   bool takesRequests =
       !server.IsDraining && !to.Evacuated.contains(server.FailureDomain);
   if (takesRequests)
@@ -375,52 +387,53 @@
 }
 
 void CatalogKeeper::onStoreLost() {
-  StoreIsLost = true;
-  StoreBackAt.reset();
-  setSilent(true);
+  IsStoreLost = true;
+  StoreRecoveredAt.reset();
+  setStale(true);
 }
 
-void CatalogKeeper::setSilent(bool isSilent) {
-  if (std::exchange(IsSilent, isSilent) == isSilent)
+void CatalogKeeper::setStale(bool isStale) {
+  if (std::exchange(IsStale, isStale) == isStale)
     return;
   auto next = std::make_shared<Catalog>(*view());
-  next->IsServiceSilent = isSilent;
+  next->AreRecordsStale = isStale;
   Published.publish(std::move(next));
 }
 
-void CatalogKeeper::onStoreBack(TimePoint now) {
-  if (!std::exchange(StoreIsLost, false))
+void CatalogKeeper::onStoreRecovered(TimePoint now) {
+  if (!std::exchange(IsStoreLost, false))
     return;
-  StoreBackAt = now;
-  for (auto &[key, held] : Known)
-    if (held.KeptUntil)
-      held.KeptUntil = now + Settings.LapseGrace;
-  setSilent(false);
+  StoreRecoveredAt = now;
+  for (auto &[key, state] : Known)
+    if (state.KeptUntil)
+      state.KeptUntil = now + Settings.ExpiryGrace;
+  setStale(false);
 }
 
 Duration CatalogKeeper::graceLeft(TimePoint now) const {
-  if (StoreIsLost)
-    return Settings.LapseGrace;
+  if (IsStoreLost)
+    return Settings.ExpiryGrace;
   if (!isInGrace(now))
     return Duration(0);
-  return *StoreBackAt + Settings.LapseGrace - now;
+  return *StoreRecoveredAt + Settings.ExpiryGrace - now;
 }
 
-void CatalogKeeper::onGraceTold(Duration left, TimePoint now) {
-  if (StoreIsLost || left <= Duration(0))
+void CatalogKeeper::onPeerGrace(Duration left, TimePoint now) {
+  if (IsStoreLost || left <= Duration(0))
     return;
-  Duration most = std::min(left, Settings.LapseGrace);
-  TimePoint back = now + most - Settings.LapseGrace;
-  StoreBackAt = std::max(StoreBackAt.value_or(back), back);
+  Duration grace = std::min(left, Settings.ExpiryGrace);
+  TimePoint recoveredAt = now + grace - Settings.ExpiryGrace;
+  StoreRecoveredAt =
+      std::max(StoreRecoveredAt.value_or(recoveredAt), recoveredAt);
 }
 
 void CatalogKeeper::onTimer(TimePoint now) {
   bool changed = false;
-  for (auto &[key, held] : Known) {
-    if (!held.KeptUntil || now < *held.KeptUntil)
+  for (auto &[key, state] : Known) {
+    if (!state.KeptUntil || now < *state.KeptUntil)
       continue;
-    held.KeptUntil.reset();
-    Hooks.Changed(held.Subject, "gone", held.Record.Revision, now);
+    state.KeptUntil.reset();
+    Hooks.Changed(state.Subject, "gone", state.Record.Revision, now);
     changed = true;
   }
   if (changed)
@@ -429,18 +442,18 @@
 
 void CatalogKeeper::dropOldDeletions() {
   std::vector<uint64_t> revisions;
-  for (const auto &[key, held] : Known)
-    if (held.Record.IsDeleted && !held.KeptUntil)
-      revisions.push_back(held.Record.Revision);
+  for (const auto &[key, state] : Known)
+    if (state.Record.IsDeleted && !state.KeptUntil)
+      revisions.push_back(state.Record.Revision);
   if (revisions.size() <= 2 * DeletionsRemembered)
     return;
   auto oldest = revisions.end() - DeletionsRemembered;
   std::nth_element(revisions.begin(), oldest, revisions.end());
-  ForgottenTo = std::max(ForgottenTo, *oldest - 1);
+  DeletionsMissingTo = std::max(DeletionsMissingTo, *oldest - 1);
   std::erase_if(Known, [&](const auto &it) {
-    const Held &held = it.second;
-    return held.Record.IsDeleted && !held.KeptUntil &&
-           held.Record.Revision < *oldest;
+    const KeyState &state = it.second;
+    return state.Record.IsDeleted && !state.KeptUntil &&
+           state.Record.Revision < *oldest;
   });
 }
 
@@ -449,49 +462,49 @@
   auto next = std::make_shared<Catalog>();
   next->Config = Config;
   next->ConfigRevision = ConfigRevision;
-  next->Wanted = Wanted;
+  next->DesiredVersions = DesiredVersions;
   next->Retired = EverRetired;
-  next->IsServiceSilent = IsSilent;
+  next->AreRecordsStale = IsStale;
   next->Era = Era;
   next->EraSince = EraSince;
   next->RestoredAt = RestoredAt;
   std::vector<BackendServer> servers;
-  for (const auto &[key, held] : Known) {
-    if (held.Record.IsDeleted && !(held.KeptUntil && now < *held.KeptUntil))
+  for (const auto &[key, state] : Known) {
+    if (state.Record.IsDeleted && !(state.KeptUntil && now < *state.KeptUntil))
       continue;
-    if (const auto *peer = std::get_if<EntryPeer>(&held.Value))
+    if (const auto *peer = std::get_if<EntryPeer>(&state.Value))
       next->Entries.push_back(*peer);
-    if (held.Subject.Kind == FactKind::Holder) {
-      const auto *holder = std::get_if<OrderHolder>(&held.Value);
+    if (state.Subject.Kind == RecordKind::Holder) {
+      const auto *holder = std::get_if<OrderLeaseHolder>(&state.Value);
       next->Holder = holder ? holder->Entry : UnknownHolder;
       next->HolderPeer = holder ? holder->Peer : Endpoint{};
-      next->HolderRevision = held.Record.Revision;
+      next->HolderRevision = state.Record.Revision;
     }
-    if (const auto *it = std::get_if<EntryRegistration>(&held.Value))
-      next->Registered[it->Peer] = held.Record.Revision;
-    if (const auto *it = std::get_if<QuarantinedRequest>(&held.Value))
-      next->Quarantined[it->Request] = held.Record.Revision;
-    if (const auto *it = std::get_if<EvacuatedDomain>(&held.Value))
+    if (const auto *it = std::get_if<EntryRegistration>(&state.Value))
+      next->Registered[it->Peer] = state.Record.Revision;
+    if (const auto *it = std::get_if<QuarantinedRequest>(&state.Value))
+      next->Quarantined[it->Request] = state.Record.Revision;
+    if (const auto *it = std::get_if<EvacuatedDomain>(&state.Value))
       next->Evacuated.insert(it->FailureDomain);
-    if (held.Subject.Kind == FactKind::Retired) {
-      const auto *retired = std::get_if<RetiredContext>(&held.Value);
-      next->IsRetiredReadable = retired != nullptr;
+    if (state.Subject.Kind == RecordKind::Retired) {
+      const auto *retired = std::get_if<RetiredContext>(&state.Value);
+      next->IsRetiredRecordReadable = retired != nullptr;
       if (retired)
-        next->RetiredRecorded = retired->What;
-      next->RetiredRevision = held.Record.Revision;
+        next->RetiredInRecord = retired->Retirements;
+      next->RetiredRecordRevision = state.Record.Revision;
     }
-    const auto *record = std::get_if<BackendServer>(&held.Value);
+    const auto *record = std::get_if<BackendServer>(&state.Value);
     if (!record || !isConfigured(*record)) {
-      next->HiddenWeights.insert(next->HiddenWeights.end(),
-                                 held.LastWeights.begin(),
-                                 held.LastWeights.end());
+      next->LastKnownWeights.insert(next->LastKnownWeights.end(),
+                                    state.LastUsableWeights.begin(),
+                                    state.LastUsableWeights.end());
       continue;
     }
-    servers.push_back(withLoaded(*record));
-    servers.back().ColdUntil = coldUntil(held, *record);
+    servers.push_back(withNotedVersions(*record));
+    servers.back().ColdUntil = coldUntil(state, *record);
   }
   for (BackendServer &server : servers)
-    list(std::move(server), *next);
+    addToLists(std::move(server), *next);
   auto isSame = [](const auto &a, const auto &b) { return a.first == b.first; };
   auto before = view();
   bool areSame =
@@ -504,7 +517,7 @@
   std::sort(next->AllServers.begin(), next->AllServers.end(), byId);
   for (auto &[service, listed] : next->Servers)
     std::sort(listed.begin(), listed.end(), byId);
-  std::erase_if(Loaded, [&](const auto &it) {
+  std::erase_if(NotedVersions, [&](const auto &it) {
     return std::none_of(
         next->AllServers.begin(), next->AllServers.end(),
         [&](const BackendServer &server) { return server.Id == it.first.Id; });
@@ -514,9 +527,9 @@
 
 std::vector<StoreRecord> CatalogKeeper::recordsSince(uint64_t revision) const {
   std::vector<StoreRecord> out;
-  for (const auto &[key, held] : Known)
-    if (held.Record.Revision > revision)
-      out.push_back(held.Record);
+  for (const auto &[key, state] : Known)
+    if (state.Record.Revision > revision)
+      out.push_back(state.Record);
   return out;
 }
 
--- a/src/direct/catalog.h
+++ b/src/direct/catalog.h
@@ -4,7 +4,7 @@
 
 #include "base/rcu.h"
 #include "daisytack/error.h"
-#include "direct/facts.h"
+#include "direct/records.h"
 
 #include <compare>
 #include <functional>
@@ -22,7 +22,7 @@
 constexpr std::string_view UnknownHolder = "(unknown)";
 
 /// A desired version, and when this process first heard of it.
-struct WantedVersion {
+struct DesiredVersion {
   uint64_t Version = 0;
   TimePoint Since;
 };
@@ -38,9 +38,10 @@
   std::vector<BackendServer> AllServers;
   /// Weights of servers that were in use until their record was overwritten by
   /// one that names none: they may run on, and other entries not know it yet.
-  std::vector<ModelVersion> HiddenWeights;
+  std::vector<ModelVersion> LastKnownWeights;
   /// By model, in the order in which they were named; each keeps its own time.
-  std::map<std::string, std::vector<WantedVersion>, std::less<>> Wanted;
+  std::map<std::string, std::vector<DesiredVersion>, std::less<>>
+      DesiredVersions;
   std::vector<EntryPeer> Entries; ///< This process too, once it is listed.
   /// Addresses that are registered, with the revision of each record.
   std::map<Endpoint, uint64_t> Registered;
@@ -54,16 +55,16 @@
   /// All that is retired: for good, also where the service came back from a
   /// copy that says less.
   std::vector<Retirement> Retired;
-  std::vector<Retirement> RetiredRecorded; ///< What the record says.
-  uint64_t RetiredRevision = 0;            ///< Of it; 0: there is none.
-  bool IsRetiredReadable = true;
+  std::vector<Retirement> RetiredInRecord; ///< What the record says.
+  uint64_t RetiredRecordRevision = 0;      ///< Of it; 0: there is none.
+  bool IsRetiredRecordReadable = true;
   /// Requests that are quarantined, with the revision of each record.
   std::map<Id128, uint64_t> Quarantined;
   /// Failure domains whose servers get nothing.
   std::set<std::string, std::less<>> Evacuated;
   /// Neither the service nor another entry tells what servers write: any of
   /// them may have become cold.
-  bool IsServiceSilent = false;
+  bool AreRecordsStale = false;
   /// Of the service (direct/revision.h), and since when this process has known
   /// of it.
   uint64_t Era = 0;
@@ -74,12 +75,12 @@
 
   const std::vector<BackendServer> &serversOf(std::string_view service) const;
   /// The entry of that name is announced at that address.
-  bool isListed(std::string_view name, const Endpoint &peer) const;
+  bool isAnnounced(std::string_view name, const Endpoint &peer) const;
   /// The oldest version of weights that a server may still run on; nothing when
   /// no server has any.
   std::optional<uint64_t> oldestVersion() const;
   /// The newest version that is wanted of the model; 0 when none was named.
-  uint64_t wantedVersion(std::string_view model) const;
+  uint64_t desiredVersion(std::string_view model) const;
   /// Since when a newer version than this one has been wanted.
   std::optional<TimePoint> behindSince(std::string_view model,
                                        uint64_t version) const;
@@ -94,7 +95,7 @@
 struct CatalogSettings {
   /// After the store's return, a server whose entry lapsed meanwhile is kept so
   /// long: the platform promises living ones back in about two seconds.
-  Duration LapseGrace{2'000'000};
+  Duration ExpiryGrace{2'000'000};
   /// A desired version that is found at the first read may be as old as this:
   /// a third of the time in which it must be in force. Counted from the start
   /// of the process, a restart in the middle would double that time.
@@ -108,12 +109,12 @@
 
 /// Hooks to the store's format and to the log.
 struct CatalogHooks {
-  std::function<FactSubject(std::string_view key)> SubjectOf;
+  std::function<RecordSubject(std::string_view key)> SubjectOf;
   /// Nothing, with the reason, when the value can't be read.
-  std::function<std::optional<FactValue>(const StoreRecord &, Error &reason)>
+  std::function<std::optional<RecordValue>(const StoreRecord &, Error &reason)>
       Decode;
   /// A belief changed: its subject, how, and the store's revision.
-  std::function<void(const FactSubject &, std::string_view change,
+  std::function<void(const RecordSubject &, std::string_view change,
                      uint64_t revision, TimePoint now)>
       Changed;
   /// A record that can't be read, or names a service that isn't configured;
@@ -142,103 +143,105 @@
   /// not come back from one.
   uint64_t restoredTo() const { return RestoredTo; }
   /// The grace after a restore is over, and all is to be read once more.
-  bool wantsSettling(TimePoint now) const;
+  bool needsReread(TimePoint now) const;
   /// A start of a server has a newer version of its weights than its record
   /// says. Has no effect on any other start, which has what its record says.
-  void noteLoaded(const ServerStart &server, const ModelVersion &has,
+  void noteLoaded(const ServerStart &server, const ModelVersion &loaded,
                   TimePoint now);
   /// The store stopped answering, or answers again.
   void onStoreLost();
-  void onStoreBack(TimePoint now);
+  void onStoreRecovered(TimePoint now);
   /// Whether neither the store nor another entry tells what servers write.
   /// Lost, the store counts as silent until this says otherwise.
-  void setSilent(bool isSilent);
+  void setStale(bool isStale);
   /// How much longer servers that lapse with an outage are kept; 0 when none
   /// do.
   Duration graceLeft(TimePoint now) const;
   /// Another entry, which saw an outage that this one may not have seen, keeps
   /// them for so much longer.
-  void onGraceTold(Duration left, TimePoint now);
+  void onPeerGrace(Duration left, TimePoint now);
   /// Drops servers whose grace is over. Call a few times a second.
   void onTimer(TimePoint now);
 
   std::shared_ptr<const Catalog> view() const { return Published.load(); }
   const Rcu<Catalog> &published() const { return Published; }
   /// Highest revision merged so far.
-  uint64_t revision() const { return Highest; }
+  uint64_t revision() const { return HighestRevision; }
   /// Records that are newer than the revision, for another entry.
   std::vector<StoreRecord> recordsSince(uint64_t revision) const;
   /// Deletions up to this revision may be missing among them.
-  uint64_t forgottenTo() const { return ForgottenTo; }
+  uint64_t deletionsMissingTo() const { return DeletionsMissingTo; }
 
 private:
-  struct Held {
+  struct KeyState {
     StoreRecord Record;
-    FactSubject Subject;
-    FactValue Value; ///< Nothing when the record can't be read.
+    RecordSubject Subject;
+    RecordValue Value; ///< Nothing when the record can't be read.
     /// Of the newest record that named a server in use, until it is deleted.
-    std::vector<ModelVersion> LastWeights;
+    std::vector<ModelVersion> LastUsableWeights;
     /// Deleted while the store was away: still counts until then.
     std::optional<TimePoint> KeptUntil;
     TimePoint ReadAt; ///< When this process read the record.
   };
   /// The last end of a domain's evacuation.
-  struct Lift {
+  struct EvacuationEnd {
     TimePoint At;
     uint64_t Revision = 0;
   };
 
   bool merge(const StoreRecord &record, TimePoint now);
   /// Whether what is known of the key is newer than the record.
-  bool isOutdated(const StoreRecord &record, const Held &held,
+  bool isOutdated(const StoreRecord &record, const KeyState &state,
                   TimePoint now) const;
   /// How the value compares by its own count of versions with what is known of
   /// the key, whatever their revisions; unordered where it has none.
-  std::partial_ordering compareContent(const Held &held,
-                                       const FactValue &value) const;
+  std::partial_ordering compareContent(const KeyState &state,
+                                       const RecordValue &value) const;
   /// What is known of the key holds though the service, back from an older
   /// copy, does not have it.
-  bool outlastsRestore(const Held &held) const;
+  bool outlastsRestore(const KeyState &state) const;
   /// Holds the record, in place of the one before.
-  void hold(const StoreRecord &record, const FactSubject &subject,
-            FactValue value, TimePoint now);
+  void replaceState(const StoreRecord &record, const RecordSubject &subject,
+                    RecordValue value, TimePoint now);
   /// It names no server: the one that its key named before is out of use. All
   /// else stays in force, as only its writer, or its end, can take it back: an
   /// entry that is not listed would not be asked before context is freed.
-  bool mergeUnreadable(const StoreRecord &record, const FactSubject &subject,
+  bool mergeUnreadable(const StoreRecord &record, const RecordSubject &subject,
                        const Error &reason, TimePoint now);
-  bool mergeDeletion(Held &held, uint64_t revision, TimePoint now);
+  bool mergeDeletion(KeyState &state, uint64_t revision, TimePoint now);
   void publish(TimePoint now);
-  void noteWanted(const ModelVersion &wanted, TimePoint since);
+  void noteDesiredVersion(const ModelVersion &desired, TimePoint since);
   /// Whether the configuration names its service, and an engine its weights.
   /// Without a configuration every server counts.
   bool isConfigured(const BackendServer &server) const;
   /// Drops notes of versions that the server's record now says itself, so that
   /// a later record with older weights is believed, and those of other starts.
-  void dropSpentNotes(const BackendServer &server, bool isRestart);
+  void dropOutdatedNotes(const BackendServer &server, bool isRestart);
   /// The server with the versions that were noted ahead of its record.
-  BackendServer withLoaded(const BackendServer &server) const;
+  BackendServer withNotedVersions(const BackendServer &server) const;
   /// Until when the server counts as cold: for as long as its record said, from
   /// when it was read, as the time on its way is not known. After an evacuation
   /// servers are cold, and a record says so up to a heartbeat later.
-  TimePoint coldUntil(const Held &held, const BackendServer &server) const;
+  TimePoint coldUntil(const KeyState &state, const BackendServer &server) const;
   /// Adds the server to the lists that it belongs to.
-  void list(BackendServer server, Catalog &to) const;
+  void addToLists(BackendServer server, Catalog &to) const;
   bool isInGrace(TimePoint now) const;
   /// Deletions are kept only so that entries can pass them on.
   void dropOldDeletions();
 
   CatalogSettings Settings;
   CatalogHooks Hooks;
-  std::map<std::string, Held> Known; ///< By key; deleted ones too.
+  std::map<std::string, KeyState> Known; ///< By key; deleted ones too.
   std::shared_ptr<const ConfigIndex> Config;
   uint64_t ConfigRevision = 0;
-  std::map<std::string, std::vector<WantedVersion>, std::less<>> Wanted;
+  std::map<std::string, std::vector<DesiredVersion>, std::less<>>
+      DesiredVersions;
   /// Noted ahead of records.
-  std::map<ServerStart, ModelVersion> Loaded;
-  std::map<std::string, Lift, std::less<>> Lifted; ///< By failure domain.
-  uint64_t Highest = 0;
-  uint64_t ForgottenTo = 0;
+  std::map<ServerStart, ModelVersion> NotedVersions;
+  std::map<std::string, EvacuationEnd, std::less<>>
+      EvacuationEnds; ///< By failure domain.
+  uint64_t HighestRevision = 0;
+  uint64_t DeletionsMissingTo = 0;
   bool HasReadAll = false;
   bool IsFirstRead = false; ///< While the first read is merged.
   /// Everything that was retired in what this process has read.
@@ -247,10 +250,10 @@
   TimePoint EraSince;
   uint64_t RestoredTo = 0;
   std::optional<TimePoint> RestoredAt;
-  bool IsSettled = true; ///< Nothing is held against a copy.
-  bool StoreIsLost = false;
-  bool IsSilent = false;
-  std::optional<TimePoint> StoreBackAt;
+  bool IsRestoreSettled = true; ///< Nothing is held against a copy.
+  bool IsStoreLost = false;
+  bool IsStale = false;
+  std::optional<TimePoint> StoreRecoveredAt;
   Rcu<Catalog> Published;
 };
 
--- a/src/direct/eligibility.cpp
+++ b/src/direct/eligibility.cpp
@@ -27,7 +27,7 @@
     if (auto since = catalog.behindSince(model, server.versionOf(model)))
       out.Behind = now - *since;
   // One that becomes cold while nobody can say so is not to be flooded.
-  out.IsCold = (now < server.ColdUntil || catalog.IsServiceSilent) &&
+  out.IsCold = (now < server.ColdUntil || catalog.AreRecordsStale) &&
                coldRateOf(catalog, server) > 0;
   return out;
 }
@@ -48,7 +48,7 @@
   std::optional<TimePoint> share =
       Beliefs.ColdServers.opensAt(server, coldRateOf(catalog, server), catalog);
   // It takes as much as before once it is known to be warm.
-  if (catalog.IsServiceSilent)
+  if (catalog.AreRecordsStale)
     return share ? std::optional(std::max(out, *share)) : std::nullopt;
   return std::max(out,
                   std::min(share.value_or(server.ColdUntil), server.ColdUntil));
--- a/src/direct/follow_plan.cpp
+++ b/src/direct/follow_plan.cpp
@@ -15,7 +15,7 @@
       ranked.emplace_back(rendezvousScore(Key, it.Name), it.Peer);
   size_t wanted = ranked.size();
   if (settings.EntriesPerReader > 0)
-    wanted = std::max(settings.LeastReaders,
+    wanted = std::max(settings.MinReaders,
                       (ranked.size() + settings.EntriesPerReader - 1) /
                           settings.EntriesPerReader);
   std::sort(ranked.rbegin(), ranked.rend());
@@ -39,14 +39,14 @@
   if (std::find(readers.begin(), readers.end(), Own.Peer) != readers.end())
     return {};
   FollowStep out;
-  out.WatchesService = !isServed(now);
-  if (now < NextAsk)
+  out.WatchesService = !areReadersCurrent(now);
+  if (now < NextPollAt)
     return out;
-  NextAsk = now + Settings.AskInterval;
+  NextPollAt = now + Settings.PollInterval;
   // By turns, each entry beginning elsewhere, so that one that is dead, or lies
   // behind, is soon made up for.
-  size_t turn = stableHash(Own.Name) + Asked++;
-  out.Ask = readers[turn % readers.size()];
+  size_t turn = stableHash(Own.Name) + PollCount++;
+  out.PollTarget = readers[turn % readers.size()];
   return out;
 }
 
@@ -55,16 +55,16 @@
   ConfirmedAt = std::max(ConfirmedAt, confirmedAt);
 }
 
-bool FollowPlan::isServed(TimePoint now) {
-  bool isInTime = AnsweredAt && now < *AnsweredAt + Settings.SilentAfter &&
-                  now < ConfirmedAt + Settings.OldAfter;
-  if (!isInTime) {
-    ServedSince.reset();
+bool FollowPlan::areReadersCurrent(TimePoint now) {
+  bool isCurrent = AnsweredAt && now < *AnsweredAt + Settings.ReaderTimeout &&
+                   now < ConfirmedAt + Settings.StaleAfter;
+  if (!isCurrent) {
+    ReadersCurrentSince.reset();
     return false;
   }
-  if (!ServedSince)
-    ServedSince = now;
-  return now >= *ServedSince + Settings.SettleTime;
+  if (!ReadersCurrentSince)
+    ReadersCurrentSince = now;
+  return now >= *ReadersCurrentSince + Settings.SettleTime;
 }
 
 } // namespace daisytack::direct
--- a/src/direct/follow_plan.h
+++ b/src/direct/follow_plan.h
@@ -21,18 +21,18 @@
 
 struct FollowSettings {
   /// One of them may fail without a call more to the service.
-  size_t LeastReaders = 2;
+  size_t MinReaders = 2;
   /// A reader answers about fifty questions a second then. 0: every entry reads
   /// the service itself.
   size_t EntriesPerReader = 16;
   /// Between two questions to readers: news is later by half of it on average.
-  Duration AskInterval{300'000};
+  Duration PollInterval{300'000};
   /// Knowledge that the service confirmed so long ago is too old: longer than a
   /// reader's wait for news and a question, shorter than the time for which an
   /// unknown key may be refused for good.
-  Duration OldAfter{2'300'000};
+  Duration StaleAfter{2'300'000};
   /// Without an answer for so long, of several questions to several readers.
-  Duration SilentAfter{1'000'000};
+  Duration ReaderTimeout{1'000'000};
   /// Readers must have answered in time for so long before the own watch ends.
   Duration SettleTime{1'000'000};
   bool operator==(const FollowSettings &) const = default;
@@ -45,7 +45,7 @@
 
 struct FollowStep {
   bool WatchesService = true;
-  std::optional<Endpoint> Ask; ///< A reader, for what is newer.
+  std::optional<Endpoint> PollTarget; ///< A reader, for what is newer.
   auto operator<=>(const FollowStep &) const = default;
 };
 
@@ -62,15 +62,15 @@
   void onAnswer(TimePoint confirmedAt, TimePoint now);
 
 private:
-  bool isServed(TimePoint now);
+  bool areReadersCurrent(TimePoint now);
 
   FollowSettings Settings;
   EntryPeer Own;
-  size_t Asked = 0;
-  TimePoint NextAsk;
+  size_t PollCount = 0;
+  TimePoint NextPollAt;
   std::optional<TimePoint> AnsweredAt;
   TimePoint ConfirmedAt; ///< The latest that a reader told.
-  std::optional<TimePoint> ServedSince;
+  std::optional<TimePoint> ReadersCurrentSince;
 };
 
 } // namespace daisytack::direct
--- a/src/direct/kept_context.h
+++ b/src/direct/kept_context.h
@@ -9,8 +9,8 @@
 #pragma once
 
 #include "direct/exchange.h"
-#include "direct/facts.h"
 #include "direct/part_sizes.h"
+#include "direct/records.h"
 
 #include <functional>
 #include <map>
--- a/src/direct/order_right.cpp
+++ b/src/direct/order_lease.cpp
@@ -1,10 +1,10 @@
-#include "direct/order_right.h"
+#include "direct/order_lease.h"
 
 #include <algorithm>
 
 namespace daisytack::direct {
 
-swap::LeaseInit orderLease(const OrderRightSettings &settings) {
+swap::LeaseInit orderLease(const OrderLeaseSettings &settings) {
   swap::LeaseInit out;
   out.TimeToLive = settings.Term;
   out.PauseMargin = settings.PauseMargin;
@@ -18,22 +18,22 @@
   return out;
 }
 
-std::optional<uint64_t> claimOver(const Catalog &catalog,
-                                  const OrderHolder &own) {
+std::optional<uint64_t> claimableRevision(const Catalog &catalog,
+                                          const OrderLeaseHolder &own) {
   if (catalog.Holder.empty())
     return 0;
-  if (OrderHolder{catalog.Holder, catalog.HolderPeer} != own)
+  if (OrderLeaseHolder{catalog.Holder, catalog.HolderPeer} != own)
     return std::nullopt;
   return catalog.HolderRevision;
 }
 
-bool isClaimSafe(const Catalog &catalog, const OrderRightSettings &settings,
+bool isClaimSafe(const Catalog &catalog, const OrderLeaseSettings &settings,
                  TimePoint now) {
   return !catalog.RestoredAt ||
          now >= *catalog.RestoredAt + orderLease(settings).TimeToLive;
 }
 
-bool isReplaced(const Catalog &catalog, uint64_t token) {
+bool isHolderReplaced(const Catalog &catalog, uint64_t token) {
   return !catalog.Holder.empty() && catalog.HolderRevision > token;
 }
 
--- a/src/direct/order_right.h
+++ b/src/direct/order_lease.h
@@ -19,32 +19,32 @@
 
 namespace daisytack::direct {
 
-struct OrderRightSettings {
+struct OrderLeaseSettings {
   /// Orders of two holders lie so far apart; where servers check tokens, no
   /// holder acts longer on one renewal.
   Duration Term{3'000'000};
   bool ServersCheckFence = true;
   /// An order takes so long at most from the check until it reaches a server.
   Duration PauseMargin{1'000'000};
-  bool operator==(const OrderRightSettings &) const = default;
+  bool operator==(const OrderLeaseSettings &) const = default;
 };
 
 /// The lease under which the holder's record is written, and within which the
 /// holder may act.
-swap::LeaseInit orderLease(const OrderRightSettings &settings);
+swap::LeaseInit orderLease(const OrderLeaseSettings &settings);
 
 /// The revision of the record that this entry may replace by its own: 0 where
 /// there is none. Nothing while another instance may hold the right.
-std::optional<uint64_t> claimOver(const Catalog &catalog,
-                                  const OrderHolder &own);
+std::optional<uint64_t> claimableRevision(const Catalog &catalog,
+                                          const OrderLeaseHolder &own);
 
 /// Whether a claim is safe of a holder whose record and lease are lost, as the
 /// service came back from an older copy: it acts until its lease would have
 /// ended.
-bool isClaimSafe(const Catalog &catalog, const OrderRightSettings &settings,
+bool isClaimSafe(const Catalog &catalog, const OrderLeaseSettings &settings,
                  TimePoint now);
 
 /// The service has taken a record that is newer than the holder's own.
-bool isReplaced(const Catalog &catalog, uint64_t token);
+bool isHolderReplaced(const Catalog &catalog, uint64_t token);
 
 } // namespace daisytack::direct
--- a/src/direct/protocol.h
+++ b/src/direct/protocol.h
@@ -33,15 +33,15 @@
       OwnAnswer;
 
   // The key-value service.
-  std::function<FactSubject(std::string_view key)> SubjectOf;
-  std::function<std::optional<FactValue>(const StoreRecord &, Error &reason)>
+  std::function<RecordSubject(std::string_view key)> SubjectOf;
+  std::function<std::optional<RecordValue>(const StoreRecord &, Error &reason)>
       DecodeFact;
   std::function<std::string(std::string_view entry)> EntryKey;
   std::function<std::string(const EntryPeer &)> EncodeEntry;
   std::function<std::string(const Endpoint &peer)> RegistrationKey;
   std::function<std::string(const EntryRegistration &)> EncodeRegistration;
   std::string HolderKey; ///< Held by the one entry that gives orders.
-  std::function<std::string(const OrderHolder &)> EncodeHolder;
+  std::function<std::string(const OrderLeaseHolder &)> EncodeHolder;
   std::string RetiredKey; ///< Of all kept context that is retired.
   std::function<std::string(const RetiredContext &)> EncodeRetired;
   std::function<std::string(const Id128 &request)> QuarantineKey;
--- a/src/direct/facts.h
+++ b/src/direct/records.h
@@ -72,10 +72,10 @@
 
 /// The one entry that may give orders to servers and free kept context, and
 /// its instance: another one may bear its name later.
-struct OrderHolder {
+struct OrderLeaseHolder {
   std::string Entry;
   Endpoint Peer{}; ///< Port 0 in records that don't name it.
-  auto operator<=>(const OrderHolder &) const = default;
+  auto operator<=>(const OrderLeaseHolder &) const = default;
 };
 
 /// Kept context that is not named as a source any more: of weights before a
@@ -93,7 +93,7 @@
 
 /// All that is retired, for good: each record covers those before it.
 struct RetiredContext {
-  std::vector<Retirement> What;
+  std::vector<Retirement> Retirements;
   auto operator<=>(const RetiredContext &) const = default;
 };
 
@@ -112,7 +112,7 @@
 };
 
 /// What a key of the store is about.
-enum class FactKind : uint8_t {
+enum class RecordKind : uint8_t {
   Config,
   Server,
   Weights,
@@ -125,15 +125,15 @@
   Other
 };
 
-struct FactSubject {
-  FactKind Kind = FactKind::Other;
+struct RecordSubject {
+  RecordKind Kind = RecordKind::Other;
   std::string Name; ///< Server id, model, entry, failure domain; else empty.
-  auto operator<=>(const FactSubject &) const = default;
+  auto operator<=>(const RecordSubject &) const = default;
 };
 
-using FactValue =
+using RecordValue =
     std::variant<std::monostate, ServingConfig, BackendServer, DesiredWeights,
-                 EntryPeer, OrderHolder, RetiredContext, EntryRegistration,
+                 EntryPeer, OrderLeaseHolder, RetiredContext, EntryRegistration,
                  QuarantinedRequest, EvacuatedDomain>;
 
 /// One key of the store as it was read: opaque to all but the decoder, so that
--- a/src/direct/retirement.cpp
+++ b/src/direct/retirement.cpp
@@ -14,10 +14,11 @@
 
 } // namespace
 
-bool mayNameSources(const SourceStanding &standing, Duration trust,
+bool mayNameSources(const SourceEligibility &eligibility, Duration maxStaleness,
                     TimePoint now) {
-  return standing.HasReadAll && standing.KnowsRetired &&
-         standing.IsRegistered && now < standing.ListedAt + trust;
+  return eligibility.HasReadAll && eligibility.KnowsRetired &&
+         eligibility.IsRegistered &&
+         now < eligibility.AnnouncedAsOf + maxStaleness;
 }
 
 std::vector<Retirement> mergeRetired(std::vector<Retirement> a,
@@ -59,39 +60,39 @@
 void RetirementAgreement::onCatalog(const Catalog &catalog, TimePoint now) {
   if (std::exchange(Era, catalog.Era) != catalog.Era) {
     // Whoever reads the copy alone may name what was agreed on since.
-    Stages.clear();
-    Safe.clear();
+    SeenRecords.clear();
+    LastFreeable.clear();
   }
   EraSince = catalog.EraSince;
   notePeers(catalog, now);
-  uint64_t known = Stages.empty() ? 0 : Stages.back().Revision;
-  if (catalog.RetiredRevision > known)
-    Stages.push_back(
-        {catalog.RetiredRevision, catalog.RetiredRecorded, now, {}, {}});
+  uint64_t known = SeenRecords.empty() ? 0 : SeenRecords.back().Revision;
+  if (catalog.RetiredRecordRevision > known)
+    SeenRecords.push_back(
+        {catalog.RetiredRecordRevision, catalog.RetiredInRecord, now, {}, {}});
 }
 
-std::vector<Retirement> RetirementAgreement::retiredFor(const Catalog &catalog,
-                                                        double spareShare,
-                                                        TimePoint now) {
+std::vector<Retirement>
+RetirementAgreement::dueRetirements(const Catalog &catalog, double spareShare,
+                                    TimePoint now) {
   std::vector<Retirement> out;
   if (uint64_t below = unusedBelow(catalog, now); below > 1)
     out.push_back({below, 1});
   uint64_t newest = 0;
-  for (const auto &[model, wanted] : catalog.Wanted)
+  for (const auto &[model, wanted] : catalog.DesiredVersions)
     newest = std::max(newest, wanted.back().Version);
-  double moved = 0;
+  double updated = 0;
   double all = 0;
   for (const BackendServer &server : catalog.AllServers) {
     if (server.Weights.empty())
       continue;
     all += 1;
-    moved += server.Weights.front().Version >= newest ? 1 : 0;
+    updated += server.Weights.front().Version >= newest ? 1 : 0;
   }
   if (all == 0 || newest < 2)
     return out;
   // In quarters, so that entries are told few times.
   constexpr double Steps = 4;
-  double needed = moved / all - spareShare;
+  double needed = updated / all - spareShare;
   double share = std::min(1.0, std::floor(needed * Steps) / Steps);
   if (share > 0)
     out.push_back({newest, share});
@@ -105,31 +106,33 @@
   std::vector<RetirementAction> out;
   // What another writer put over the record can't be added to, only replaced by
   // less.
-  if (!catalog.IsRetiredReadable)
+  if (!catalog.IsRetiredRecordReadable)
     return out;
   std::vector<Retirement> wanted =
-      mergeRetired(catalog.Retired, retiredFor(catalog, spareShare, now));
-  if (wanted != catalog.RetiredRecorded && !IsWriting && now >= WriteAgainAt) {
+      mergeRetired(catalog.Retired, dueRetirements(catalog, spareShare, now));
+  if (wanted != catalog.RetiredInRecord && !IsWriting && now >= NextWriteAt) {
     IsWriting = true;
-    out.push_back(WriteRetired{std::move(wanted), catalog.RetiredRevision});
+    out.push_back(
+        WriteRetired{std::move(wanted), catalog.RetiredRecordRevision});
   }
-  if (std::optional<RemoveRegistration> gone = removal(now))
-    out.push_back(*gone);
+  if (std::optional<RemoveRegistration> removal = dueRemoval(now))
+    out.push_back(*removal);
   noteAgreements(now);
-  for (TellEntry &tell : tells(now))
-    out.push_back(std::move(tell));
+  for (NotifyEntry &due : dueNotifications(now))
+    out.push_back(std::move(due));
   return out;
 }
 
-std::optional<RemoveRegistration> RetirementAgreement::removal(TimePoint now) {
-  if (IsWriting || now < WriteAgainAt)
+std::optional<RemoveRegistration>
+RetirementAgreement::dueRemoval(TimePoint now) {
+  if (IsWriting || now < NextWriteAt)
     return std::nullopt;
   for (const auto &[endpoint, peer] : Peers) {
     // What was last announced there trusts its knowledge no more, and its
     // fetches have ended.
     bool isGone =
         peer.AbsentSince &&
-        now >= *peer.AbsentSince + Settings.Trust + Settings.FetchTime;
+        now >= *peer.AbsentSince + Settings.MaxStaleness + Settings.FetchTime;
     if (!isGone)
       continue;
     IsWriting = true;
@@ -138,17 +141,17 @@
   return std::nullopt;
 }
 
-std::vector<TellEntry> RetirementAgreement::tells(TimePoint now) {
-  std::vector<TellEntry> out;
-  if (Stages.empty() || Stages.back().AgreedAt)
+std::vector<NotifyEntry> RetirementAgreement::dueNotifications(TimePoint now) {
+  std::vector<NotifyEntry> out;
+  if (SeenRecords.empty() || SeenRecords.back().AgreedAt)
     return out;
-  const Stage &newest = Stages.back();
+  const SeenRecord &newest = SeenRecords.back();
   for (auto &[endpoint, peer] : Peers) {
-    bool isDue = !peer.IsAsked && now >= peer.AskAgainAt;
+    bool isDue = !peer.IsNotificationPending && now >= peer.NextNotificationAt;
     if (!isDue || newest.Agreed.contains(endpoint))
       continue;
-    peer.IsAsked = true;
-    out.push_back({endpoint, newest.What, newest.Revision});
+    peer.IsNotificationPending = true;
+    out.push_back({endpoint, newest.Retirements, newest.Revision});
   }
   return out;
 }
@@ -156,58 +159,59 @@
 void RetirementAgreement::onWritten(TimePoint now) {
   // Whether it was carried out, the service itself will tell.
   IsWriting = false;
-  WriteAgainAt = now + Settings.AskPause;
+  NextWriteAt = now + Settings.RetryDelay;
 }
 
-void RetirementAgreement::onTold(const TellEntry &told, bool hasAgreed,
-                                 TimePoint now) {
-  if (auto it = Peers.find(told.Peer); it != Peers.end()) {
-    it->second.IsAsked = false;
-    it->second.AskAgainAt = hasAgreed ? now : now + Settings.AskPause;
+void RetirementAgreement::onNotified(const NotifyEntry &notification,
+                                     bool hasAgreed, TimePoint now) {
+  if (auto it = Peers.find(notification.Peer); it != Peers.end()) {
+    it->second.IsNotificationPending = false;
+    it->second.NextNotificationAt = hasAgreed ? now : now + Settings.RetryDelay;
   }
   if (!hasAgreed)
     return;
-  for (Stage &stage : Stages)
-    if (stage.Revision <= told.Revision)
-      stage.Agreed.insert(told.Peer);
+  for (SeenRecord &record : SeenRecords)
+    if (record.Revision <= notification.Revision)
+      record.Agreed.insert(notification.Peer);
   noteAgreements(now);
 }
 
 void RetirementAgreement::noteAgreements(TimePoint now) {
-  for (Stage &stage : Stages) {
-    if (stage.AgreedAt)
+  for (SeenRecord &record : SeenRecords) {
+    if (record.AgreedAt)
       continue;
     bool allAgreed =
         std::all_of(Peers.begin(), Peers.end(), [&](const auto &it) {
-          return stage.Agreed.contains(it.first);
+          return record.Agreed.contains(it.first);
         });
     if (allAgreed)
-      stage.AgreedAt = now;
+      record.AgreedAt = now;
   }
 }
 
-bool RetirementAgreement::isSafe(const Stage &stage, TimePoint now) const {
+bool RetirementAgreement::isSafe(const SeenRecord &record,
+                                 TimePoint now) const {
   // By now every entry knows it or names nothing.
-  if (now >= stage.SeenAt + Settings.Trust + Settings.FetchTime)
+  if (now >= record.SeenAt + Settings.MaxStaleness + Settings.FetchTime)
     return true;
   // An entry whose registration is not in the copy is not asked, and may name
   // sources until its trust in what it knew before is over.
-  bool areAllAsked =
-      Era == 0 || now >= EraSince + Settings.Trust + Settings.FetchTime;
-  return areAllAsked && stage.AgreedAt &&
-         now >= *stage.AgreedAt + Settings.FetchTime;
+  bool areAllNotified =
+      Era == 0 || now >= EraSince + Settings.MaxStaleness + Settings.FetchTime;
+  return areAllNotified && record.AgreedAt &&
+         now >= *record.AgreedAt + Settings.FetchTime;
 }
 
 std::vector<Retirement> RetirementAgreement::freeable(TimePoint now) {
-  auto safe =
-      std::find_if(Stages.rbegin(), Stages.rend(),
-                   [&](const Stage &stage) { return isSafe(stage, now); });
-  if (safe == Stages.rend())
-    return Safe;
-  Safe = safe->What;
+  auto safe = std::find_if(
+      SeenRecords.rbegin(), SeenRecords.rend(),
+      [&](const SeenRecord &record) { return isSafe(record, now); });
+  if (safe == SeenRecords.rend())
+    return LastFreeable;
+  LastFreeable = safe->Retirements;
   // It stays until a later one is safe, so that it is not taken for news.
-  Stages.erase(Stages.begin(), safe.base() - 1);
-  return Safe;
+  SeenRecords.erase(SeenRecords.begin(), safe.base() - 1);
+  return LastFreeable;
 }
 
 uint64_t RetirementAgreement::unusedBelow(const Catalog &catalog,
@@ -215,11 +219,11 @@
   std::optional<uint64_t> oldest = catalog.oldestVersion();
   if (!oldest)
     return 0;
-  if (*oldest != OldestSeen) {
-    OldestSeen = *oldest;
-    OldestSince = now;
+  if (*oldest != OldestVersion) {
+    OldestVersion = *oldest;
+    OldestVersionSince = now;
   }
-  return now < OldestSince + Settings.FreeDelay ? 0 : *oldest;
+  return now < OldestVersionSince + Settings.FreeDelay ? 0 : *oldest;
 }
 
 } // namespace daisytack::direct
--- a/src/direct/retirement.h
+++ b/src/direct/retirement.h
@@ -29,10 +29,10 @@
 /// and so how long what is retired may take to be in force at an entry that is
 /// cut off. Longer than outages of the service, nine seconds at most, and two
 /// waits of a watch and its repeats, four seconds.
-constexpr Duration SourceTrust{14'000'000};
+constexpr Duration MaxSourceStaleness{14'000'000};
 
 /// What an entry's right to name sources rests on.
-struct SourceStanding {
+struct SourceEligibility {
   /// This process has read the whole service itself, so that it knows all that
   /// was agreed with a process before it at its address.
   bool HasReadAll = false;
@@ -46,11 +46,11 @@
   /// moment, and the registration goes only when the announcement has been
   /// absent for as long as the trust and a fetch last: until the trust is over
   /// this entry is asked, though it is cut off and its lease has lapsed.
-  TimePoint ListedAt;
-  auto operator<=>(const SourceStanding &) const = default;
+  TimePoint AnnouncedAsOf;
+  auto operator<=>(const SourceEligibility &) const = default;
 };
 
-bool mayNameSources(const SourceStanding &standing, Duration trust,
+bool mayNameSources(const SourceEligibility &eligibility, Duration maxStaleness,
                     TimePoint now);
 
 /// Everything that either covers, without what another covers as well.
@@ -62,27 +62,27 @@
   /// server's report of its weights.
   Duration FreeDelay{4'000'000};
   /// Between tries to write, and to ask one entry.
-  Duration AskPause{500'000};
+  Duration RetryDelay{500'000};
   /// After the last entry stopped naming: the longest fetch, and its way.
   Duration FetchTime{LongestFetch + Duration(500'000)};
-  Duration Trust = SourceTrust;
+  Duration MaxStaleness = MaxSourceStaleness;
   bool operator==(const RetirementSettings &) const = default;
 };
 
 /// To be written to the service over the record of that revision (0: none),
 /// provided that this process is still the holder.
 struct WriteRetired {
-  std::vector<Retirement> What;
-  uint64_t Over = 0;
+  std::vector<Retirement> Retirements;
+  uint64_t ExpectedRevision = 0;
   bool operator==(const WriteRetired &) const = default;
 };
 
 /// An entry is to be told; its answer says that it names nothing of it.
-struct TellEntry {
+struct NotifyEntry {
   Endpoint Peer;
-  std::vector<Retirement> What;
+  std::vector<Retirement> Retirements;
   uint64_t Revision = 0; ///< Of the record.
-  bool operator==(const TellEntry &) const = default;
+  bool operator==(const NotifyEntry &) const = default;
 };
 
 /// The registration of an address from which nothing is named any more is to be
@@ -95,7 +95,7 @@
 };
 
 using RetirementAction =
-    std::variant<WriteRetired, TellEntry, RemoveRegistration>;
+    std::variant<WriteRetired, NotifyEntry, RemoveRegistration>;
 
 /// Every entry follows the records; the holder of the right to give orders
 /// also writes, asks and frees. One thread at a time.
@@ -114,7 +114,8 @@
                                      TimePoint now);
   /// Whatever came of a write, as the service itself tells that.
   void onWritten(TimePoint now);
-  void onTold(const TellEntry &told, bool hasAgreed, TimePoint now);
+  void onNotified(const NotifyEntry &notification, bool hasAgreed,
+                  TimePoint now);
 
   /// What no server can be reading.
   std::vector<Retirement> freeable(TimePoint now);
@@ -124,9 +125,9 @@
 
 private:
   /// A record that this process has seen in the service.
-  struct Stage {
+  struct SeenRecord {
     uint64_t Revision = 0;
-    std::vector<Retirement> What;
+    std::vector<Retirement> Retirements;
     TimePoint SeenAt;
     std::set<Endpoint> Agreed;
     std::optional<TimePoint> AgreedAt; ///< When the last of them had.
@@ -136,29 +137,30 @@
     uint64_t Revision = 0;
     /// Since when no entry has been announced there, at this revision.
     std::optional<TimePoint> AbsentSince;
-    bool IsAsked = false;
-    TimePoint AskAgainAt;
+    bool IsNotificationPending = false;
+    TimePoint NextNotificationAt;
   };
 
   void notePeers(const Catalog &catalog, TimePoint now);
-  std::vector<Retirement> retiredFor(const Catalog &catalog, double spareShare,
-                                     TimePoint now);
+  std::vector<Retirement> dueRetirements(const Catalog &catalog,
+                                         double spareShare, TimePoint now);
   void noteAgreements(TimePoint now);
-  std::optional<RemoveRegistration> removal(TimePoint now);
-  std::vector<TellEntry> tells(TimePoint now);
-  bool isSafe(const Stage &stage, TimePoint now) const;
+  std::optional<RemoveRegistration> dueRemoval(TimePoint now);
+  std::vector<NotifyEntry> dueNotifications(TimePoint now);
+  bool isSafe(const SeenRecord &record, TimePoint now) const;
 
   RetirementSettings Settings;
   Endpoint Own;
   uint64_t Era = 0; ///< Of the service; what was agreed is of this one.
   TimePoint EraSince;
   std::map<Endpoint, Peer> Peers;
-  std::vector<Stage> Stages; ///< By revision; each covers those before it.
-  std::vector<Retirement> Safe;
+  std::vector<SeenRecord>
+      SeenRecords; ///< By revision; each covers those before it.
+  std::vector<Retirement> LastFreeable;
   bool IsWriting = false;
-  TimePoint WriteAgainAt;
-  uint64_t OldestSeen = 0;
-  TimePoint OldestSince;
+  TimePoint NextWriteAt;
+  uint64_t OldestVersion = 0;
+  TimePoint OldestVersionSince;
 };
 
 } // namespace daisytack::direct
--- a/src/direct/revision.h
+++ b/src/direct/revision.h
@@ -15,15 +15,17 @@
 constexpr unsigned RevisionBits = 40;
 
 /// 0, which stands for no revision, stays 0.
-constexpr uint64_t lastingRevision(uint64_t era, uint64_t revision) {
+constexpr uint64_t monotonicRevision(uint64_t era, uint64_t revision) {
   return revision == 0 ? 0 : (era << RevisionBits) | revision;
 }
 
-constexpr uint64_t eraOf(uint64_t lasting) { return lasting >> RevisionBits; }
+constexpr uint64_t eraOf(uint64_t monotonic) {
+  return monotonic >> RevisionBits;
+}
 
 /// The service's own count.
-constexpr uint64_t countOf(uint64_t lasting) {
-  return lasting & ((uint64_t{1} << RevisionBits) - 1);
+constexpr uint64_t countInEra(uint64_t monotonic) {
+  return monotonic & ((uint64_t{1} << RevisionBits) - 1);
 }
 
 } // namespace daisytack::direct
--- a/src/direct/serving_config.cpp
+++ b/src/direct/serving_config.cpp
@@ -27,7 +27,7 @@
       continue;
     for (const TrafficShare &share : route.Shares) {
       auto [it, isNew] =
-          TightestTargets.emplace(share.Service, route.TargetLatency);
+          MinTargetLatencies.emplace(share.Service, route.TargetLatency);
       it->second = std::min(it->second, route.TargetLatency);
     }
   }
@@ -52,14 +52,14 @@
   return nullptr;
 }
 
-const Access *ConfigIndex::findKey(std::string_view key) const {
+const OrganisationAccess *ConfigIndex::findKey(std::string_view key) const {
   auto it = Keys.find(key);
   return it == Keys.end() ? nullptr : &Config.Organisations[it->second];
 }
 
-Duration ConfigIndex::tightestTarget(std::string_view service) const {
-  auto it = TightestTargets.find(service);
-  return it == TightestTargets.end() ? Duration::zero() : it->second;
+Duration ConfigIndex::minTargetLatency(std::string_view service) const {
+  auto it = MinTargetLatencies.find(service);
+  return it == MinTargetLatencies.end() ? Duration::zero() : it->second;
 }
 
 const Service *ConfigIndex::findService(std::string_view name) const {
--- a/src/direct/serving_config.h
+++ b/src/direct/serving_config.h
@@ -37,12 +37,12 @@
   Duration TargetLatency{0}; ///< Until the first byte of an answer in time.
   /// How long callers wait for the first event of a stream before they leave;
   /// 0: as long as they say.
-  Duration FirstEventPatience{0};
-  Duration TargetGap{0};    ///< Between the events of a stream in time.
-  uint32_t Priority = 0;    ///< 0 is the most urgent.
-  bool IsPublic = false;    ///< Needs no API key.
-  bool IsResumable = false; ///< A broken stream may go on elsewhere.
-  bool HasPrompt = false;   ///< Requests name a model and prompt parts.
+  Duration MaxFirstEventWait{0};
+  Duration TargetEventGap{0}; ///< Between the events of a stream in time.
+  uint32_t Priority = 0;      ///< 0 is the most urgent.
+  bool IsPublic = false;      ///< Needs no API key.
+  bool IsResumable = false;   ///< A broken stream may go on elsewhere.
+  bool HasPrompt = false;     ///< Requests name a model and prompt parts.
   AllowedRegions Regions{}; ///< Of servers and stores that requests may reach.
   auto operator<=>(const Route &) const = default;
 
@@ -54,13 +54,13 @@
 };
 
 /// An organisation and the keys that its requests carry.
-struct Access {
+struct OrganisationAccess {
   std::string Organisation;
   std::vector<std::string> Keys;
   std::optional<uint32_t> Priority; ///< Replaces that of the route.
   bool IsIsolated = false;          ///< Shares no kept context with others.
   AllowedRegions Regions{}; ///< Of servers and stores that requests may reach.
-  auto operator<=>(const Access &) const = default;
+  auto operator<=>(const OrganisationAccess &) const = default;
 };
 
 /// What all engines of a service have in common.
@@ -111,7 +111,7 @@
   uint64_t Version = 0;
   std::vector<Route> Routes;
   std::vector<Service> Services;
-  std::vector<Access> Organisations;
+  std::vector<OrganisationAccess> Organisations;
   CallerLimits Limits;
   auto operator<=>(const ServingConfig &) const = default;
 };
@@ -126,11 +126,11 @@
   /// null when there is none. A port in the host is ignored, and its case.
   const Route *findRoute(std::string_view host, std::string_view path) const;
   /// Null when no organisation holds the key.
-  const Access *findKey(std::string_view key) const;
+  const OrganisationAccess *findKey(std::string_view key) const;
   const Service *findService(std::string_view name) const;
   /// The least target latency of the routes with prompts that lead to the
   /// service; zero when none has one.
-  Duration tightestTarget(std::string_view service) const;
+  Duration minTargetLatency(std::string_view service) const;
   /// Without organisations no request needs a key.
   bool needsKeys() const { return !Config.Organisations.empty(); }
 
@@ -150,7 +150,7 @@
   Positions Keys;
   Positions Services;
   std::unordered_map<std::string, Duration, TextHash, std::equal_to<>>
-      TightestTargets; ///< By service.
+      MinTargetLatencies; ///< By service.
 };
 
 } // namespace daisytack::direct
--- a/src/direct/weight_order.h
+++ b/src/direct/weight_order.h
@@ -2,7 +2,7 @@
 /// engine says of itself.
 #pragma once
 
-#include "direct/facts.h"
+#include "direct/records.h"
 
 #include <compare>
 #include <optional>
--- a/src/direct/weight_plan.cpp
+++ b/src/direct/weight_plan.cpp
@@ -5,21 +5,21 @@
 
 namespace daisytack::direct {
 
-std::vector<WeightPlan::Behind>
-WeightPlan::serversBehind(const Catalog &catalog) const {
-  std::vector<Behind> out;
+std::vector<WeightPlan::OutdatedServer>
+WeightPlan::outdatedServers(const Catalog &catalog) const {
+  std::vector<OutdatedServer> out;
   for (const BackendServer &server : catalog.AllServers) {
     if (server.IsDraining)
       continue;
     for (const ModelVersion &has : server.Weights)
       if (auto since = catalog.behindSince(has.Model, has.Version))
         out.push_back(
-            {&server, {has.Model, catalog.wantedVersion(has.Model)}, *since});
+            {&server, {has.Model, catalog.desiredVersion(has.Model)}, *since});
   }
   return out;
 }
 
-size_t WeightPlan::leastConcurrency(const Catalog &catalog) const {
+size_t WeightPlan::minConcurrency(const Catalog &catalog) const {
   auto engines = std::count_if(
       catalog.AllServers.begin(), catalog.AllServers.end(),
       [](const BackendServer &it) { return !it.Weights.empty(); });
@@ -30,22 +30,23 @@
 
 /// Few at a time load fastest, but the last must be done in time.
 size_t WeightPlan::concurrency(const Catalog &catalog,
-                               const std::vector<Behind> &behind,
+                               const std::vector<OutdatedServer> &outdated,
                                TimePoint now) const {
-  size_t least = leastConcurrency(catalog);
-  if (behind.empty())
+  size_t least = minConcurrency(catalog);
+  if (outdated.empty())
     return least;
   TimePoint oldest = now;
-  for (const Behind &it : behind)
+  for (const OutdatedServer &it : outdated)
     oldest = std::min(oldest, it.Since);
-  Duration left = std::max(oldest + Settings.Limit - now, Settings.UsualLoad);
-  auto needed = static_cast<size_t>(static_cast<int64_t>(behind.size()) *
-                                    Settings.UsualLoad / left);
-  size_t most = std::max<size_t>(behind.size() / 2, least);
+  Duration left =
+      std::max(oldest + Settings.RolloutLimit - now, Settings.UsualLoadTime);
+  auto needed = static_cast<size_t>(static_cast<int64_t>(outdated.size()) *
+                                    Settings.UsualLoadTime / left);
+  size_t most = std::max<size_t>(outdated.size() / 2, least);
   return std::clamp<size_t>(needed, least, most);
 }
 
-void WeightPlan::forgetDone(const Catalog &catalog, TimePoint now) {
+void WeightPlan::dropFinishedLoads(const Catalog &catalog, TimePoint now) {
   std::erase_if(Loads, [&](const auto &it) {
     const auto &servers = catalog.AllServers;
     auto server =
@@ -55,32 +56,33 @@
     bool isDone = !isGone && server->versionOf(it.second.Wanted.Model) >=
                                  it.second.Wanted.Version;
     bool isRestarted = !isGone && server->StartedMs != it.second.StartedMs;
-    bool isStuck = now >= it.second.Since + Settings.LoadPatience;
+    bool isStuck = now >= it.second.Since + Settings.LoadTimeout;
     return isGone || isDone || isRestarted || isStuck;
   });
 }
 
-const WeightPlan::Behind *WeightPlan::pick(const std::vector<Behind> &behind,
-                                           const Catalog &catalog) const {
+const WeightPlan::OutdatedServer *
+WeightPlan::pickNext(const std::vector<OutdatedServer> &outdated,
+                     const Catalog &catalog) const {
   std::map<std::string_view, uint32_t> loading; ///< By failure domain.
   for (const BackendServer &server : catalog.AllServers)
     loading[server.FailureDomain] += Loads.contains(server.Id) ? 1 : 0;
   // Those that must be done first, spread over the failure domains.
-  auto rank = [&](const Behind &it) {
+  auto rank = [&](const OutdatedServer &it) {
     return std::pair(it.Since, loading[it.Server->FailureDomain]);
   };
-  const Behind *out = nullptr;
-  for (const Behind &it : behind)
+  const OutdatedServer *out = nullptr;
+  for (const OutdatedServer &it : outdated)
     if (!Loads.contains(it.Server->Id) && (!out || rank(it) < rank(*out)))
       out = &it;
   return out;
 }
 
-void WeightPlan::begin(const Catalog &catalog, TimePoint now) {
-  std::vector<Behind> behind = serversBehind(catalog);
-  size_t most = concurrency(catalog, behind, now);
+void WeightPlan::startLoads(const Catalog &catalog, TimePoint now) {
+  std::vector<OutdatedServer> outdated = outdatedServers(catalog);
+  size_t most = concurrency(catalog, outdated, now);
   while (Loads.size() < most) {
-    const Behind *it = pick(behind, catalog);
+    const OutdatedServer *it = pickNext(outdated, catalog);
     if (!it)
       return;
     Loads[it->Server->Id] = {it->Server->StartedMs,
@@ -94,18 +96,18 @@
 
 std::vector<WeightAction> WeightPlan::next(const Catalog &catalog,
                                            TimePoint now) {
-  forgetDone(catalog, now);
-  begin(catalog, now);
+  dropFinishedLoads(catalog, now);
+  startLoads(catalog, now);
   std::vector<WeightAction> out;
   for (auto &[id, load] : Loads) {
-    if (now < load.LookAt)
+    if (now < load.NextCheckAt)
       continue;
-    load.At = Phase::Asking;
-    load.LookAt = now + Settings.CallPatience;
+    load.CurrentPhase = Phase::Asking;
+    load.NextCheckAt = now + Settings.CallTimeout;
     // The one that it was chosen for may have been superseded since.
-    load.Wanted.Version =
-        std::max(load.Wanted.Version, catalog.wantedVersion(load.Wanted.Model));
-    out.push_back(AskReport{id, load.Address});
+    load.Wanted.Version = std::max(load.Wanted.Version,
+                                   catalog.desiredVersion(load.Wanted.Model));
+    out.push_back(RequestReport{id, load.Address});
   }
   return out;
 }
@@ -114,14 +116,14 @@
 WeightPlan::onReport(const std::string &server,
                      const std::optional<EngineReport> &report, TimePoint now) {
   auto it = Loads.find(server);
-  if (it == Loads.end() || it->second.At != Phase::Asking)
+  if (it == Loads.end() || it->second.CurrentPhase != Phase::Asking)
     return {};
   Load &load = it->second;
   // Of another start: it came late, or the record of the new start will come.
-  bool isOther = report && report->StartedMs != 0 && load.StartedMs != 0 &&
-                 report->StartedMs != load.StartedMs;
-  if (!report || isOther) {
-    load.LookAt = now + Settings.RefusalPause;
+  bool isOtherStart = report && report->StartedMs != 0 && load.StartedMs != 0 &&
+                      report->StartedMs != load.StartedMs;
+  if (!report || isOtherStart) {
+    load.NextCheckAt = now + Settings.RefusalRetryDelay;
     return {};
   }
   uint64_t version = 0;
@@ -135,14 +137,14 @@
     return {NoteLoaded{server, std::move(has), startedMs}};
   }
   if (report->IsBusy) {
-    load.At = Phase::Loading;
-    load.LookAt = now + Settings.LookInterval;
+    load.CurrentPhase = Phase::Loading;
+    load.NextCheckAt = now + Settings.CheckInterval;
     return {};
   }
-  load.At = Phase::Ordering;
-  load.LookAt = now + Settings.CallPatience;
-  return {GiveOrder{server, load.Address, load.Wanted, report->OrdersTaken,
-                    load.StartedMs}};
+  load.CurrentPhase = Phase::Ordering;
+  load.NextCheckAt = now + Settings.CallTimeout;
+  return {SendWeightOrder{server, load.Address, load.Wanted,
+                          report->OrdersTaken, load.StartedMs}};
 }
 
 void WeightPlan::onAnswer(ServerRef server, OrderAnswer answer, TimePoint now) {
@@ -153,15 +155,15 @@
   if (it == Loads.end() || it->second.StartedMs != server.StartedMs)
     return;
   Load &load = it->second;
-  load.At = Phase::Loading;
+  load.CurrentPhase = Phase::Loading;
   switch (answer) {
   case OrderAnswer::Accepted:
-    load.LookAt = now + Settings.FirstLook;
+    load.NextCheckAt = now + Settings.FirstCheckDelay;
     return;
   case OrderAnswer::Conflict:
   case OrderAnswer::Impossible:
   case OrderAnswer::Unknown:
-    load.LookAt = now + Settings.RefusalPause;
+    load.NextCheckAt = now + Settings.RefusalRetryDelay;
     return;
   case OrderAnswer::OtherServer:
     Loads.erase(it);
@@ -171,7 +173,7 @@
   }
 }
 
-std::vector<ServerStart> WeightPlan::busy() const {
+std::vector<ServerStart> WeightPlan::loadingServers() const {
   std::vector<ServerStart> out;
   for (const auto &[id, load] : Loads)
     out.push_back({id, load.StartedMs});
--- a/src/direct/weight_plan.h
+++ b/src/direct/weight_plan.h
@@ -33,43 +33,43 @@
   /// From the wish for a version until every server must have it; and how long
   /// one load takes with the runs that end before it, when it is known that not
   /// all will be done in time. More load at a time then.
-  Duration Limit{11'000'000};
-  Duration UsualLoad{2'200'000};
+  Duration RolloutLimit{11'000'000};
+  Duration UsualLoadTime{2'200'000};
   /// A report or an order without an answer is given up after this.
-  Duration CallPatience{700'000};
+  Duration CallTimeout{700'000};
   /// Between looks at an engine that should be loading; its reports are some
   /// hundred milliseconds old.
-  Duration LookInterval{250'000};
+  Duration CheckInterval{250'000};
   /// Before the first look after an order: no load takes less.
-  Duration FirstLook{900'000};
+  Duration FirstCheckDelay{900'000};
   /// A load that takes longer is begun again: several times the usual one.
-  Duration LoadPatience{6'000'000};
+  Duration LoadTimeout{6'000'000};
   /// After an engine refused, before it is asked again.
-  Duration RefusalPause{300'000};
+  Duration RefusalRetryDelay{300'000};
   bool operator==(const WeightPlanSettings &) const = default;
 };
 
-struct AskReport {
+struct RequestReport {
   std::string ServerId;
   Endpoint Address;
-  bool operator==(const AskReport &) const = default;
+  bool operator==(const RequestReport &) const = default;
 };
-struct GiveOrder {
+struct SendWeightOrder {
   std::string ServerId;
   Endpoint Address;
   ModelVersion Wanted;
   uint64_t OrdersTaken = 0;
   uint64_t StartedMs = 0; ///< Of the start whose report asked for the order.
-  bool operator==(const GiveOrder &) const = default;
+  bool operator==(const SendWeightOrder &) const = default;
 };
 /// The server has taken the version since this start.
 struct NoteLoaded {
   std::string ServerId;
-  ModelVersion Has;
+  ModelVersion LoadedVersion;
   uint64_t StartedMs = 0;
   bool operator==(const NoteLoaded &) const = default;
 };
-using WeightAction = std::variant<AskReport, GiveOrder, NoteLoaded>;
+using WeightAction = std::variant<RequestReport, SendWeightOrder, NoteLoaded>;
 
 /// What an engine answered to an order.
 enum class OrderAnswer : uint8_t {
@@ -98,7 +98,7 @@
   void clear() { Loads.clear(); }
 
   /// Servers that are loading, or about to.
-  std::vector<ServerStart> busy() const;
+  std::vector<ServerStart> loadingServers() const;
   bool isIdle() const { return Loads.empty(); }
 
 private:
@@ -107,25 +107,26 @@
     uint64_t StartedMs = 0;
     Endpoint Address;
     ModelVersion Wanted;
-    Phase At = Phase::Asking;
-    TimePoint Since;  ///< When it was chosen.
-    TimePoint LookAt; ///< Next look, unless an answer comes before.
+    Phase CurrentPhase = Phase::Asking;
+    TimePoint Since;       ///< When it was chosen.
+    TimePoint NextCheckAt; ///< Next look, unless an answer comes before.
   };
-  struct Behind {
+  struct OutdatedServer {
     const BackendServer *Server = nullptr;
     ModelVersion Wanted;
     TimePoint Since; ///< Since when it has been behind.
   };
 
-  size_t leastConcurrency(const Catalog &catalog) const;
-  std::vector<Behind> serversBehind(const Catalog &catalog) const;
-  void forgetDone(const Catalog &catalog, TimePoint now);
+  size_t minConcurrency(const Catalog &catalog) const;
+  std::vector<OutdatedServer> outdatedServers(const Catalog &catalog) const;
+  void dropFinishedLoads(const Catalog &catalog, TimePoint now);
   /// Chooses engines while there is room for them.
-  void begin(const Catalog &catalog, TimePoint now);
-  size_t concurrency(const Catalog &catalog, const std::vector<Behind> &behind,
+  void startLoads(const Catalog &catalog, TimePoint now);
+  size_t concurrency(const Catalog &catalog,
+                     const std::vector<OutdatedServer> &outdated,
                      TimePoint now) const;
-  const Behind *pick(const std::vector<Behind> &behind,
-                     const Catalog &catalog) const;
+  const OutdatedServer *pickNext(const std::vector<OutdatedServer> &outdated,
+                                 const Catalog &catalog) const;
 
   WeightPlanSettings Settings;
   std::map<std::string, Load> Loads;
--- a/src/gateway/context_follower.cpp
+++ b/src/gateway/context_follower.cpp
@@ -178,7 +178,7 @@
   };
   for (const auto &action :
        Agreement.next(*State.catalog(), State.Kept.spareShare(), now)) {
-    if (const auto *tell = std::get_if<direct::TellEntry>(&action))
+    if (const auto *tell = std::get_if<direct::NotifyEntry>(&action))
       Hooks.Tell(*tell, [self = shared_from_this(), tell = *tell](bool agreed) {
         self->onAnswered(tell, agreed);
       });
@@ -189,7 +189,7 @@
   }
 }
 
-void ContextFollower::onAnswered(const direct::TellEntry &tell,
+void ContextFollower::onAnswered(const direct::NotifyEntry &tell,
                                  bool hasAgreed) {
   TimePoint now = monotonicNow();
   State.Log.write(LogWeight::Notable, "context_retirement_told",
@@ -197,7 +197,7 @@
                    {"revision", tell.Revision},
                    {"agreed", hasAgreed}},
                   now);
-  Agreement.onTold(tell, hasAgreed, now);
+  Agreement.onNotified(tell, hasAgreed, now);
 }
 
 std::vector<direct::BrokenPart>
--- a/src/gateway/context_follower.h
+++ b/src/gateway/context_follower.h
@@ -39,7 +39,7 @@
 
 struct RetirementHooks {
   /// Tells one entry; learns whether it has agreed.
-  std::function<void(const direct::TellEntry &,
+  std::function<void(const direct::NotifyEntry &,
                      const std::function<void(bool)> &)>
       Tell;
   /// Done is called whatever came of it, as the service itself will tell.
@@ -99,7 +99,7 @@
   unused(const std::string &store, const Followed &followed,
          uint64_t unusedBelow,
          const std::vector<direct::Retirement> &freeable) const;
-  void onAnswered(const direct::TellEntry &tell, bool hasAgreed);
+  void onAnswered(const direct::NotifyEntry &tell, bool hasAgreed);
 
   GatewayState &State;
   Strand On;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -42,8 +42,8 @@
 direct::FollowSettings followSettings(const GatewayOptions &options) {
   constexpr Duration TimeToWatch{200'000};
   direct::FollowSettings out = options.Follow;
-  out.OldAfter =
-      std::min<Duration>(out.OldAfter, options.ConfirmedFor - TimeToWatch);
+  out.StaleAfter =
+      std::min<Duration>(out.StaleAfter, options.ConfirmedFor - TimeToWatch);
   return out;
 }
 
@@ -105,7 +105,7 @@
 
 PeerHooks Gateway::peerHooks() {
   PeerHooks out;
-  out.Records = [this](const direct::RecordsFound &found, uint64_t knownTo,
+  out.Records = [this](const direct::RecordsResponse &found, uint64_t knownTo,
                        TimePoint askedAt) {
     onRecords(found, knownTo, askedAt);
   };
@@ -115,43 +115,44 @@
   return out;
 }
 
-void Gateway::onRecords(const direct::RecordsFound &found, uint64_t knownTo,
+void Gateway::onRecords(const direct::RecordsResponse &found, uint64_t knownTo,
                         TimePoint askedAt) {
   TimePoint now = monotonicNow();
-  TimePoint confirmedAt = askedAt - Duration(found.ConfirmedAgo);
+  TimePoint confirmedAt = askedAt - Duration(found.ConfirmationAge);
   int64_t confirmed = confirmedAt.time_since_epoch().count();
   if (confirmed > State.ConfirmedAt.load())
     State.ConfirmedAt = confirmed;
   State.Catalog.onRestored(found.RestoredTo, now);
-  State.Catalog.onGraceTold(Duration(found.GraceLeft), now);
+  State.Catalog.onPeerGrace(Duration(found.GraceLeft), now);
   if (!found.Records.empty())
     Follower->merge(found.Records);
   if (direct::eraOf(found.CompleteTo) > direct::eraOf(State.CompleteTo))
     Follower->readAnew();
-  if (!direct::isWholeFor(found, knownTo))
+  if (!direct::isCompleteFor(found, knownTo))
     return;
   State.completeTo(found.CompleteTo);
-  State.knowAllUpTo(askedAt - Duration(found.KnownAgo));
+  State.knowAllUpTo(askedAt - Duration(found.CompleteStateAge));
   Following.onAnswer(confirmedAt, now);
 }
 
 RetirementHooks Gateway::retirementHooks() {
   RetirementHooks out;
-  out.Tell = [this](const direct::TellEntry &tell,
+  out.Tell = [this](const direct::NotifyEntry &tell,
                     const std::function<void(bool)> &done) {
-    Peers->tellOne(tell.Peer, direct::ContextRetired{tell.What}, done);
+    Peers->tellOne(tell.Peer, direct::ContextRetired{tell.Retirements}, done);
   };
   out.Write = [this](const direct::WriteRetired &write,
                      const std::function<void()> &done) {
     const std::string &key = State.Speak.RetiredKey;
-    commitAsHolder({key, State.Speak.EncodeRetired({write.What}), 0, false},
-                   write.Over, [this, done](const edge::KvHeader &header) {
-                     Log.write(LogWeight::Notable, "context_retired",
-                               {{"status", edge::kvStatusName(header.Status)},
-                                {"revision", header.Revision}},
-                               monotonicNow());
-                     done();
-                   });
+    commitAsHolder(
+        {key, State.Speak.EncodeRetired({write.Retirements}), 0, false},
+        write.ExpectedRevision, [this, done](const edge::KvHeader &header) {
+          Log.write(LogWeight::Notable, "context_retired",
+                    {{"status", edge::kvStatusName(header.Status)},
+                     {"revision", header.Revision}},
+                    monotonicNow());
+          done();
+        });
   };
   out.Remove = [this](const direct::RemoveRegistration &remove,
                       const std::function<void()> &done) {
@@ -189,7 +190,7 @@
 
 ContextFollowerSettings Gateway::contextSettings() const {
   ContextFollowerSettings out;
-  out.Retirement.Trust = Options.SourceTrust;
+  out.Retirement.MaxStaleness = Options.SourceTrust;
   return out;
 }
 
@@ -197,7 +198,7 @@
   OrderDriverSettings out;
   out.Weights.ConcurrentLoads = Options.ConcurrentLoads;
   out.Weights.ConcurrentShare = Options.ConcurrentLoadShare;
-  out.Weights.Limit = Options.Placement.OldWeightsLimit;
+  out.Weights.RolloutLimit = Options.Placement.OldWeightsLimit;
   out.Holder.Right.Term = Options.LeaseTerm;
   out.Holder.Right.ServersCheckFence = Options.ServersCheckFence;
   out.WakePause = Options.WakePause;
@@ -264,7 +265,8 @@
   const auto *loaded = std::get_if<direct::ServerLoaded>(&message);
   if (!loaded)
     return;
-  State.Catalog.noteLoaded(loaded->Server, loaded->Has, monotonicNow());
+  State.Catalog.noteLoaded(loaded->Server, loaded->LoadedVersion,
+                           monotonicNow());
   onCatalog();
 }
 
@@ -310,7 +312,7 @@
   bool isSettled =
       catalog.RestoredAt &&
       monotonicNow() >= *catalog.RestoredAt + Options.Catalog.RestoreGrace;
-  if (isSettled && !catalog.isListed(Options.Name, Options.Peers))
+  if (isSettled && !catalog.isAnnounced(Options.Name, Options.Peers))
     Announced->announceAgain();
 }
 
@@ -349,8 +351,8 @@
   direct::FollowStep step = Following.next(*State.catalog(), now);
   Follower->setWatching(step.WatchesService);
   // While the service is away, more entries are asked anyway.
-  if (step.Ask && Follower->isReachable())
-    Peers->ask(*step.Ask);
+  if (step.PollTarget && Follower->isReachable())
+    Peers->ask(*step.PollTarget);
 }
 
 void Gateway::tick() {
@@ -365,7 +367,7 @@
   Quarantines->onTimer(now);
   Peers->onTimer(Follower->isReachable(), now);
   if (State.HasReadAll)
-    State.Catalog.setSilent(!State.isConfirmed(now));
+    State.Catalog.setStale(!State.isConfirmed(now));
   Follower->onTimer(now);
   follow(now);
   Orders->onTimer(now);
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -53,7 +53,7 @@
                            const direct::Catalog &after);
   void onLoading(const std::vector<direct::ServerStart> &servers);
   PeerHooks peerHooks();
-  void onRecords(const direct::RecordsFound &found, uint64_t knownTo,
+  void onRecords(const direct::RecordsResponse &found, uint64_t knownTo,
                  TimePoint askedAt);
   /// Watches the service, or asks an entry that does.
   void follow(TimePoint now);
--- a/src/gateway/gateway_http.cpp
+++ b/src/gateway/gateway_http.cpp
@@ -152,7 +152,7 @@
         *exchange, *head,
         unknown(ErrorKind::NotFound, "no route for this host and path", now),
         now);
-  const direct::Access *access = nullptr;
+  const direct::OrganisationAccess *access = nullptr;
   if (config.needsKeys() && !route->IsPublic) {
     access = config.findKey(head->ApiKey);
     if (!access)
--- a/src/gateway/gateway_options.cpp
+++ b/src/gateway/gateway_options.cpp
@@ -55,8 +55,8 @@
       settings.duration("store.lease_term", out.LeaseTerm, 500ms, 10min);
   out.WakePause =
       settings.duration("store.wake_pause", out.WakePause, 0s, 1min);
-  out.Catalog.LapseGrace =
-      settings.duration("store.lapse_grace", out.Catalog.LapseGrace, 0s, 1min);
+  out.Catalog.ExpiryGrace =
+      settings.duration("store.lapse_grace", out.Catalog.ExpiryGrace, 0s, 1min);
   out.Retries.Share = settings.number("retries.share", out.Retries.Share, 0, 1);
   out.Retries.Slack = static_cast<uint32_t>(
       settings.integer("retries.slack", out.Retries.Slack, 0, MostSlack));
--- a/src/gateway/gateway_options.h
+++ b/src/gateway/gateway_options.h
@@ -64,7 +64,7 @@
   /// Lease under which an entry announces itself and holds the right to give
   /// orders.
   /// The same in all entries, so no setting; tests shorten it.
-  Duration SourceTrust = direct::SourceTrust;
+  Duration SourceTrust = direct::MaxSourceStaleness;
   Duration LeaseTerm{3'000'000};
   /// A paused holder that wakes waits so long before it acts again.
   Duration WakePause{300'000};
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -34,27 +34,27 @@
   return out;
 }
 
-std::string_view factName(direct::FactKind kind) {
+std::string_view factName(direct::RecordKind kind) {
   switch (kind) {
-  case direct::FactKind::Config:
+  case direct::RecordKind::Config:
     return "configuration";
-  case direct::FactKind::Server:
+  case direct::RecordKind::Server:
     return "backend_server";
-  case direct::FactKind::Weights:
+  case direct::RecordKind::Weights:
     return "desired_weights";
-  case direct::FactKind::Entry:
+  case direct::RecordKind::Entry:
     return "entry";
-  case direct::FactKind::Registration:
+  case direct::RecordKind::Registration:
     return "entry_registration";
-  case direct::FactKind::Holder:
+  case direct::RecordKind::Holder:
     return "order_holder";
-  case direct::FactKind::Retired:
+  case direct::RecordKind::Retired:
     return "retired_context";
-  case direct::FactKind::Quarantine:
+  case direct::RecordKind::Quarantine:
     return "quarantined_request";
-  case direct::FactKind::Evacuation:
+  case direct::RecordKind::Evacuation:
     return "evacuated_domain";
-  case direct::FactKind::Other:
+  case direct::RecordKind::Other:
     break;
   }
   return "other";
@@ -65,7 +65,7 @@
   direct::CatalogHooks out;
   out.SubjectOf = speak.SubjectOf;
   out.Decode = speak.DecodeFact;
-  out.Changed = [&log](const direct::FactSubject &subject,
+  out.Changed = [&log](const direct::RecordSubject &subject,
                        std::string_view change, uint64_t revision,
                        TimePoint now) {
     log.write(LogWeight::Notable, "belief_changed",
@@ -228,7 +228,7 @@
   if (known <= KnownAt.load())
     return;
   KnownAt = known;
-  if (catalog()->isListed(Options.Name, Options.Peers))
+  if (catalog()->isAnnounced(Options.Name, Options.Peers))
     ListedAt = known;
 }
 
@@ -236,13 +236,13 @@
   CompleteTo = std::max(CompleteTo.load(), revision);
 }
 
-direct::SourceStanding GatewayState::standing() const {
-  direct::SourceStanding out;
+direct::SourceEligibility GatewayState::standing() const {
+  direct::SourceEligibility out;
   // Before the catalog, which so is no older than this.
-  out.ListedAt = TimePoint(Duration(ListedAt.load()));
+  out.AnnouncedAsOf = TimePoint(Duration(ListedAt.load()));
   out.HasReadAll = HasReadAll;
   auto catalog = this->catalog();
-  out.KnowsRetired = catalog->IsRetiredReadable;
+  out.KnowsRetired = catalog->IsRetiredRecordReadable;
   out.IsRegistered = catalog->Registered.contains(Options.Peers);
   return out;
 }
--- a/src/gateway/gateway_state.h
+++ b/src/gateway/gateway_state.h
@@ -146,7 +146,7 @@
   /// Call it after what the service held then is in the catalog.
   void knowAllUpTo(TimePoint at);
   void completeTo(uint64_t revision);
-  direct::SourceStanding standing() const;
+  direct::SourceEligibility standing() const;
   /// The servers' clock, by which each fetch must end; nothing while this entry
   /// is to name no sources.
   std::optional<int64_t> fetchClock(TimePoint now) const;
--- a/src/gateway/holder_lease.h
+++ b/src/gateway/holder_lease.h
@@ -2,7 +2,7 @@
 /// written under a lease. The revision at which it was is the fencing token.
 #pragma once
 
-#include "direct/order_right.h"
+#include "direct/order_lease.h"
 #include "edge/kv.h"
 #include "gateway/store_follower.h"
 #include "net/timer.h"
@@ -14,7 +14,7 @@
 namespace daisytack::gateway {
 
 struct HolderLeaseSettings {
-  direct::OrderRightSettings Right;
+  direct::OrderLeaseSettings Right;
   Duration CallTimeout{1'200'000};
   bool operator==(const HolderLeaseSettings &) const = default;
 };
--- a/src/gateway/load_exchange.cpp
+++ b/src/gateway/load_exchange.cpp
@@ -67,8 +67,8 @@
   TimePoint now = monotonicNow();
   if (const auto *reports = std::get_if<direct::CrashReports>(&*message))
     return enforceQuarantine(State, State.Suspects.onPeer(*reports, now), now);
-  if (const auto *limits = std::get_if<direct::RequestLimitNews>(&*message))
-    return State.Limits.onPeer(limits->Words, now);
+  if (const auto *limits = std::get_if<direct::RequestLimitUpdate>(&*message))
+    return State.Limits.onPeer(limits->ServerLimits, now);
   const auto *loads = std::get_if<direct::EntryLoads>(&*message);
   if (!loads || loads->Entry == State.Options.Name)
     return;
@@ -106,8 +106,8 @@
       State.Suspects.takeNews(1.0 / static_cast<double>(rounds), now);
   if (!reports.isEmpty())
     messages.push_back(wire::encode(direct::PeerMessage(std::move(reports))));
-  direct::RequestLimitNews limits{State.Limits.takeNews(now)};
-  if (!limits.Words.empty())
+  direct::RequestLimitUpdate limits{State.Limits.takeNews(now)};
+  if (!limits.ServerLimits.empty())
     messages.push_back(wire::encode(direct::PeerMessage(std::move(limits))));
   for (size_t i = 0; i < std::min(n, Settings.MostAtOnce); ++i) {
     const direct::EntryPeer &peer = catalog->Entries[NextPeer++ % n];
--- a/src/gateway/order_driver.cpp
+++ b/src/gateway/order_driver.cpp
@@ -52,7 +52,8 @@
   LastTimer = now;
   auto catalog = State.catalog();
   Holder->onTimer(now);
-  if (Holder->isHeld() && direct::isReplaced(*catalog, Holder->heldToken()))
+  if (Holder->isHeld() &&
+      direct::isHolderReplaced(*catalog, Holder->heldToken()))
     Holder->giveUp(now);
   seekHolder(*catalog, now);
   if (!token(now)) {
@@ -64,7 +65,7 @@
 }
 
 void OrderDriver::tellLoading(TimePoint now) {
-  std::vector<direct::ServerStart> busy = Plan.busy();
+  std::vector<direct::ServerStart> busy = Plan.loadingServers();
   bool isDue = busy != Told || now >= ToldAt + Settings.TellInterval;
   if (busy.empty() || !isDue)
     return;
@@ -83,8 +84,8 @@
   bool maySeek = catalog.Config && !Holder->isHeld() && !Holder->isTrying() &&
                  State.isConfirmed(now) && !State.Drain.load() &&
                  direct::isClaimSafe(catalog, Settings.Holder.Right, now);
-  std::optional<uint64_t> over =
-      direct::claimOver(catalog, {State.Options.Name, State.Options.Peers});
+  std::optional<uint64_t> over = direct::claimableRevision(
+      catalog, {State.Options.Name, State.Options.Peers});
   if (!maySeek || !over) {
     SeekAt.reset();
     return;
@@ -110,9 +111,9 @@
   if (actions.empty())
     return;
   for (const direct::WeightAction &action : actions) {
-    if (const auto *report = std::get_if<direct::AskReport>(&action))
+    if (const auto *report = std::get_if<direct::RequestReport>(&action))
       ask(*report);
-    else if (const auto *order = std::get_if<direct::GiveOrder>(&action))
+    else if (const auto *order = std::get_if<direct::SendWeightOrder>(&action))
       give(*order);
     else
       noteLoaded(std::get<direct::NoteLoaded>(action));
@@ -123,17 +124,17 @@
   TimePoint now = monotonicNow();
   State.Log.write(LogWeight::Notable, "server_loaded",
                   {{"server", action.ServerId},
-                   {"model", action.Has.Model},
-                   {"version", action.Has.Version}},
+                   {"model", action.LoadedVersion.Model},
+                   {"version", action.LoadedVersion.Version}},
                   now);
-  TellEntries(
-      direct::ServerLoaded{{action.ServerId, action.StartedMs}, action.Has});
+  TellEntries(direct::ServerLoaded{{action.ServerId, action.StartedMs},
+                                   action.LoadedVersion});
   perform(Plan.next(*State.catalog(), now));
 }
 
-void OrderDriver::ask(const direct::AskReport &action) {
+void OrderDriver::ask(const direct::RequestReport &action) {
   State.Control.fetch(action.Address, State.Speak.ReportRequest(),
-                      Settings.Weights.CallPatience,
+                      Settings.Weights.CallTimeout,
                       [self = shared_from_this(), id = action.ServerId](
                           const Error &error, const net::HttpResponse &answer) {
                         std::optional<direct::EngineReport> report;
@@ -150,7 +151,7 @@
                       });
 }
 
-void OrderDriver::give(const direct::GiveOrder &action) {
+void OrderDriver::give(const direct::SendWeightOrder &action) {
   TimePoint now = monotonicNow();
   std::optional<uint64_t> token = this->token(now);
   if (!token)
@@ -168,7 +169,7 @@
       State.Speak.OrderRequest({action.ServerId, action.Address, action.Wanted,
                                 State.Options.Name, *token,
                                 action.OrdersTaken}),
-      Settings.Weights.CallPatience,
+      Settings.Weights.CallTimeout,
       [self = shared_from_this(),
        to = direct::ServerStart{action.ServerId, action.StartedMs}](
           const Error &error, const net::HttpResponse &answer) {
--- a/src/gateway/order_driver.h
+++ b/src/gateway/order_driver.h
@@ -48,8 +48,8 @@
   void tellLoading(TimePoint now);
   void seekHolder(const direct::Catalog &catalog, TimePoint now);
   void perform(const std::vector<direct::WeightAction> &actions);
-  void ask(const direct::AskReport &action);
-  void give(const direct::GiveOrder &action);
+  void ask(const direct::RequestReport &action);
+  void give(const direct::SendWeightOrder &action);
   void noteLoaded(const direct::NoteLoaded &action);
   /// What the head of a report or of an order's answer says.
   void noteWord(direct::ServerRef server, const net::HttpResponse &answer);
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -70,24 +70,24 @@
       std::holds_alternative<direct::ServerLoaded>(message);
   if (isAboutWeights) {
     Hooks.Weights(message);
-    return direct::Received{};
+    return direct::Acknowledgement{};
   }
   if (const auto *retired = std::get_if<direct::ContextRetired>(&message)) {
-    for (const direct::Retirement &it : retired->What)
+    for (const direct::Retirement &it : retired->Retirements)
       State.Kept.retire(it);
-    return direct::Received{};
+    return direct::Acknowledgement{};
   }
-  const auto *wanted = std::get_if<direct::RecordsWanted>(&message);
+  const auto *wanted = std::get_if<direct::RecordsRequest>(&message);
   if (!wanted)
-    return direct::Received{};
+    return direct::Acknowledgement{};
   TimePoint now = monotonicNow();
   int64_t nowUs = now.time_since_epoch().count();
-  direct::RecordsFound out;
+  direct::RecordsResponse out;
   out.Records = State.Catalog.recordsSince(wanted->Revision);
-  out.ConfirmedAgo = nowUs - State.ConfirmedAt.load();
-  out.KnownAgo = nowUs - State.KnownAt.load();
+  out.ConfirmationAge = nowUs - State.ConfirmedAt.load();
+  out.CompleteStateAge = nowUs - State.KnownAt.load();
   out.CompleteTo = State.CompleteTo;
-  out.ForgottenTo = State.Catalog.forgottenTo();
+  out.DeletionsMissingTo = State.Catalog.deletionsMissingTo();
   out.GraceLeft = State.Catalog.graceLeft(now).count();
   out.RestoredTo = State.Catalog.restoredTo();
   return out;
@@ -152,10 +152,10 @@
   uint64_t knownTo = State.CompleteTo;
   // Until it has read the service itself it asks for news alone.
   uint64_t newerThan = knownTo != 0 ? knownTo : State.Catalog.revision();
-  post(peer, direct::RecordsWanted{newerThan},
+  post(peer, direct::RecordsRequest{newerThan},
        [this, knownTo,
         askedAt = monotonicNow()](const direct::PeerMessage &reply) {
-         if (const auto *found = std::get_if<direct::RecordsFound>(&reply))
+         if (const auto *found = std::get_if<direct::RecordsResponse>(&reply))
            Hooks.Records(*found, knownTo, askedAt);
        });
 }
--- a/src/gateway/peer_exchange.h
+++ b/src/gateway/peer_exchange.h
@@ -18,7 +18,7 @@
 struct PeerHooks {
   /// What another entry knows; its times count from when it was asked, and this
   /// entry knew all up to the revision then.
-  std::function<void(const direct::RecordsFound &, uint64_t knownTo,
+  std::function<void(const direct::RecordsResponse &, uint64_t knownTo,
                      TimePoint askedAt)>
       Records;
   /// ServersLoading or ServerLoaded.
--- a/src/gateway/store_follower.cpp
+++ b/src/gateway/store_follower.cpp
@@ -66,7 +66,7 @@
   // Any call's answer tells the era, also while others tell what it holds.
   bool isBehind = Store.LatestEra &&
                   Store.LatestEra() > direct::eraOf(State.CompleteTo.load());
-  if (isBehind || State.Catalog.wantsSettling(now))
+  if (isBehind || State.Catalog.needsReread(now))
     readAnew();
 }
 
@@ -185,7 +185,7 @@
   if (std::exchange(IsReachable, true))
     return;
   State.Counts.StoreReachable.set(1);
-  State.Catalog.onStoreBack(now);
+  State.Catalog.onStoreRecovered(now);
   State.Log.write(LogWeight::Notable,
                   WasReachable ? "service_regained" : "service_reached",
                   {{"revision", State.Catalog.revision()}}, now);
--- a/tests/direct/catalog_fixture.h
+++ b/tests/direct/catalog_fixture.h
@@ -12,23 +12,23 @@
 
 inline const TimePoint CatalogStart{Duration(1'000'000'000)};
 
-inline FactSubject textSubject(std::string_view key) {
+inline RecordSubject textSubject(std::string_view key) {
   size_t colon = key.find(':');
   std::string name(colon == std::string_view::npos ? ""
                                                    : key.substr(colon + 1));
   if (key.starts_with("server:"))
-    return {FactKind::Server, name};
+    return {RecordKind::Server, name};
   if (key.starts_with("weights:"))
-    return {FactKind::Weights, name};
+    return {RecordKind::Weights, name};
   if (key.starts_with("entry:"))
-    return {FactKind::Entry, name};
+    return {RecordKind::Entry, name};
   if (key.starts_with("registered:"))
-    return {FactKind::Registration, name};
+    return {RecordKind::Registration, name};
   if (key == "holder")
-    return {FactKind::Holder, ""};
+    return {RecordKind::Holder, ""};
   if (key == "retired")
-    return {FactKind::Retired, ""};
-  return {key == "config" ? FactKind::Config : FactKind::Other, ""};
+    return {RecordKind::Retired, ""};
+  return {key == "config" ? RecordKind::Config : RecordKind::Other, ""};
 }
 
 /// "server:NAME=VERSION", with "!" at the end for one that drains, and "@OTHER"
@@ -41,24 +41,24 @@
   CatalogHooks out;
   out.SubjectOf = textSubject;
   out.Decode = [](const StoreRecord &record,
-                  Error &reason) -> std::optional<FactValue> {
-    FactSubject subject = textSubject(record.Key);
+                  Error &reason) -> std::optional<RecordValue> {
+    RecordSubject subject = textSubject(record.Key);
     if (record.Value == "bad") {
       reason = {ErrorKind::BadValue, "bad"};
       return std::nullopt;
     }
-    if (subject.Kind == FactKind::Entry)
+    if (subject.Kind == RecordKind::Entry)
       return EntryPeer{subject.Name, {"10.0.0.1", 1}};
-    if (subject.Kind == FactKind::Holder)
-      return OrderHolder{record.Value};
+    if (subject.Kind == RecordKind::Holder)
+      return OrderLeaseHolder{record.Value};
     bool isDraining = record.Value.ends_with('!');
     uint64_t version = std::stoull(record.Value);
     size_t at = record.Value.find('@');
     std::string other =
         at == std::string::npos ? "" : record.Value.substr(at + 1);
-    if (subject.Kind == FactKind::Weights)
+    if (subject.Kind == RecordKind::Weights)
       return DesiredWeights{{subject.Name, version}};
-    if (subject.Kind == FactKind::Config) {
+    if (subject.Kind == RecordKind::Config) {
       ServingConfig config;
       config.Version = version;
       config.Services.resize(3);
@@ -78,7 +78,7 @@
       server.Weights = {{"model", version}};
     return server;
   };
-  out.Changed = [log](const FactSubject &subject, std::string_view change,
+  out.Changed = [log](const RecordSubject &subject, std::string_view change,
                       uint64_t, TimePoint) {
     if (log)
       log->push_back(subject.Name + " " + std::string(change));
@@ -93,7 +93,7 @@
 inline StoreRecord put(std::string key, std::string value, uint64_t revision) {
   return {std::move(key), std::move(value), revision, false};
 }
-inline StoreRecord gone(std::string key, uint64_t revision) {
+inline StoreRecord deletion(std::string key, uint64_t revision) {
   return {std::move(key), "", revision, true};
 }
 
--- a/tests/direct/catalog_test.cpp
+++ b/tests/direct/catalog_test.cpp
@@ -20,16 +20,16 @@
   EXPECT_EQ(keeper.view()->Config->config().Version, 8);
 }
 
-TEST(CatalogKeeper, KeepsTheConfigurationThatAStoreNoLongerShows) {
+TEST(CatalogKeeper, KeepsTheConfigurationThatTheStoreNoLongerHas) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("config", "7", 20)}, Start);
-  keeper.apply({gone("config", 30)}, Start);
+  keeper.apply({deletion("config", 30)}, Start);
   keeper.applyAll({}, 40, Start);
   ASSERT_NE(keeper.view()->Config, nullptr);
   EXPECT_EQ(keeper.view()->Config->config().Version, 7);
 }
 
-TEST(CatalogKeeper, KeepsWhatItHadWhenANewValueCannotBeRead) {
+TEST(CatalogKeeper, KeepsThePreviousValueWhenANewOneCannotBeDecoded) {
   std::vector<std::string> log;
   CatalogKeeper keeper({}, textHooks(&log));
   keeper.apply({put("config", "7", 20), put("config", "bad", 21)}, Start);
@@ -37,7 +37,7 @@
   EXPECT_EQ(log.back(), "config unreadable");
 }
 
-TEST(CatalogKeeper, GivesNothingNewToDrainingServers) {
+TEST(CatalogKeeper, GivesNoNewRequestsToDrainingServers) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("server:a", "1", 1), put("server:b", "1!", 2)}, Start);
   EXPECT_EQ(idsOf(keeper), Ids{"a"});
@@ -46,15 +46,15 @@
 
 TEST(CatalogKeeper, DropsAServerThatIsGoneAtOnce) {
   CatalogKeeper keeper({}, textHooks());
-  keeper.apply({put("server:a", "1", 1), gone("server:a", 2)}, Start);
+  keeper.apply({put("server:a", "1", 1), deletion("server:a", 2)}, Start);
   EXPECT_EQ(idsOf(keeper), Ids{});
 }
 
-TEST(CatalogKeeper, KeepsServersWhoseEntriesLapsedWithTheStore) {
+TEST(CatalogKeeper, KeepsServersWhoseRecordsExpiredWithAnOutage) {
   CatalogKeeper keeper({2s}, textHooks());
   keeper.apply({put("server:a", "1", 1), put("server:b", "1", 2)}, Start);
   keeper.onStoreLost();
-  keeper.onStoreBack(Start + 10s);
+  keeper.onStoreRecovered(Start + 10s);
   keeper.applyAll({}, 9, Start + 10s);
   EXPECT_EQ(idsOf(keeper), (Ids{"a", "b"}));
   keeper.apply({put("server:b", "1", 10)}, Start + 11s);
@@ -64,14 +64,14 @@
   EXPECT_EQ(idsOf(keeper), Ids{"b"});
 }
 
-TEST(CatalogKeeper, HearsOfALapseWhileTheStoreIsAwayAndCountsFromItsReturn) {
+TEST(CatalogKeeper, CountsTheGraceOfARecordThatExpiredInAnOutageFromRecovery) {
   CatalogKeeper keeper({2s}, textHooks());
   keeper.apply({put("server:a", "1", 1)}, Start);
   keeper.onStoreLost();
-  keeper.apply({gone("server:a", 5)}, Start + 1s); // From another entry.
+  keeper.apply({deletion("server:a", 5)}, Start + 1s); // From another entry.
   keeper.onTimer(Start + 60s);
   EXPECT_EQ(idsOf(keeper), Ids{"a"});
-  keeper.onStoreBack(Start + 60s);
+  keeper.onStoreRecovered(Start + 60s);
   keeper.onTimer(Start + 61s);
   EXPECT_EQ(idsOf(keeper), Ids{"a"});
   keeper.onTimer(Start + 62s);
@@ -82,12 +82,12 @@
   CatalogKeeper keeper({2s}, textHooks());
   keeper.apply({put("server:a", "1!", 1)}, Start);
   keeper.onStoreLost();
-  keeper.onStoreBack(Start);
+  keeper.onStoreRecovered(Start);
   keeper.applyAll({}, 9, Start);
   EXPECT_TRUE(keeper.view()->AllServers.empty());
 }
 
-TEST(CatalogKeeper, ReadingEverythingSparesWhatIsNewerThanTheReading) {
+TEST(CatalogKeeper, AFullReadKeepsRecordsThatAreNewerThanTheRead) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("server:a", "1", 1), put("server:b", "1", 12)}, Start);
   keeper.applyAll({}, 10, Start);
@@ -96,7 +96,7 @@
 
 /// A process that starts can't tell how long a version has been wanted; counted
 /// from its start, old weights would be used for twice the time allowed.
-TEST(CatalogKeeper, TakesAVersionFoundAtTheFirstReadForOld) {
+TEST(CatalogKeeper, AssumesThatAVersionFoundAtTheFirstReadIsOld) {
   CatalogKeeper keeper({}, textHooks());
   keeper.applyAll({{"weights:model", "2", 7, false}}, 7, Start);
   EXPECT_EQ(keeper.view()->behindSince("model", 1), Start - 5s);
@@ -104,20 +104,20 @@
   EXPECT_EQ(keeper.view()->behindSince("model", 2), Start + 1s);
 }
 
-TEST(CatalogKeeper, KeepsTheTimeOfEachWantedVersion) {
+TEST(CatalogKeeper, KeepsTheTimeOfEachDesiredVersion) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("weights:model", "2", 5)}, Start);
   keeper.apply({put("weights:model", "3", 6)}, Start + 4s);
   keeper.apply({put("weights:model", "2", 5)}, Start + 5s);
   auto view = keeper.view();
-  EXPECT_EQ(view->wantedVersion("model"), 3);
+  EXPECT_EQ(view->desiredVersion("model"), 3);
   EXPECT_EQ(view->behindSince("model", 1), Start);
   EXPECT_EQ(view->behindSince("model", 2), Start + 4s);
   EXPECT_EQ(view->behindSince("model", 3), std::nullopt);
   EXPECT_EQ(view->behindSince("other", 1), std::nullopt);
 }
 
-TEST(CatalogKeeper, BelievesAReportOfNewWeightsAheadOfTheRecord) {
+TEST(CatalogKeeper, AcceptsAReportOfNewWeightsAheadOfTheRecord) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("server:a", "1", 1)}, Start);
   keeper.noteLoaded({"a", 0}, {"model", 2}, Start);
@@ -128,13 +128,13 @@
   EXPECT_EQ(keeper.view()->serversOf("service")[0].versionOf("model"), 3);
 }
 
-TEST(CatalogKeeper, RemembersABoundedNumberOfDeletions) {
+TEST(CatalogKeeper, KeepsABoundedNumberOfDeletions) {
   CatalogKeeper keeper({}, textHooks());
   uint64_t revision = 0;
   for (int i = 0; i < 5000; ++i) {
     std::string key = "server:" + std::to_string(i);
     keeper.apply({put(key, "1", ++revision)}, Start);
-    keeper.apply({gone(key, ++revision)}, Start);
+    keeper.apply({deletion(key, ++revision)}, Start);
   }
   size_t kept = keeper.recordsSince(0).size();
   EXPECT_LE(kept, 4100);
@@ -142,12 +142,12 @@
   EXPECT_EQ(keeper.recordsSince(revision - 1).size(), 1);
 }
 
-TEST(CatalogKeeper, PassesOnWhatIsNewerDeletionsToo) {
+TEST(CatalogKeeper, PassesOnNewerRecordsIncludingDeletions) {
   CatalogKeeper first({}, textHooks());
   CatalogKeeper second({}, textHooks());
   first.apply({put("config", "1", 1), put("server:a", "1", 2)}, Start);
   second.apply(first.recordsSince(0), Start);
-  first.apply({gone("server:a", 3), put("server:b", "1", 4)}, Start);
+  first.apply({deletion("server:a", 3), put("server:b", "1", 4)}, Start);
   second.apply(first.recordsSince(second.revision()), Start);
   EXPECT_EQ(idsOf(second), Ids{"b"});
   EXPECT_EQ(second.revision(), first.revision());
@@ -155,26 +155,26 @@
 
 /// An entry that was cut off heard from one that had just started: of a server
 /// that had gone in between it never heard.
-TEST(CatalogKeeper, TellsUpToWhereDeletionsMayBeMissing) {
+TEST(CatalogKeeper, ReportsUpToWhereDeletionsMayBeMissing) {
   CatalogKeeper keeper({}, textHooks());
-  EXPECT_EQ(keeper.forgottenTo(), 0);
+  EXPECT_EQ(keeper.deletionsMissingTo(), 0);
   keeper.applyAll({put("server:a", "1", 5)}, 20, Start);
-  EXPECT_EQ(keeper.forgottenTo(), 20) << "what went before was not read";
-  keeper.apply({gone("server:a", 25)}, Start);
-  EXPECT_EQ(keeper.forgottenTo(), 20);
+  EXPECT_EQ(keeper.deletionsMissingTo(), 20) << "what went before was not read";
+  keeper.apply({deletion("server:a", 25)}, Start);
+  EXPECT_EQ(keeper.deletionsMissingTo(), 20);
   std::vector<StoreRecord> many;
   for (uint64_t i = 0; i < 5000; ++i) {
     many.push_back(put("server:" + std::to_string(i), "1", 30));
-    many.push_back(gone("server:" + std::to_string(i), 100 + i));
+    many.push_back(deletion("server:" + std::to_string(i), 100 + i));
   }
   keeper.apply(many, Start);
-  EXPECT_GT(keeper.forgottenTo(), 25);
-  EXPECT_LT(keeper.forgottenTo(), 5099);
+  EXPECT_GT(keeper.deletionsMissingTo(), 25);
+  EXPECT_LT(keeper.deletionsMissingTo(), 5099);
 }
 
 /// An entry that others tell what the service holds may miss an outage that
 /// they saw; the records that lapsed in it are told to it as gone.
-TEST(CatalogKeeper, KeepsServersThatLapsedInAnOutageThatOthersSaw) {
+TEST(CatalogKeeper, KeepsServersThatExpiredInAnOutageThatOthersSaw) {
   CatalogSettings settings;
   CatalogKeeper reader(settings, textHooks());
   reader.apply({put("server:a", "1", 5)}, Start);
@@ -182,27 +182,27 @@
   keeper.apply(reader.recordsSince(0), Start);
   EXPECT_EQ(reader.graceLeft(Start), Duration(0));
   reader.onStoreLost();
-  EXPECT_EQ(reader.graceLeft(Start + 1s), settings.LapseGrace);
-  reader.onStoreBack(Start + 3s);
-  EXPECT_EQ(reader.graceLeft(Start + 4s), settings.LapseGrace - 1s);
-  keeper.onGraceTold(reader.graceLeft(Start + 4s), Start + 4s);
-  keeper.apply({gone("server:a", 9)}, Start + 4s);
+  EXPECT_EQ(reader.graceLeft(Start + 1s), settings.ExpiryGrace);
+  reader.onStoreRecovered(Start + 3s);
+  EXPECT_EQ(reader.graceLeft(Start + 4s), settings.ExpiryGrace - 1s);
+  keeper.onPeerGrace(reader.graceLeft(Start + 4s), Start + 4s);
+  keeper.apply({deletion("server:a", 9)}, Start + 4s);
   EXPECT_EQ(keeper.view()->AllServers.size(), 1);
-  keeper.onTimer(Start + 3s + settings.LapseGrace);
+  keeper.onTimer(Start + 3s + settings.ExpiryGrace);
   EXPECT_TRUE(keeper.view()->AllServers.empty());
-  keeper.onGraceTold(Duration(0), Start + 9s);
+  keeper.onPeerGrace(Duration(0), Start + 9s);
   EXPECT_EQ(keeper.graceLeft(Start + 9s), Duration(0));
 }
 
 /// Records may come in any order, repeated, from anywhere: what is believed in
 /// the end depends on the newest record of each key alone.
-RC_GTEST_PROP(CatalogKeeper, ConvergesWhateverTheOrder, ()) {
+RC_GTEST_PROP(CatalogKeeper, ConvergesInAnyOrder, ()) {
   std::vector<StoreRecord> history;
   auto n = *rc::gen::inRange<uint64_t>(1, 30);
   for (uint64_t revision = 1; revision <= n; ++revision) {
     std::string key = "server:" + std::string(1, *rc::gen::inRange('a', 'e'));
     bool isDeleted = *rc::gen::arbitrary<bool>();
-    history.push_back(isDeleted ? gone(key, revision)
+    history.push_back(isDeleted ? deletion(key, revision)
                                 : put(key, std::to_string(revision), revision));
   }
   std::vector<StoreRecord> shuffled = history;
--- a/tests/direct/catalog_unreadable_test.cpp
+++ b/tests/direct/catalog_unreadable_test.cpp
@@ -35,7 +35,7 @@
   EXPECT_EQ(idsOf(keeper), (Ids{"a", "b"}));
 }
 
-TEST(UnreadableRecord, HoldsBackNoOther) {
+TEST(UnreadableRecord, DoesNotAffectOtherRecords) {
   CatalogKeeper keeper({}, textHooks());
   keeper.applyAll({put("server:a", "bad", 1), put("server:b", "1", 2),
                    put("server:c", "bad", 3)},
@@ -43,7 +43,7 @@
   EXPECT_EQ(allIdsOf(keeper), Ids{"b"});
 }
 
-TEST(UnreadableRecord, IsToldOnce) {
+TEST(UnreadableRecord, IsReportedOnce) {
   std::vector<std::string> log;
   CatalogKeeper keeper({}, textHooks(&log));
   for (int i = 0; i < 3; ++i) {
@@ -59,24 +59,24 @@
 
 /// The server runs on, and other entries may still send it requests: kept
 /// context of its weights must not go before it is gone.
-TEST(UnreadableRecord, OfWhatIsRetiredIsNotTakenForNothing) {
+TEST(UnreadableRecord, OfRetiredContextIsNotTakenForEmpty) {
   CatalogHooks hooks = textHooks();
   hooks.SubjectOf = [](std::string_view) {
-    return FactSubject{FactKind::Retired, {}};
+    return RecordSubject{RecordKind::Retired, {}};
   };
   hooks.Decode = [](const StoreRecord &record,
-                    Error &reason) -> std::optional<FactValue> {
+                    Error &reason) -> std::optional<RecordValue> {
     if (record.Value != "bad")
       return RetiredContext{{{2, 1}}};
     reason = {ErrorKind::BadValue, "bad"};
     return std::nullopt;
   };
   CatalogKeeper keeper({}, hooks);
-  EXPECT_TRUE(keeper.view()->IsRetiredReadable);
+  EXPECT_TRUE(keeper.view()->IsRetiredRecordReadable);
   keeper.apply({put("retired", "bad", 1)}, Start);
-  EXPECT_FALSE(keeper.view()->IsRetiredReadable);
+  EXPECT_FALSE(keeper.view()->IsRetiredRecordReadable);
   keeper.apply({put("retired", "good", 2)}, Start);
-  EXPECT_TRUE(keeper.view()->IsRetiredReadable);
+  EXPECT_TRUE(keeper.view()->IsRetiredRecordReadable);
   EXPECT_EQ(keeper.view()->Retired, (std::vector<Retirement>{{2, 1}}));
 }
 
@@ -90,7 +90,7 @@
   EXPECT_EQ(keeper.view()->oldestVersion(), 1);
   keeper.apply({put("server:a", "1@other", 7)}, Start);
   EXPECT_EQ(keeper.view()->oldestVersion(), 1);
-  keeper.apply({gone("server:a", 8)}, Start);
+  keeper.apply({deletion("server:a", 8)}, Start);
   EXPECT_EQ(keeper.view()->oldestVersion(), 2);
   // It never was one in use.
   keeper.apply({put("server:a", "1@other", 9)}, Start);
@@ -99,7 +99,7 @@
   EXPECT_EQ(keeper.view()->oldestVersion(), 3);
 }
 
-TEST(UnreadableRecord, IsPassedOnAsItIs) {
+TEST(UnreadableRecord, IsPassedOnUnchanged) {
   CatalogKeeper first({}, textHooks());
   CatalogKeeper second({}, textHooks());
   first.apply({put("server:a", "1", 1)}, Start);
@@ -110,29 +110,29 @@
 }
 
 /// It is no entry that lapsed with the service's outage.
-TEST(UnreadableRecord, GetsNoGraceWhenItGoes) {
+TEST(UnreadableRecord, GetsNoGraceWhenItIsDeleted) {
   CatalogKeeper keeper({2s}, textHooks());
   keeper.apply({put("server:a", "1", 1), put("server:a", "bad", 2)}, Start);
   keeper.onStoreLost();
-  keeper.apply({gone("server:a", 3)}, Start);
+  keeper.apply({deletion("server:a", 3)}, Start);
   EXPECT_EQ(allIdsOf(keeper), Ids{});
 }
 
-TEST(UnreadableRecord, ChangesNoWantedVersionAndNoConfiguration) {
+TEST(UnreadableRecord, ChangesNoDesiredVersionAndNoConfiguration) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("config", "7", 1), put("weights:m", "2", 2)}, Start);
   keeper.apply({put("config", "bad", 3), put("weights:m", "bad", 4)}, Start);
   EXPECT_EQ(keeper.view()->Config->config().Version, 7);
   EXPECT_EQ(keeper.view()->ConfigRevision, 1);
-  EXPECT_EQ(keeper.view()->wantedVersion("m"), 2);
+  EXPECT_EQ(keeper.view()->desiredVersion("m"), 2);
 }
 
 /// Its key is taken, so that nobody can take it; to try would only cost calls.
-TEST(UnreadableRecord, OfTheHolderLeavesTheRightTaken) {
+TEST(UnreadableRecord, OfTheHolderLeavesTheLeaseTaken) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("holder", "bad", 1)}, Start);
   EXPECT_FALSE(keeper.view()->Holder.empty());
-  keeper.apply({gone("holder", 2)}, Start);
+  keeper.apply({deletion("holder", 2)}, Start);
   EXPECT_TRUE(keeper.view()->Holder.empty());
   keeper.apply({put("holder", "e1", 3)}, Start);
   keeper.apply({put("holder", "bad", 4)}, Start);
@@ -140,14 +140,14 @@
 }
 
 /// It lives on, and has still to be told and asked.
-TEST(UnreadableRecord, OfAnEntryLeavesItListedUntilItIsGone) {
+TEST(UnreadableRecord, OfAnEntryLeavesItAnnouncedUntilItIsDeleted) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("entry:e", "1", 1), put("entry:f", "bad", 2)}, Start);
   keeper.apply({put("entry:e", "bad", 3)}, Start);
   keeper.apply({put("entry:e", "bad", 4)}, Start);
   ASSERT_EQ(keeper.view()->Entries.size(), 1);
   EXPECT_EQ(keeper.view()->Entries[0].Name, "e");
-  keeper.apply({gone("entry:e", 5), put("entry:e", "bad", 6)}, Start);
+  keeper.apply({deletion("entry:e", 5), put("entry:e", "bad", 6)}, Start);
   EXPECT_TRUE(keeper.view()->Entries.empty());
 }
 
@@ -183,14 +183,14 @@
 
 /// What is believed in the end depends on the newest record of each key alone,
 /// in whichever order they come, and a record that can't be read names nothing.
-RC_GTEST_PROP(UnreadableRecord, ConvergesWhateverTheOrder, ()) {
+RC_GTEST_PROP(UnreadableRecord, ConvergesInAnyOrder, ()) {
   std::vector<StoreRecord> history;
   std::map<std::string, std::string> newest;
   auto n = *rc::gen::inRange<uint64_t>(1, 30);
   for (uint64_t revision = 1; revision <= n; ++revision) {
     std::string key = "server:" + std::string(1, *rc::gen::inRange('a', 'e'));
     std::string value = *rc::gen::element<std::string>("1", "2", "bad", "");
-    history.push_back(value.empty() ? gone(key, revision)
+    history.push_back(value.empty() ? deletion(key, revision)
                                     : put(key, value, revision));
     newest[key] = value;
   }
--- a/tests/direct/follow_plan_test.cpp
+++ b/tests/direct/follow_plan_test.cpp
@@ -29,7 +29,7 @@
   return out;
 }
 
-TEST(Readers, AreTwoAtLeastAndOneForEachSoMany) {
+TEST(Readers, AreAtLeastTwoAndOnePerGivenNumberOfEntries) {
   FollowSettings settings;
   EXPECT_EQ(readersOf(fleet(1, 1), "d0", settings).size(), 1);
   EXPECT_EQ(readersOf(fleet(3, 1), "d0", settings).size(), 2);
@@ -41,7 +41,7 @@
   EXPECT_EQ(readersOf(fleet(30, 3), "d1", settings).size(), 10);
 }
 
-RC_GTEST_PROP(Readers, OneThatLeavesChangesFewOthers, ()) {
+RC_GTEST_PROP(Readers, OneThatLeavesDisplacesNoOther, ()) {
   FollowSettings settings;
   Catalog all = fleet(*rc::gen::inRange(3, 60), 1);
   std::vector<Endpoint> before = readersOf(all, "d0", settings);
@@ -54,15 +54,15 @@
       RC_ASSERT(std::find(after.begin(), after.end(), it) != after.end());
 }
 
-TEST(RecordsFound, AreWholeForWhoKnewAllSinceTheSendersFirstReading) {
-  RecordsFound found;
+TEST(RecordsResponse, IsCompleteForAReceiverThatKnewAllAtTheSendersFirstRead) {
+  RecordsResponse found;
   found.CompleteTo = 50;
-  found.ForgottenTo = 45;
-  EXPECT_FALSE(isWholeFor(found, 44));
-  EXPECT_TRUE(isWholeFor(found, 45));
-  found.ForgottenTo = 0;
-  EXPECT_FALSE(isWholeFor(found, 0)) << "it has read nothing itself";
-  EXPECT_TRUE(isWholeFor(found, 1));
+  found.DeletionsMissingTo = 45;
+  EXPECT_FALSE(isCompleteFor(found, 44));
+  EXPECT_TRUE(isCompleteFor(found, 45));
+  found.DeletionsMissingTo = 0;
+  EXPECT_FALSE(isCompleteFor(found, 0)) << "it has read nothing itself";
+  EXPECT_TRUE(isCompleteFor(found, 1));
 }
 
 /// One follower among twenty entries of its failure domain, asked every 100 ms.
@@ -77,14 +77,14 @@
   }
   /// Whether it watches the service at the end; its readers answer from
   /// knowledge of that age.
-  bool pass(FollowPlan &plan, Duration time, std::optional<Duration> age) {
+  bool advance(FollowPlan &plan, Duration time, std::optional<Duration> age) {
     bool out = true;
     for (TimePoint end = Now + time; Now < end; Now += 100ms) {
       FollowStep step = plan.next(Fleet, Now);
       out = step.WatchesService;
-      if (!step.Ask)
+      if (!step.PollTarget)
         continue;
-      Asked.push_back(*step.Ask);
+      Asked.push_back(*step.PollTarget);
       if (age)
         plan.onAnswer(Now - *age, Now);
     }
@@ -99,10 +99,10 @@
   std::vector<Endpoint> Asked;
 };
 
-TEST_F(FollowPlanTest, LeavesTheServiceToReadersThatAnswerInTime) {
+TEST_F(FollowPlanTest, StopsWatchingWhenReadersAnswerInTime) {
   FollowPlan plan(Settings, Own);
-  EXPECT_TRUE(pass(plan, Settings.SettleTime, 1s)) << "too soon";
-  EXPECT_FALSE(pass(plan, 1s, 1s));
+  EXPECT_TRUE(advance(plan, Settings.SettleTime, 1s)) << "too soon";
+  EXPECT_FALSE(advance(plan, 1s, 1s));
   for (const Endpoint &it : Readers)
     EXPECT_NE(std::find(Asked.begin(), Asked.end(), it), Asked.end());
   EXPECT_EQ(Asked.size(), 7) << "in two seconds, 300 ms apart";
@@ -110,21 +110,21 @@
 
 TEST_F(FollowPlanTest, WatchesAgainWhenNoReaderAnswers) {
   FollowPlan plan(Settings, Own);
-  ASSERT_FALSE(pass(plan, 3s, 1s));
-  EXPECT_FALSE(pass(plan, 500ms, std::nullopt)) << "one answer is late";
-  EXPECT_TRUE(pass(plan, Settings.SilentAfter, std::nullopt));
-  EXPECT_FALSE(pass(plan, 2s, 1s));
+  ASSERT_FALSE(advance(plan, 3s, 1s));
+  EXPECT_FALSE(advance(plan, 500ms, std::nullopt)) << "one answer is late";
+  EXPECT_TRUE(advance(plan, Settings.ReaderTimeout, std::nullopt));
+  EXPECT_FALSE(advance(plan, 2s, 1s));
 }
 
-TEST_F(FollowPlanTest, WatchesAgainWhenReadersLieBehind) {
+TEST_F(FollowPlanTest, WatchesAgainWhenReadersAreStale) {
   FollowPlan plan(Settings, Own);
-  ASSERT_FALSE(pass(plan, 3s, 1s));
-  EXPECT_TRUE(pass(plan, 2s, Settings.OldAfter + 100ms));
+  ASSERT_FALSE(advance(plan, 3s, 1s));
+  EXPECT_TRUE(advance(plan, 2s, Settings.StaleAfter + 100ms));
 }
 
-TEST_F(FollowPlanTest, AReaderTheHolderAndWhoIsNotAnnouncedWatch) {
+TEST_F(FollowPlanTest, ReadersTheHolderAndUnannouncedEntriesWatch) {
   FollowPlan plan(Settings, Own);
-  ASSERT_FALSE(pass(plan, 3s, 1s));
+  ASSERT_FALSE(advance(plan, 3s, 1s));
   Fleet.Holder = Own.Name;
   EXPECT_EQ(plan.next(Fleet, Now), FollowStep{});
   Fleet.Holder.clear();
@@ -137,7 +137,7 @@
   EXPECT_EQ(FollowPlan(Settings, *reader).next(Fleet, Now), FollowStep{});
 }
 
-TEST_F(FollowPlanTest, WithoutASecondEntryEachReadsForItself) {
+TEST_F(FollowPlanTest, AnEntryAloneInItsDomainWatches) {
   Fleet = fleet(2, 2);
   FollowPlan plan(Settings, Fleet.Entries[0]);
   EXPECT_EQ(plan.next(Fleet, Now), FollowStep{});
--- a/tests/direct/placement_test.cpp
+++ b/tests/direct/placement_test.cpp
@@ -25,7 +25,7 @@
 TEST_F(PlacementTest, AlwaysKnowsServersWithTheWantedWeights) {
   for (int i = 6; i < 40; ++i)
     addServer("engines", "e" + std::to_string(i), i % 2 ? "d1" : "d2");
-  Catalog.Wanted["model"] = {{2, Start}};
+  Catalog.DesiredVersions["model"] = {{2, Start}};
   server("e33").Weights = {{"model", 2}};
   for (int i = 0; i < 20; ++i)
     EXPECT_EQ(choose(prompt(std::to_string(i)), {}, Start + 5s).ServerId,
@@ -217,7 +217,7 @@
 
 TEST_F(PlacementTest, RefusesAPromptThatCouldOnlyBeginTooLate) {
   ForwardRequest request = prompt("s");
-  request.Via.FirstEventPatience = 3200ms;
+  request.Via.MaxFirstEventWait = 3200ms;
   for (const BackendServer &it : Catalog.Servers["engines"])
     Loads.onSent(it.Id, 250'000, Start);
   Error reason;
@@ -241,7 +241,7 @@
 }
 
 TEST_F(PlacementTest, PrefersNewWeightsAndNeverUsesTooOldOnes) {
-  Catalog.Wanted["model"] = {{2, Start}};
+  Catalog.DesiredVersions["model"] = {{2, Start}};
   ForwardRequest request = prompt("s");
   std::string home = choose(request).ServerId;
   for (auto &it : Catalog.Servers["engines"])
@@ -258,7 +258,7 @@
 /// A request counts by when it begins to run, which a long queue puts off past
 /// the limit though it was sent in time.
 TEST_F(PlacementTest, SendsNothingToOldWeightsThatWouldBeginTooLate) {
-  Catalog.Wanted["model"] = {{2, Start}};
+  Catalog.DesiredVersions["model"] = {{2, Start}};
   for (auto &it : Catalog.Servers["engines"]) {
     it.Weights = {{"model", it.Id == "e5" ? 2U : 1U}};
     Loads.onSent(it.Id, it.Id == "e5" ? 300'000 : 120'000, Start + 9400ms);
@@ -268,7 +268,7 @@
 }
 
 TEST_F(PlacementTest, CountsTheAgeOfWeightsFromTheFirstNewerWish) {
-  Catalog.Wanted["model"] = {{2, Start}, {3, Start + 11s}};
+  Catalog.DesiredVersions["model"] = {{2, Start}, {3, Start + 11s}};
   for (auto &it : Catalog.Servers["engines"])
     it.Weights = {{"model", it.Id == "e5" ? 2U : 1U}};
   Loads.onSent("e5", 100'000, Start + 12s);
--- a/tests/direct/restart_model_test.cpp
+++ b/tests/direct/restart_model_test.cpp
@@ -32,7 +32,7 @@
   void restart(uint64_t startedMs) {
     *this = {startedMs, Version, 0, std::nullopt};
   }
-  OrderAnswer take(const GiveOrder &order, TimePoint now) {
+  OrderAnswer take(const SendWeightOrder &order, TimePoint now) {
     if (Loading || order.OrdersTaken != OrdersTaken)
       return OrderAnswer::Conflict;
     if (order.Wanted.Version == Version)
@@ -49,7 +49,7 @@
 /// One engine, its record, and the plan, on a clock of its own.
 class RestartModel {
 public:
-  RestartModel() { Known.Wanted["model"] = {{Wanted, Now}}; }
+  RestartModel() { Known.DesiredVersions["model"] = {{Wanted, Now}}; }
 
   /// A tenth of a second; while there are faults, each step may have one.
   void step(bool hasFaults) {
@@ -66,7 +66,7 @@
 
   bool isDone() const {
     return Engine.Version == Wanted && !Engine.Loading && Plan.isIdle() &&
-           Late.empty();
+           LateOrders.empty();
   }
 
 private:
@@ -81,24 +81,24 @@
 
   void perform(const std::vector<WeightAction> &actions, bool hasFaults) {
     for (const WeightAction &action : actions) {
-      if (std::holds_alternative<AskReport>(action)) {
+      if (std::holds_alternative<RequestReport>(action)) {
         EngineReport report = Engine.report();
         if (hasFaults && *rc::gen::inRange(0, 3) == 0)
           LateReports.push_back(report);
         else
           perform(Plan.onReport("a", report, Now), hasFaults);
-      } else if (const auto *order = std::get_if<GiveOrder>(&action)) {
-        give(*order, hasFaults);
+      } else if (const auto *order = std::get_if<SendWeightOrder>(&action)) {
+        sendOrder(*order, hasFaults);
       }
     }
   }
 
-  void give(const GiveOrder &order, bool hasFaults) {
-    int fate = hasFaults ? *rc::gen::inRange(0, 4) : 0;
+  void sendOrder(const SendWeightOrder &order, bool hasFaults) {
+    int outcome = hasFaults ? *rc::gen::inRange(0, 4) : 0;
     ServerStart to{order.ServerId, order.StartedMs};
-    if (fate == 1) // Carried out late, without an answer.
-      Late.push_back({order, Now + *rc::gen::inRange(2, 12) * 1s});
-    if (fate == 0)
+    if (outcome == 1) // Carried out late, without an answer.
+      LateOrders.push_back({order, Now + *rc::gen::inRange(2, 12) * 1s});
+    if (outcome == 0)
       Plan.onAnswer(to, Engine.take(order, Now), Now);
     else
       Plan.onAnswer(to, OrderAnswer::Unknown, Now);
@@ -107,7 +107,7 @@
   void deliverLate(bool hasFaults) {
     for (const EngineReport &report : std::exchange(LateReports, {}))
       perform(Plan.onReport("a", report, Now), hasFaults);
-    std::erase_if(Late, [this](const auto &it) {
+    std::erase_if(LateOrders, [this](const auto &it) {
       if (Now < it.second)
         return false;
       Engine.take(it.first, Now);
@@ -120,7 +120,7 @@
   Catalog Known;
   WeightPlan Plan{{}};
   std::vector<EngineReport> LateReports;
-  std::vector<std::pair<GiveOrder, TimePoint>> Late;
+  std::vector<std::pair<SendWeightOrder, TimePoint>> LateOrders;
 };
 
 /// However often it starts again: once that ends, it gets the wanted weights.
--- a/tests/direct/restart_test.cpp
+++ b/tests/direct/restart_test.cpp
@@ -18,7 +18,7 @@
 const ServerStart First{"a", 1'700'000'000'000};
 const ServerStart Second{"a", 1'700'000'009'000};
 
-TEST(RestartedServer, IsIdleAndNotAvoidedForWhatWasBefore) {
+TEST(RestartedServer, IsIdleAndNotAvoidedBecauseOfItsEarlierStart) {
   ServerLoads loads{{}};
   loads.onSent(First, 700, Start);
   loads.onTurnedAway(First, Start);
@@ -42,14 +42,14 @@
 }
 
 /// Entries learn of a restart at different times.
-TEST(RestartedServer, CountsWhatEntriesSentToItsOwnStartOnly) {
+TEST(RestartedServer, CountsOnlyRequestsThatEntriesSentToItsOwnStart) {
   ServerLoads loads{{}};
   loads.onPeer("late", {{ServerRef(First).key(), 1, 500, 500}}, 1s, Start);
   loads.onPeer("soon", {{ServerRef(Second).key(), 1, 200, 200}}, 1s, Start);
   EXPECT_EQ(loads.view(Second, Start).Tokens, 200);
 }
 
-TEST_F(PlacementTest, UsesAServerAtOnceThatStartedAnew) {
+TEST_F(PlacementTest, UsesARestartedServerAtOnce) {
   for (int i = 1; i < 6; ++i) // Only e0 is left.
     Loads.avoidUntil("e" + std::to_string(i), Start + 60s);
   std::string before = choose(prompt("s")).ServerId;
@@ -91,7 +91,7 @@
 
 /// An order that was given to the earlier start may be carried out late, as the
 /// later one counts anew: it then has older weights than it had.
-TEST(RestartedServer, HasTheWeightsThatALateOrderLeftIt) {
+TEST(RestartedServer, HasTheWeightsThatALateOrderLoaded) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("server:a", "2#200", 1)}, Start);
   keeper.noteLoaded({"a", 200}, {"model", 3}, Start);
@@ -115,7 +115,7 @@
 /// The order of the records decides, not the time of the start: the clock of a
 /// server may be set back, and would then keep it out of use for good. A record
 /// that the earlier start wrote late holds until the next one, a heartbeat.
-TEST(RestartedServer, IsTheOneOfTheNewestRecordWhateverItsClockSays) {
+TEST(RestartedServer, IsTheOneInTheNewestRecordWhateverItsStartTime) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("server:a", "2#200", 1)}, Start);
   keeper.apply({put("server:a", "1#100", 2)}, Start);
@@ -125,7 +125,7 @@
   EXPECT_EQ(keeper.view()->AllServers.at(0).StartedMs, 200);
 }
 
-TEST(RestartedServer, IsToldOfAsSuch) {
+TEST(RestartedServer, IsReportedAsRestarted) {
   std::vector<std::string> log;
   CatalogKeeper keeper({}, textHooks(&log));
   keeper.apply({put("server:a", "1#100", 1)}, Start);
@@ -135,7 +135,7 @@
   EXPECT_EQ(log.back(), "a restarted");
 }
 
-TEST(RestartedServer, HasNoConnectionsOfWhatWasAtItsAddress) {
+TEST(RestartedServer, HasNoConnectionsOfAnEarlierProcessAtItsAddress) {
   auto at = [](std::string id, uint64_t startedMs, std::string address) {
     BackendServer out;
     out.Id = std::move(id);
@@ -162,7 +162,7 @@
     server.StartedMs = First.StartedMs;
     server.Weights = {{"model", 1}};
     Known.AllServers.push_back(server);
-    Known.Wanted["model"] = {{2, Start}};
+    Known.DesiredVersions["model"] = {{2, Start}};
   }
 
   void restart(uint64_t version = 1) {
@@ -175,14 +175,14 @@
   }
   static bool asks(const std::vector<WeightAction> &actions) {
     return actions.size() == 1 &&
-           std::holds_alternative<AskReport>(actions.front());
+           std::holds_alternative<RequestReport>(actions.front());
   }
 
   Catalog Known;
   WeightPlan Plan{{.PrepareTime = Duration::zero()}};
 };
 
-TEST_F(RestartedEngine, IsAskedAnewAtOnce) {
+TEST_F(RestartedEngine, IsAskedAgainAtOnce) {
   Plan.next(Known, Start);
   Plan.onReport("a", report(First, 1, 7), Start);
   Plan.onAnswer(First, OrderAnswer::Accepted, Start);
@@ -191,8 +191,8 @@
   EXPECT_TRUE(asks(Plan.next(Known, Start + 200ms)));
   auto actions = Plan.onReport("a", report(Second, 1, 0), Start + 200ms);
   ASSERT_EQ(actions.size(), 1);
-  EXPECT_EQ(std::get<GiveOrder>(actions[0]).OrdersTaken, 0);
-  EXPECT_EQ(std::get<GiveOrder>(actions[0]).StartedMs, Second.StartedMs);
+  EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).OrdersTaken, 0);
+  EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).StartedMs, Second.StartedMs);
 }
 
 TEST_F(RestartedEngine, IsNotOrderedOnAReportOfAnotherStart) {
@@ -206,7 +206,7 @@
 }
 
 /// The report is ahead of the record.
-TEST_F(RestartedEngine, IsAskedAgainUntilItsRecordSaysTheSame) {
+TEST_F(RestartedEngine, IsAskedAgainUntilItsRecordShowsTheSameStart) {
   Plan.next(Known, Start);
   EXPECT_TRUE(Plan.onReport("a", report(Second, 1, 0), Start).empty());
   EXPECT_TRUE(asks(Plan.next(Known, Start + 300ms)));
@@ -216,7 +216,7 @@
   EXPECT_EQ(Plan.onReport("a", report(Second, 1, 0), Start + 600ms).size(), 1);
 }
 
-TEST_F(RestartedEngine, IsNotTakenForLoadingOnAnAnswerOfItsEarlierStart) {
+TEST_F(RestartedEngine, IsNotTakenForLoadingAfterAnAnswerOfItsEarlierStart) {
   Plan.next(Known, Start);
   Plan.onReport("a", report(First, 1, 7), Start);
   restart();
@@ -227,7 +227,7 @@
 }
 
 /// Whichever start refused: another holder has given orders.
-TEST_F(RestartedEngine, StopsItsGiverWhenItIsFenced) {
+TEST_F(RestartedEngine, StopsTheHolderWhenItRejectsTheToken) {
   Plan.next(Known, Start);
   Plan.onReport("a", report(First, 1, 7), Start);
   restart();
@@ -243,7 +243,7 @@
   ASSERT_EQ(actions.size(), 1);
   EXPECT_EQ(std::get<NoteLoaded>(actions[0]),
             (NoteLoaded{"a", {"model", 2}, Second.StartedMs}));
-  EXPECT_EQ(Plan.busy(), std::vector<ServerStart>{});
+  EXPECT_EQ(Plan.loadingServers(), std::vector<ServerStart>{});
 }
 
 } // namespace
--- a/tests/direct/restore_test.cpp
+++ b/tests/direct/restore_test.cpp
@@ -6,7 +6,7 @@
 /// taken for news.
 #include "direct/catalog_fixture.h"
 
-#include "direct/order_right.h"
+#include "direct/order_lease.h"
 #include "direct/revision.h"
 
 #include <gtest/gtest.h>
@@ -19,15 +19,19 @@
 namespace {
 
 /// In the first era and in the one after a restore.
-uint64_t first(uint64_t revision) { return lastingRevision(1, revision); }
-uint64_t later(uint64_t revision) { return lastingRevision(2, revision); }
+uint64_t inFirstEra(uint64_t revision) {
+  return monotonicRevision(1, revision);
+}
+uint64_t inSecondEra(uint64_t revision) {
+  return monotonicRevision(2, revision);
+}
 
-TEST(LastingRevision, RisesFromEraToEra) {
-  EXPECT_LT(first(1'000'000), later(1));
-  EXPECT_EQ(lastingRevision(3, 0), 0);
-  EXPECT_EQ(eraOf(later(67)), 2);
-  EXPECT_EQ(countOf(later(67)), 67);
-  EXPECT_EQ(lastingRevision(0, 67), 67);
+TEST(MonotonicRevision, IncreasesFromEraToEra) {
+  EXPECT_LT(inFirstEra(1'000'000), inSecondEra(1));
+  EXPECT_EQ(monotonicRevision(3, 0), 0);
+  EXPECT_EQ(eraOf(inSecondEra(67)), 2);
+  EXPECT_EQ(countInEra(inSecondEra(67)), 67);
+  EXPECT_EQ(monotonicRevision(0, 67), 67);
 }
 
 class RestoreCatalogTest : public testing::Test {
@@ -40,85 +44,91 @@
   CatalogKeeper Keeper{{}, textHooks()};
 };
 
-TEST_F(RestoreCatalogTest, TakesWhatIsWrittenAfterTheRestore) {
-  Keeper.applyAll({put("config", "84", first(67))}, first(67), CatalogStart);
-  Keeper.applyAll({put("config", "84", later(60))}, later(61), CatalogStart);
-  Keeper.apply({put("config", "90", later(65))}, CatalogStart);
+TEST_F(RestoreCatalogTest, AcceptsRecordsWrittenAfterTheRestore) {
+  Keeper.applyAll({put("config", "84", inFirstEra(67))}, inFirstEra(67),
+                  CatalogStart);
+  Keeper.applyAll({put("config", "84", inSecondEra(60))}, inSecondEra(61),
+                  CatalogStart);
+  Keeper.apply({put("config", "90", inSecondEra(65))}, CatalogStart);
   EXPECT_EQ(configVersion(), 90);
 }
 
 /// Configurations and named weights rise by their own versions.
 TEST_F(RestoreCatalogTest, NeverGoesBackToAnOlderVersion) {
-  Keeper.applyAll(
-      {put("config", "84", first(67)), put("weights:m", "3", first(66))},
-      first(67), CatalogStart);
-  Keeper.applyAll(
-      {put("config", "81", later(58)), put("weights:m", "2", later(50))},
-      later(58), CatalogStart);
+  Keeper.applyAll({put("config", "84", inFirstEra(67)),
+                   put("weights:m", "3", inFirstEra(66))},
+                  inFirstEra(67), CatalogStart);
+  Keeper.applyAll({put("config", "81", inSecondEra(58)),
+                   put("weights:m", "2", inSecondEra(50))},
+                  inSecondEra(58), CatalogStart);
   EXPECT_EQ(configVersion(), 84);
-  EXPECT_EQ(Keeper.view()->wantedVersion("m"), 3);
+  EXPECT_EQ(Keeper.view()->desiredVersion("m"), 3);
   // Nor when the service has neither, or says the same once more.
-  Keeper.applyAll({put("config", "81", later(58))}, later(59), afterGrace());
-  Keeper.applyAll({}, lastingRevision(3, 9), afterGrace() + 1s);
+  Keeper.applyAll({put("config", "81", inSecondEra(58))}, inSecondEra(59),
+                  afterGrace());
+  Keeper.applyAll({}, monotonicRevision(3, 9), afterGrace() + 1s);
   EXPECT_EQ(configVersion(), 84);
-  EXPECT_EQ(Keeper.view()->wantedVersion("m"), 3);
+  EXPECT_EQ(Keeper.view()->desiredVersion("m"), 3);
 }
 
 /// An entry that has read the copy alone hears from another one what was in
 /// force before.
-TEST_F(RestoreCatalogTest, TakesTheNewerVersionFromAnEntryOfTheEraBefore) {
-  Keeper.applyAll({put("config", "81", later(58))}, later(58), CatalogStart);
-  Keeper.apply({put("config", "84", first(67))}, CatalogStart);
+TEST_F(RestoreCatalogTest, AcceptsTheNewerVersionFromAnEntryOfThePreviousEra) {
+  Keeper.applyAll({put("config", "81", inSecondEra(58))}, inSecondEra(58),
+                  CatalogStart);
+  Keeper.apply({put("config", "84", inFirstEra(67))}, CatalogStart);
   EXPECT_EQ(configVersion(), 84);
-  Keeper.apply({put("config", "83", first(66))}, CatalogStart);
+  Keeper.apply({put("config", "83", inFirstEra(66))}, CatalogStart);
   EXPECT_EQ(configVersion(), 84);
 }
 
-TEST_F(RestoreCatalogTest, KeepsServersOutThatLeftSinceTheCopy) {
-  Keeper.applyAll({put("server:leaves", "1", first(10)),
-                   put("server:left", "1", first(11)),
-                   put("server:stays", "1", first(12))},
-                  first(12), CatalogStart);
-  Keeper.apply(
-      {put("server:leaves", "1!", first(13)), gone("server:left", first(14))},
-      CatalogStart);
-  std::vector<StoreRecord> copy{put("server:leaves", "1", later(10)),
-                                put("server:left", "1", later(11)),
-                                put("server:stays", "1", later(12))};
-  Keeper.applyAll(copy, later(12), CatalogStart);
+TEST_F(RestoreCatalogTest, KeepsServersOutThatLeftAfterTheCopyWasMade) {
+  Keeper.applyAll({put("server:leaves", "1", inFirstEra(10)),
+                   put("server:left", "1", inFirstEra(11)),
+                   put("server:stays", "1", inFirstEra(12))},
+                  inFirstEra(12), CatalogStart);
+  Keeper.apply({put("server:leaves", "1!", inFirstEra(13)),
+                deletion("server:left", inFirstEra(14))},
+               CatalogStart);
+  std::vector<StoreRecord> copy{put("server:leaves", "1", inSecondEra(10)),
+                                put("server:left", "1", inSecondEra(11)),
+                                put("server:stays", "1", inSecondEra(12))};
+  Keeper.applyAll(copy, inSecondEra(12), CatalogStart);
   EXPECT_EQ(idsOf(Keeper), Ids{"stays"});
   // What is written since is news, under whatever revision.
-  Keeper.apply({put("server:left", "1", later(13))}, CatalogStart);
+  Keeper.apply({put("server:left", "1", inSecondEra(13))}, CatalogStart);
   EXPECT_EQ(idsOf(Keeper), (Ids{"left", "stays"}));
 }
 
 /// Servers that registered since the copy say so anew.
-TEST_F(RestoreCatalogTest, KeepsServersThatTheCopyDoesNotHaveForAWhile) {
-  Keeper.applyAll({put("server:new", "1", first(10))}, first(10), CatalogStart);
-  Keeper.applyAll({}, later(5), CatalogStart);
+TEST_F(RestoreCatalogTest, KeepsServersThatTheCopyLacksForTheGracePeriod) {
+  Keeper.applyAll({put("server:new", "1", inFirstEra(10))}, inFirstEra(10),
+                  CatalogStart);
+  Keeper.applyAll({}, inSecondEra(5), CatalogStart);
   EXPECT_EQ(idsOf(Keeper), Ids{"new"});
   Keeper.onTimer(CatalogStart + 2s);
   EXPECT_EQ(idsOf(Keeper), Ids{});
 }
 
 /// What nobody writes anew is over: the service is believed in the end.
-TEST_F(RestoreCatalogTest, BelievesTheServiceAfterTheGrace) {
-  Keeper.applyAll({put("server:left", "1", first(10))}, first(10),
+TEST_F(RestoreCatalogTest, FollowsTheServiceAfterTheGracePeriod) {
+  Keeper.applyAll({put("server:left", "1", inFirstEra(10))}, inFirstEra(10),
                   CatalogStart);
-  Keeper.apply({gone("server:left", first(14))}, CatalogStart);
-  std::vector<StoreRecord> copy{put("server:left", "1", later(10))};
-  Keeper.applyAll(copy, later(12), CatalogStart);
-  EXPECT_FALSE(Keeper.wantsSettling(CatalogStart + 1s));
+  Keeper.apply({deletion("server:left", inFirstEra(14))}, CatalogStart);
+  std::vector<StoreRecord> copy{put("server:left", "1", inSecondEra(10))};
+  Keeper.applyAll(copy, inSecondEra(12), CatalogStart);
+  EXPECT_FALSE(Keeper.needsReread(CatalogStart + 1s));
   EXPECT_EQ(idsOf(Keeper), Ids{});
-  EXPECT_TRUE(Keeper.wantsSettling(afterGrace()));
-  Keeper.applyAll(copy, later(12), afterGrace());
+  EXPECT_TRUE(Keeper.needsReread(afterGrace()));
+  Keeper.applyAll(copy, inSecondEra(12), afterGrace());
   EXPECT_EQ(idsOf(Keeper), Ids{"left"});
-  EXPECT_FALSE(Keeper.wantsSettling(afterGrace()));
+  EXPECT_FALSE(Keeper.needsReread(afterGrace()));
 }
 
 /// Nothing is news of a restore for a process that starts after it.
-TEST_F(RestoreCatalogTest, TakesTheFirstReadAsItIs) {
-  Keeper.applyAll({put("server:a", "1", later(10))}, later(10), CatalogStart);
+TEST_F(RestoreCatalogTest, AcceptsTheFirstReadUnchanged) {
+  Keeper.applyAll({put("server:a", "1", inSecondEra(10))}, inSecondEra(10),
+                  CatalogStart);
   EXPECT_FALSE(Keeper.view()->RestoredAt);
   EXPECT_EQ(Keeper.view()->Era, 2);
   EXPECT_EQ(idsOf(Keeper), Ids{"a"});
@@ -126,24 +136,27 @@
 
 /// Two holders would give orders: one whose record and lease the copy lacks,
 /// and one who finds no record.
-TEST_F(RestoreCatalogTest, ClaimsTheRightOnceAnEarlierHolderHasStopped) {
-  OrderRightSettings right;
-  Keeper.applyAll({put("holder", "e1", first(10))}, first(10), CatalogStart);
-  EXPECT_TRUE(isClaimSafe(*Keeper.view(), right, CatalogStart));
-  Keeper.applyAll({}, later(5), CatalogStart);
-  EXPECT_EQ(claimOver(*Keeper.view(), {"e2"}), 0);
-  EXPECT_FALSE(isClaimSafe(*Keeper.view(), right, CatalogStart + 2s));
-  EXPECT_TRUE(isClaimSafe(*Keeper.view(), right, CatalogStart + 3s));
-  right.ServersCheckFence = false;
-  EXPECT_FALSE(isClaimSafe(*Keeper.view(), right, CatalogStart + 4s));
+TEST_F(RestoreCatalogTest, ClaimsTheOrderLeaseOnceAnEarlierHolderHasStopped) {
+  OrderLeaseSettings settings;
+  Keeper.applyAll({put("holder", "e1", inFirstEra(10))}, inFirstEra(10),
+                  CatalogStart);
+  EXPECT_TRUE(isClaimSafe(*Keeper.view(), settings, CatalogStart));
+  Keeper.applyAll({}, inSecondEra(5), CatalogStart);
+  EXPECT_EQ(claimableRevision(*Keeper.view(), {"e2"}), 0);
+  EXPECT_FALSE(isClaimSafe(*Keeper.view(), settings, CatalogStart + 2s));
+  EXPECT_TRUE(isClaimSafe(*Keeper.view(), settings, CatalogStart + 3s));
+  settings.ServersCheckFence = false;
+  EXPECT_FALSE(isClaimSafe(*Keeper.view(), settings, CatalogStart + 4s));
 }
 
 /// The same record in a later era is not the holder's own any more.
-TEST_F(RestoreCatalogTest, AHolderOfTheEraBeforeIsReplaced) {
-  Keeper.applyAll({put("holder", "e1", first(10))}, first(10), CatalogStart);
-  EXPECT_FALSE(isReplaced(*Keeper.view(), first(10)));
-  Keeper.applyAll({put("holder", "e1", later(10))}, later(12), CatalogStart);
-  EXPECT_TRUE(isReplaced(*Keeper.view(), first(10)));
+TEST_F(RestoreCatalogTest, AHolderOfThePreviousEraIsReplaced) {
+  Keeper.applyAll({put("holder", "e1", inFirstEra(10))}, inFirstEra(10),
+                  CatalogStart);
+  EXPECT_FALSE(isHolderReplaced(*Keeper.view(), inFirstEra(10)));
+  Keeper.applyAll({put("holder", "e1", inSecondEra(10))}, inSecondEra(12),
+                  CatalogStart);
+  EXPECT_TRUE(isHolderReplaced(*Keeper.view(), inFirstEra(10)));
 }
 
 /// A service that takes configurations, comes back from older copies in series,
@@ -160,7 +173,7 @@
   /// Why the entries' beliefs are wrong; empty when all is well.
   std::string step() {
     Now = Now + 100ms;
-    switch (upTo(9)) {
+    switch (randomUpTo(9)) {
     case 0:
     case 1:
       write();
@@ -169,13 +182,13 @@
       restore();
       break;
     case 3:
-      *pick() = Entry();
+      *randomEntry() = Entry();
       break;
     case 4:
-      hearFrom(*pick(), *pick());
+      receiveRecords(*randomEntry(), *randomEntry());
       break;
     default:
-      read(*pick());
+      read(*randomEntry());
     }
     for (const auto &it : Entries)
       if (std::string wrong = check(*it); !wrong.empty())
@@ -184,14 +197,14 @@
   }
 
   /// Once the operator has written anew and all have read.
-  bool areAllRight() {
+  bool areAllUpToDate() {
     rewrite();
     for (auto &it : Entries) {
       read(*it);
       read(*it);
     }
     return std::all_of(Entries.begin(), Entries.end(), [&](const auto &it) {
-      return it->Keeper->view()->Config->config().Version == Latest;
+      return it->Keeper->view()->Config->config().Version == LatestVersion;
     });
   }
 
@@ -204,47 +217,47 @@
   };
   struct State {
     uint64_t Version = 0;
-    uint64_t At = 0; ///< Revision of that.
+    uint64_t ConfigRevision = 0; ///< Revision of that.
     uint64_t Revision = 0;
   };
 
-  uint64_t upTo(uint64_t most) { return Random() % (most + 1); }
-  std::unique_ptr<Entry> &any() { return Entries[upTo(2)]; }
-  Entry *pick() { return any().get(); }
+  uint64_t randomUpTo(uint64_t most) { return Random() % (most + 1); }
+  std::unique_ptr<Entry> &randomEntryPtr() { return Entries[randomUpTo(2)]; }
+  Entry *randomEntry() { return randomEntryPtr().get(); }
 
   void put(uint64_t version) {
     Service.Version = version;
     // Other keys change too.
-    Service.Revision += 1 + upTo(3);
-    Service.At = Service.Revision;
-    Copies.push_back(Service);
+    Service.Revision += 1 + randomUpTo(3);
+    Service.ConfigRevision = Service.Revision;
+    Snapshots.push_back(Service);
   }
-  void write() { put(Latest += 1 + upTo(3)); }
+  void write() { put(LatestVersion += 1 + randomUpTo(3)); }
   void rewrite() {
-    if (Service.Version < Latest)
-      put(Latest);
+    if (Service.Version < LatestVersion)
+      put(LatestVersion);
   }
   void restore() {
     rewrite();
-    size_t back = std::min<size_t>(Copies.size() - 1, upTo(5));
-    Copies.resize(Copies.size() - back);
-    Service = Copies.back();
+    size_t back = std::min<size_t>(Snapshots.size() - 1, randomUpTo(5));
+    Snapshots.resize(Snapshots.size() - back);
+    Service = Snapshots.back();
     ++Era;
   }
   void read(Entry &entry) {
-    if (upTo(3) == 0)
+    if (randomUpTo(3) == 0)
       rewrite();
-    uint64_t upTo = lastingRevision(Era, Service.Revision);
+    uint64_t upTo = monotonicRevision(Era, Service.Revision);
     StoreRecord record =
         daisytack::direct::put("config", std::to_string(Service.Version),
-                               lastingRevision(Era, Service.At));
+                               monotonicRevision(Era, Service.ConfigRevision));
     if (eraOf(entry.CompleteTo) != Era)
       entry.Keeper->applyAll({record}, upTo, Now);
     else if (record.Revision > entry.CompleteTo)
       entry.Keeper->apply({record}, Now);
     entry.CompleteTo = upTo;
   }
-  void hearFrom(Entry &to, const Entry &from) const {
+  void receiveRecords(Entry &to, const Entry &from) const {
     to.Keeper->onRestored(from.Keeper->restoredTo(), Now);
     to.Keeper->apply(from.Keeper->recordsSince(to.CompleteTo), Now);
   }
@@ -255,24 +268,25 @@
       return "went back from " + std::to_string(entry.Highest) + " to " +
              std::to_string(version);
     entry.Highest = version;
-    bool isCurrent = entry.CompleteTo == lastingRevision(Era, Service.Revision);
+    bool isCurrent =
+        entry.CompleteTo == monotonicRevision(Era, Service.Revision);
     return isCurrent && version < Service.Version ? "missed a version" : "";
   }
 
   std::mt19937_64 Random;
   TimePoint Now = CatalogStart;
   State Service;
-  std::vector<State> Copies;
+  std::vector<State> Snapshots;
   uint64_t Era = 1;
-  uint64_t Latest = 0; ///< The operator's.
+  uint64_t LatestVersion = 0; ///< The operator's.
   std::vector<std::unique_ptr<Entry>> Entries;
 };
 
-RC_GTEST_PROP(RestoreModel, ConfigurationsNeverGoBackAndAreAllTaken, ()) {
+RC_GTEST_PROP(RestoreModel, ConfigurationsNeverGoBackAndAreAllAccepted, ()) {
   RestoreWorld world(*rc::gen::arbitrary<uint64_t>());
   for (int i = 0; i < 300; ++i)
     RC_ASSERT(world.step() == "");
-  RC_ASSERT(world.areAllRight());
+  RC_ASSERT(world.areAllUpToDate());
 }
 
 } // namespace
--- a/tests/direct/retirement_following.cpp
+++ b/tests/direct/retirement_following.cpp
@@ -14,81 +14,84 @@
 } // namespace
 
 void RetirementWorld::follow(const EntryPtr &entry, const FollowStep &step) {
-  entry->IsResting = !step.WatchesService && entry->HasAll;
-  if (!step.Ask)
+  entry->LeavesServiceToReaders = !step.WatchesService && entry->HasFullState;
+  if (!step.PollTarget)
     return;
-  if (EntryPtr peer = byAddress(*step.Ask))
-    ask(entry, peer);
+  if (EntryPtr peer = entryAt(*step.PollTarget))
+    requestRecords(entry, peer);
 }
 
 void RetirementWorld::watch(const EntryPtr &entry) {
-  if (entry->IsAsking || entry->IsResting || Now < entry->NextAsk)
+  if (entry->IsWatching || entry->LeavesServiceToReaders ||
+      Now < entry->NextWatch)
     return;
-  entry->IsAsking = true;
+  entry->IsWatching = true;
   Callers.insert(entry->Name);
   TimePoint askedAt = Now;
   if (isCutFromService(entry))
     return deliver(entry, Now + WatchWait, [this](ModelEntry &self) {
-      self.IsAsking = false;
-      self.NextAsk = Now + Tick;
+      self.IsWatching = false;
+      self.NextWatch = Now + Tick;
     });
   // The adapter tells a watch of an earlier era that its history is gone.
   noteEra(*entry, Service.era());
-  if (entry->Catalog.wantsSettling(Now))
-    entry->HasAll = false;
-  bool isFirst = !entry->HasAll;
+  if (entry->Catalog.needsReread(Now))
+    entry->HasFullState = false;
+  bool isFirst = !entry->HasFullState;
   ModelService::Answer answer =
       isFirst ? Service.readAll() : Service.since(entry->CompleteTo);
   deliver(entry, Now + ServiceDelay,
           [this, answer, isFirst, askedAt](ModelEntry &self) {
-            self.IsAsking = false;
+            self.IsWatching = false;
             // As the adapter drops answers of an era before the latest.
             if (eraOf(answer.Revision) < eraOf(self.CompleteTo))
               return;
-            self.NextAsk = Now + Tick * static_cast<int64_t>(1 + pick(3));
+            self.NextWatch =
+                Now + Tick * static_cast<int64_t>(1 + randomBelow(3));
             if (isFirst)
               self.Catalog.applyAll(answer.Records, answer.Revision, Now);
             else
               self.Catalog.apply(answer.Records, Now);
-            self.HasAll = true;
+            self.HasFullState = true;
             self.CompleteTo = std::max(self.CompleteTo, answer.Revision);
             self.ConfirmedAt = Now;
             onCatalog(self);
-            know(self, askedAt);
+            noteCompleteAsOf(self, askedAt);
             self.HasReadAll = true;
           });
 }
 
-void RetirementWorld::askPeer(const EntryPtr &entry) {
-  if (!isCutFromService(entry) || Now < entry->NextPeer)
+void RetirementWorld::queryRandomPeer(const EntryPtr &entry) {
+  if (!isCutFromService(entry) || Now < entry->NextPeerRequest)
     return;
-  entry->NextPeer = Now + Duration(400'000);
-  if (EntryPtr peer = Entries[pick(Entries.size())])
-    ask(entry, peer);
+  entry->NextPeerRequest = Now + Duration(400'000);
+  if (EntryPtr peer = Entries[randomBelow(Entries.size())])
+    requestRecords(entry, peer);
 }
 
-void RetirementWorld::ask(const EntryPtr &entry, const EntryPtr &peer) {
+void RetirementWorld::requestRecords(const EntryPtr &entry,
+                                     const EntryPtr &peer) {
   if (peer == entry || isCutFromPeers(entry) || isCutFromPeers(peer))
     return;
   uint64_t revision = entry->CompleteTo;
   TimePoint askedAt = Now;
   deliver(peer, Now + PeerDelay, [=, this](ModelEntry &other) {
-    RecordsFound found;
+    RecordsResponse found;
     found.Records = other.Catalog.recordsSince(revision);
     found.CompleteTo = other.CompleteTo;
-    found.ForgottenTo = other.Catalog.forgottenTo();
+    found.DeletionsMissingTo = other.Catalog.deletionsMissingTo();
     found.RestoredTo = other.Catalog.restoredTo();
-    Duration knownAgo = Now - other.KnownAt;
+    Duration knownAgo = Now - other.CompleteAsOf;
     Duration confirmedAgo = Now - other.ConfirmedAt;
     deliver(entry, Now + PeerDelay, [=, this](ModelEntry &self) {
       self.Catalog.onRestored(found.RestoredTo, Now);
       self.Catalog.apply(found.Records, Now);
       noteEra(self, eraOf(found.CompleteTo));
       onCatalog(self);
-      if (!isWholeFor(found, revision))
+      if (!isCompleteFor(found, revision))
         return;
       self.CompleteTo = std::max(self.CompleteTo, found.CompleteTo);
-      know(self, askedAt - knownAgo);
+      noteCompleteAsOf(self, askedAt - knownAgo);
       self.ConfirmedAt = std::max(self.ConfirmedAt, askedAt - confirmedAgo);
       self.Following.onAnswer(askedAt - confirmedAgo, Now);
     });
@@ -116,14 +119,14 @@
   return {};
 }
 
-size_t RetirementWorld::upToDate() const {
+size_t RetirementWorld::upToDateEntries() const {
   return static_cast<size_t>(
       std::count_if(Entries.begin(), Entries.end(), [&](const EntryPtr &it) {
         return it && it->CompleteTo == Service.revision();
       }));
 }
 
-Duration RetirementWorld::longestBehind() const {
+Duration RetirementWorld::longestLag() const {
   Duration out{0};
   for (const EntryPtr &it : Entries) {
     if (!it)
@@ -135,16 +138,16 @@
   return out;
 }
 
-void RetirementWorld::know(ModelEntry &entry, TimePoint at) {
-  if (at <= entry.KnownAt)
+void RetirementWorld::noteCompleteAsOf(ModelEntry &entry, TimePoint at) {
+  if (at <= entry.CompleteAsOf)
     return;
-  entry.KnownAt = at;
-  if (isListed(entry))
-    entry.ListedAt = at;
+  entry.CompleteAsOf = at;
+  if (isAnnounced(entry))
+    entry.AnnouncedAsOf = at;
 }
 
-bool RetirementWorld::isListed(const ModelEntry &entry) const {
-  return entry.Catalog.view()->isListed(entry.Name, entry.Address);
+bool RetirementWorld::isAnnounced(const ModelEntry &entry) const {
+  return entry.Catalog.view()->isAnnounced(entry.Name, entry.Address);
 }
 
 } // namespace daisytack::direct::test
--- a/tests/direct/retirement_service.cpp
+++ b/tests/direct/retirement_service.cpp
@@ -3,7 +3,7 @@
 
 namespace daisytack::direct::test {
 
-void ModelService::note(const StoreRecord &record) {
+void ModelService::appendHistory(const StoreRecord &record) {
   History.push_back(record);
   ChangedAt.push_back(Now);
 }
@@ -23,41 +23,41 @@
     item.Created = ++LastCreated;
   item.Record = {key, value, Revision, false};
   item.LeaseUntil = leaseUntil;
-  note(item.Record);
+  appendHistory(item.Record);
   return Revision;
 }
 
 void ModelService::remove(const std::string &key) {
   if (Items.erase(key) == 0)
     return;
-  note({key, "", ++Revision, true});
+  appendHistory({key, "", ++Revision, true});
 }
 
 void ModelService::setNow(TimePoint now) {
   Now = now;
-  if (Copies.empty() || now >= Copies.back().At + Duration(1'000'000))
-    Copies.push_back({now, Items, Revision});
+  if (Snapshots.empty() || now >= Snapshots.back().At + Duration(1'000'000))
+    Snapshots.push_back({now, Items, Revision});
 }
 
 void ModelService::restore(TimePoint then) {
-  while (Copies.size() > 1 && Copies.back().At > then)
-    Copies.pop_back();
-  uint64_t later = era() + 1;
+  while (Snapshots.size() > 1 && Snapshots.back().At > then)
+    Snapshots.pop_back();
+  uint64_t nextEra = era() + 1;
   for (const auto &[key, item] : Items)
-    if (!Copies.back().Items.contains(key))
-      note({key, "", later << RevisionBits, true});
-  Items = Copies.back().Items;
-  Revision = lastingRevision(later, countOf(Copies.back().Revision));
+    if (!Snapshots.back().Items.contains(key))
+      appendHistory({key, "", nextEra << RevisionBits, true});
+  Items = Snapshots.back().Items;
+  Revision = monotonicRevision(nextEra, countInEra(Snapshots.back().Revision));
   for (auto &[key, item] : Items) {
     item.Record.Revision =
-        lastingRevision(later, countOf(item.Record.Revision));
-    note(item.Record);
+        monotonicRevision(nextEra, countInEra(item.Record.Revision));
+    appendHistory(item.Record);
   }
-  Copies = {{Now, Items, Revision}};
+  Snapshots = {{Now, Items, Revision}};
 }
 
-bool ModelService::keep(const std::string &key, uint64_t created,
-                        TimePoint until) {
+bool ModelService::renewLease(const std::string &key, uint64_t created,
+                              TimePoint until) {
   auto it = Items.find(key);
   if (it == Items.end() || it->second.Created != created)
     return false;
@@ -65,7 +65,7 @@
   return true;
 }
 
-void ModelService::lapse(TimePoint now) {
+void ModelService::expireLeases(TimePoint now) {
   std::vector<std::string> gone;
   for (const auto &[key, item] : Items)
     if (item.LeaseUntil && now >= *item.LeaseUntil)
--- a/tests/direct/retirement_test.cpp
+++ b/tests/direct/retirement_test.cpp
@@ -19,26 +19,26 @@
   return [engine = std::mt19937_64(seed)]() mutable { return engine(); };
 }
 
-std::string firstOf(const std::vector<std::string> &broken) {
-  return broken.empty() ? "" : broken.front();
+std::string firstViolation(const std::vector<std::string> &violations) {
+  return violations.empty() ? "" : violations.front();
 }
 
 /// Entries restart in series while servers move to new weights.
-TEST(RetirementAgreement, HoldsWhileEntriesRestartInSeries) {
+TEST(RetirementAgreement, HoldsWhileEntriesRestartRepeatedly) {
   for (uint64_t seed = 0; seed < 20; ++seed) {
     RetirementWorld world(4, randomFrom(seed));
-    world.pass(20s);
-    world.nameWeights();
+    world.advance(20s);
+    world.raiseDesiredVersion();
     for (int i = 0; i < 12; ++i) {
-      world.pass(900ms);
+      world.advance(900ms);
       if (i == 6)
         world.killHolder();
       else
         world.killFollower(500ms);
     }
-    world.pass(30s);
-    EXPECT_EQ(firstOf(world.broken()), "") << "seed " << seed;
-    EXPECT_GT(world.freed(), 0) << "seed " << seed;
+    world.advance(30s);
+    EXPECT_EQ(firstViolation(world.violations()), "") << "seed " << seed;
+    EXPECT_GT(world.freedParts(), 0) << "seed " << seed;
   }
 }
 
@@ -46,31 +46,31 @@
 /// seconds, four times as long as their leases last, and hears what it holds
 /// from the others. Callers of these entries would have every shared part of
 /// their prompts read anew for nine of the twelve seconds.
-TEST(RetirementAgreement, AnEntryThatIsCutOffFromTheServiceGoesOnNaming) {
+TEST(RetirementAgreement, AnEntryThatIsCutOffContinuesToNameSources) {
   RetirementWorld world(6, randomFrom(7));
-  world.pass(20s);
-  for (size_t machine : {1, 3})
-    world.cutFromService(machine, true);
-  world.pass(4s); // Their leases have lapsed.
-  size_t before = world.unlistedFetches();
-  world.pass(8s);
-  EXPECT_GT(world.unlistedFetches(), before);
-  for (size_t machine : {1, 3})
-    world.cutFromService(machine, false);
-  world.pass(10s);
-  EXPECT_EQ(firstOf(world.broken()), "");
+  world.advance(20s);
+  for (size_t instance : {1, 3})
+    world.cutFromService(instance, true);
+  world.advance(4s); // Their leases have lapsed.
+  size_t before = world.unannouncedFetches();
+  world.advance(8s);
+  EXPECT_GT(world.unannouncedFetches(), before);
+  for (size_t instance : {1, 3})
+    world.cutFromService(instance, false);
+  world.advance(10s);
+  EXPECT_EQ(firstViolation(world.violations()), "");
 }
 
 /// An entry that is out of the service's sight for longer than its trust names
 /// nothing, whatever the others tell it.
-TEST(RetirementAgreement, AnEntryThatIsNotListedForLongNamesNothing) {
+TEST(RetirementAgreement, AnEntryThatIsUnannouncedForLongNamesNoSources) {
   RetirementWorld world(6, randomFrom(8));
-  world.pass(20s);
+  world.advance(20s);
   world.cutFromService(1, true);
-  world.pass(SourceTrust + 4s);
-  size_t before = world.unlistedFetches();
-  world.pass(10s);
-  EXPECT_EQ(world.unlistedFetches(), before);
+  world.advance(MaxSourceStaleness + 4s);
+  size_t before = world.unannouncedFetches();
+  world.advance(10s);
+  EXPECT_EQ(world.unannouncedFetches(), before);
 }
 
 /// One disturbance of the world.
@@ -102,11 +102,11 @@
   case 13:
     return world.crashServer(entry, time);
   case 14:
-    return world.slowService(10ms * *rc::gen::inRange(1, 80));
+    return world.setServiceDelay(10ms * *rc::gen::inRange(1, 80));
   case 15:
     return world.loseHistory();
   case 16:
-    return world.slowPeers(10ms * *rc::gen::inRange(1, 60));
+    return world.setPeerDelay(10ms * *rc::gen::inRange(1, 60));
   default:
     return world.killFollower(500ms);
   }
@@ -115,19 +115,19 @@
 RC_GTEST_PROP(RetirementAgreement, NeverFreesWhatAServerMayRead, ()) {
   constexpr size_t Entries = 4;
   RetirementWorld world(Entries, randomFrom(*rc::gen::arbitrary<uint64_t>()));
-  world.slowServers(100ms * *rc::gen::inRange(1, 200));
-  world.pass(100ms * *rc::gen::inRange(1, 250));
+  world.setUpdateInterval(100ms * *rc::gen::inRange(1, 200));
+  world.advance(100ms * *rc::gen::inRange(1, 250));
   auto n = *rc::gen::inRange(1, 30);
   auto named = *rc::gen::inRange(0, n);
   for (int i = 0; i < n; ++i) {
     if (i == named)
-      world.nameWeights();
+      world.raiseDesiredVersion();
     disturb(world, Entries);
-    world.pass(100ms * *rc::gen::inRange(0, 40));
+    world.advance(100ms * *rc::gen::inRange(0, 40));
   }
-  world.nameWeights();
-  world.pass(25s);
-  RC_ASSERT(firstOf(world.broken()) == "");
+  world.raiseDesiredVersion();
+  world.advance(25s);
+  RC_ASSERT(firstViolation(world.violations()) == "");
 }
 
 /// The same while the key-value service comes back from older copies: the
@@ -137,36 +137,36 @@
               ()) {
   constexpr size_t Entries = 4;
   RetirementWorld world(Entries, randomFrom(*rc::gen::arbitrary<uint64_t>()));
-  world.slowServers(100ms * *rc::gen::inRange(1, 200));
-  world.pass(100ms * *rc::gen::inRange(1, 250));
+  world.setUpdateInterval(100ms * *rc::gen::inRange(1, 200));
+  world.advance(100ms * *rc::gen::inRange(1, 250));
   auto n = *rc::gen::inRange(1, 30);
   auto named = *rc::gen::inRange(0, n);
   for (int i = 0; i < n; ++i) {
     if (i == named)
-      world.nameWeights();
+      world.raiseDesiredVersion();
     if (*rc::gen::weightedElement<bool>({{1, true}, {3, false}}))
       world.restoreService(100ms * *rc::gen::inRange(1, 100));
     else
       disturb(world, Entries);
-    world.pass(100ms * *rc::gen::inRange(0, 40));
+    world.advance(100ms * *rc::gen::inRange(0, 40));
   }
-  world.nameWeights();
-  world.pass(25s);
-  RC_ASSERT(firstOf(world.broken()) == "");
+  world.raiseDesiredVersion();
+  world.advance(25s);
+  RC_ASSERT(firstViolation(world.violations()) == "");
 }
 
 /// Context of replaced weights is freed all the same.
-TEST(RetirementAgreement, FreesAfterTheServiceCameBackOlder) {
+TEST(RetirementAgreement, FreesAfterTheServiceWasRestored) {
   for (uint64_t seed = 0; seed < 10; ++seed) {
     RetirementWorld world(4, randomFrom(seed));
-    world.pass(20s);
+    world.advance(20s);
     world.restoreService(3s);
-    world.pass(5s);
-    world.nameWeights();
-    world.pass(60s);
-    EXPECT_EQ(firstOf(world.broken()), "") << "seed " << seed;
-    EXPECT_GT(world.freed(), 0) << "seed " << seed;
-    EXPECT_EQ(world.upToDate(), 4) << "seed " << seed;
+    world.advance(5s);
+    world.raiseDesiredVersion();
+    world.advance(60s);
+    EXPECT_EQ(firstViolation(world.violations()), "") << "seed " << seed;
+    EXPECT_GT(world.freedParts(), 0) << "seed " << seed;
+    EXPECT_EQ(world.upToDateEntries(), 4) << "seed " << seed;
   }
 }
 
@@ -175,28 +175,28 @@
 TEST(Followers, AFewEntriesReadTheServiceForAll) {
   constexpr size_t Entries = 16;
   RetirementWorld world(Entries, randomFrom(3));
-  world.pass(10s);
-  world.takeCallers();
-  world.nameWeights();
-  world.pass(20s);
-  EXPECT_LE(world.takeCallers(), 2) << "a reader, and the holder";
-  EXPECT_EQ(world.upToDate(), Entries);
+  world.advance(10s);
+  world.takeCallerCount();
+  world.raiseDesiredVersion();
+  world.advance(20s);
+  EXPECT_LE(world.takeCallerCount(), 2) << "a reader, and the holder";
+  EXPECT_EQ(world.upToDateEntries(), Entries);
 }
 
 /// Readers are killed one after the other; nobody is late for longer than the
 /// bound on a configuration.
-TEST(Followers, LearnAChangeInTimeThoughReadersAreKilled) {
+TEST(Followers, LearnOfAChangeInTimeAlthoughReadersAreKilled) {
   constexpr size_t Entries = 8;
   constexpr Duration Bound = 4s;
   for (uint64_t seed = 0; seed < 20; ++seed) {
     RetirementWorld world(Entries, randomFrom(seed));
-    world.pass(10s);
+    world.advance(10s);
     for (size_t i = 0; i < Entries; ++i) {
       world.kill(i, 60s, false);
-      world.nameWeights();
+      world.raiseDesiredVersion();
       for (Duration past{0}; past < Bound + 1s; past += 100ms) {
-        world.pass(100ms);
-        EXPECT_LE(world.longestBehind(), Bound) << "seed " << seed;
+        world.advance(100ms);
+        EXPECT_LE(world.longestLag(), Bound) << "seed " << seed;
       }
     }
   }
@@ -204,21 +204,21 @@
 
 /// What an entry may refuse for good, name, or give orders on rests on its
 /// claim to know all that the service held up to a revision.
-RC_GTEST_PROP(Followers, NeverClaimToKnowWhatTheyDoNot, ()) {
+RC_GTEST_PROP(Followers, NeverClaimToKnowMoreThanTheyDo, ()) {
   constexpr size_t Entries = 6;
   RetirementWorld world(Entries, randomFrom(*rc::gen::arbitrary<uint64_t>()));
-  world.pass(100ms * *rc::gen::inRange(1, 100));
+  world.advance(100ms * *rc::gen::inRange(1, 100));
   auto n = *rc::gen::inRange(1, 30);
   for (int i = 0; i < n; ++i) {
     disturb(world, Entries);
-    world.pass(100ms * *rc::gen::inRange(0, 40));
+    world.advance(100ms * *rc::gen::inRange(0, 40));
     RC_ASSERT(world.wrongClaim() == "");
   }
-  world.nameWeights();
+  world.raiseDesiredVersion();
   world.heal();
-  world.pass(15s);
+  world.advance(15s);
   RC_ASSERT(world.wrongClaim() == "");
-  RC_ASSERT(world.longestBehind() <= 4s);
+  RC_ASSERT(world.longestLag() <= 4s);
 }
 
 } // namespace
--- a/tests/direct/retirement_world.cpp
+++ b/tests/direct/retirement_world.cpp
@@ -1,7 +1,7 @@
 #include "direct/retirement_world.h"
 
 #include "direct/catalog_fixture.h"
-#include "direct/order_right.h"
+#include "direct/order_lease.h"
 
 #include <algorithm>
 #include <sstream>
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr Duration LeaseTerm{3'000'000};
+constexpr Duration LeaseTimeToLive{3'000'000};
 /// The holder acts for so long after a renewal was sent.
-constexpr Duration ActTerm{2'000'000};
-constexpr Duration Renewal{900'000};
+constexpr Duration ActingTime{2'000'000};
+constexpr Duration RenewalInterval{900'000};
 constexpr Duration CallTimeout{700'000};
-constexpr Duration FreeDelayMost{900'000};
-constexpr Duration FreePause{400'000};
+constexpr Duration MaxFreeDelay{900'000};
+constexpr Duration FreeInterval{400'000};
 constexpr int PartsPerVersion = 6;
-constexpr uint64_t MostVersion = 3;
+constexpr uint64_t MaxVersion = 3;
 const std::string StoreName = "store";
 
 std::string scopeOf(uint64_t version) { return cacheScope("", false, version); }
@@ -28,7 +28,7 @@
   return parseEndpoint(std::string(text)).value_or(Endpoint{});
 }
 
-std::string textOf(const std::vector<Retirement> &retired) {
+std::string encodeRetired(const std::vector<Retirement> &retired) {
   std::string out;
   for (const Retirement &it : retired)
     out +=
@@ -36,12 +36,12 @@
   return out;
 }
 
-RetiredContext readRetired(const std::string &text) {
+RetiredContext decodeRetired(const std::string &text) {
   RetiredContext out;
   std::istringstream in(text);
   Retirement it;
   while (in >> it.BelowVersion >> it.Share)
-    out.What.push_back(it);
+    out.Retirements.push_back(it);
   return out;
 }
 
@@ -56,9 +56,9 @@
 } // namespace
 
 /// One reader, so that even three entries have followers.
-FollowSettings worldReaders() {
+FollowSettings worldFollowSettings() {
   FollowSettings out;
-  out.LeastReaders = 1;
+  out.MinReaders = 1;
   return out;
 }
 
@@ -66,18 +66,18 @@
   CatalogHooks out;
   out.SubjectOf = textSubject;
   out.Decode = [](const StoreRecord &record,
-                  Error &) -> std::optional<FactValue> {
-    FactSubject subject = textSubject(record.Key);
-    if (subject.Kind == FactKind::Entry)
+                  Error &) -> std::optional<RecordValue> {
+    RecordSubject subject = textSubject(record.Key);
+    if (subject.Kind == RecordKind::Entry)
       return EntryPeer{subject.Name, endpointOf(record.Value)};
-    if (subject.Kind == FactKind::Holder)
-      return OrderHolder{record.Value};
-    if (subject.Kind == FactKind::Registration)
+    if (subject.Kind == RecordKind::Holder)
+      return OrderLeaseHolder{record.Value};
+    if (subject.Kind == RecordKind::Registration)
       return EntryRegistration{endpointOf(record.Value)};
-    if (subject.Kind == FactKind::Retired)
-      return readRetired(record.Value);
+    if (subject.Kind == RecordKind::Retired)
+      return decodeRetired(record.Value);
     uint64_t version = std::stoull(record.Value);
-    if (subject.Kind == FactKind::Weights)
+    if (subject.Kind == RecordKind::Weights)
       return DesiredWeights{{subject.Name, version}};
     BackendServer server;
     server.Id = subject.Name;
@@ -85,8 +85,8 @@
     server.Weights = {{"m", version}};
     return server;
   };
-  out.Changed = [](const FactSubject &, std::string_view, uint64_t, TimePoint) {
-  };
+  out.Changed = [](const RecordSubject &, std::string_view, uint64_t,
+                   TimePoint) {};
   out.Unreadable = [](const StoreRecord &, const Error &, TimePoint) {};
   return out;
 }
@@ -94,8 +94,8 @@
 ModelEntry::ModelEntry(std::string name, Endpoint address, TimePoint now)
     : Name(std::move(name)), Address(std::move(address)),
       Catalog({}, worldHooks()), Kept({}), Agreement({}, Address),
-      Following(worldReaders(), {Name, Address}), NextRenewal(now),
-      NextAsk(now), NextFree(now), NextPeer(now) {}
+      Following(worldFollowSettings(), {Name, Address}), NextRenewal(now),
+      NextWatch(now), NextFree(now), NextPeerRequest(now) {}
 
 RetirementWorld::RetirementWorld(size_t entries,
                                  std::function<uint64_t()> random)
@@ -105,19 +105,19 @@
     Servers[id] = {};
     Service.put("server:" + id, "1");
   }
-  for (uint64_t version = 1; version <= MostVersion; ++version)
+  for (uint64_t version = 1; version <= MaxVersion; ++version)
     for (int i = 0; i < PartsPerVersion; ++i)
-      Whole.insert({scopeOf(version), "part" + std::to_string(i)});
+      StoredParts.insert({scopeOf(version), "part" + std::to_string(i)});
   Service.put("weights:m", "1");
   Entries.resize(entries);
-  Machines.resize(entries);
+  Instances.resize(entries);
   for (size_t i = 0; i < entries; ++i)
     start(i, "e" + std::to_string(i),
           {"10.0.0." + std::to_string(++Addresses), 80});
 }
 
-void RetirementWorld::at(TimePoint time, std::function<void()> what) {
-  Events.emplace(time, std::move(what));
+void RetirementWorld::schedule(TimePoint time, std::function<void()> callback) {
+  Events.emplace(time, std::move(callback));
 }
 
 bool RetirementWorld::isAlive(const EntryPtr &entry) const {
@@ -125,13 +125,13 @@
 }
 
 void RetirementWorld::deliver(const EntryPtr &to, TimePoint time,
-                              std::function<void(ModelEntry &)> what) {
-  at(time, [this, to, what = std::move(what)] {
+                              std::function<void(ModelEntry &)> callback) {
+  schedule(time, [this, to, callback = std::move(callback)] {
     if (!isAlive(to))
       return;
     if (isFrozen(*to))
-      return deliver(to, to->FrozenUntil, what);
-    what(*to);
+      return deliver(to, to->FrozenUntil, callback);
+    callback(*to);
   });
 }
 
@@ -142,33 +142,33 @@
   PartList list;
   list.Epoch = 1;
   // The worst case: of what was freed later, no report arrives.
-  for (const auto &[scope, part] : Whole)
+  for (const auto &[scope, part] : StoredParts)
     list.Kept.push_back({0, true, scope, part, 10});
   entry->Kept.apply(StoreName, list);
-  entry->Machine = index;
+  entry->Instance = index;
   Entries[index] = std::move(entry);
 }
 
 RetirementWorld::EntryPtr
-RetirementWorld::byAddress(const Endpoint &address) const {
+RetirementWorld::entryAt(const Endpoint &address) const {
   for (const EntryPtr &entry : Entries)
     if (entry && entry->Address == address)
       return entry;
   return nullptr;
 }
 
-void RetirementWorld::pass(Duration time) {
+void RetirementWorld::advance(Duration time) {
   TimePoint end = Now + time;
   while (Now < end) {
     Now = Now + Tick;
     Service.setNow(Now);
-    Service.lapse(Now);
+    Service.expireLeases(Now);
     while (!Events.empty() && Events.begin()->first <= Now) {
-      auto what = std::move(Events.begin()->second);
+      auto callback = std::move(Events.begin()->second);
       Events.erase(Events.begin());
-      what();
+      callback();
     }
-    moveServers();
+    updateServers();
     for (const EntryPtr &entry : std::vector<EntryPtr>(Entries))
       if (entry && isAlive(entry) && !isFrozen(*entry))
         step(entry);
@@ -181,11 +181,11 @@
   follow(entry, following);
   watch(entry);
   renew(entry);
-  askPeer(entry);
-  if (!entry->HasAll && entry->Catalog.revision() == 0)
+  queryRandomPeer(entry);
+  if (!entry->HasFullState && entry->Catalog.revision() == 0)
     return;
   onCatalog(*entry);
-  seekHolder(entry);
+  claimOrderLease(entry);
   giveOrders(entry);
   nameSources(*entry);
 }
@@ -199,48 +199,50 @@
 void RetirementWorld::renew(const EntryPtr &entry) {
   if (Now < entry->NextRenewal || !canWrite(entry))
     return;
-  entry->NextRenewal = Now + Renewal;
-  TimePoint until = Now + LeaseTerm;
+  entry->NextRenewal = Now + RenewalInterval;
+  TimePoint until = Now + LeaseTimeToLive;
   std::string key = "entry:" + entry->Name;
-  if (entry->Announced == 0 || !Service.keep(key, entry->Announced, until)) {
+  if (entry->AnnouncementCreated == 0 ||
+      !Service.renewLease(key, entry->AnnouncementCreated, until)) {
     Service.put(key, toString(entry->Address), until);
-    entry->Announced = Service.createdOf(key);
+    entry->AnnouncementCreated = Service.createdOf(key);
     std::string address = toString(entry->Address);
     Service.put("registered:" + address, address);
   }
   noteEra(*entry, Service.era());
   if (entry->Token == 0)
     return;
-  if (Service.keep("holder", entry->HolderKey, until))
+  if (Service.renewLease("holder", entry->HolderKeyCreated, until))
     entry->RenewedAt = Now;
   else
     entry->Token = 0;
 }
 
-void RetirementWorld::seekHolder(const EntryPtr &entry) {
-  OrderRightSettings right;
-  right.Term = LeaseTerm;
-  bool isSought = entry->Token == 0 && entry->HasAll &&
+void RetirementWorld::claimOrderLease(const EntryPtr &entry) {
+  OrderLeaseSettings settings;
+  settings.Term = LeaseTimeToLive;
+  bool mayClaim = entry->Token == 0 && entry->HasFullState &&
                   entry->Catalog.view()->Holder.empty() && canWrite(entry) &&
-                  isClaimSafe(*entry->Catalog.view(), right, Now);
-  if (!isSought || Service.revisionOf("holder") != 0)
+                  isClaimSafe(*entry->Catalog.view(), settings, Now);
+  if (!mayClaim || Service.revisionOf("holder") != 0)
     return;
-  entry->Token = Service.put("holder", entry->Name, Now + LeaseTerm);
-  entry->HolderKey = Service.createdOf("holder");
+  entry->Token = Service.put("holder", entry->Name, Now + LeaseTimeToLive);
+  entry->HolderKeyCreated = Service.createdOf("holder");
   entry->RenewedAt = Now;
 }
 
 void RetirementWorld::giveOrders(const EntryPtr &entry) {
-  if (isReplaced(*entry->Catalog.view(), entry->Token))
+  if (isHolderReplaced(*entry->Catalog.view(), entry->Token))
     entry->Token = 0;
-  if (entry->Token == 0 || Now >= entry->RenewedAt + ActTerm)
+  if (entry->Token == 0 || Now >= entry->RenewedAt + ActingTime)
     return;
   for (const RetirementAction &action :
        entry->Agreement.next(*entry->Catalog.view(), 0, Now)) {
-    if (const auto *it = std::get_if<TellEntry>(&action))
-      tell(entry, *it);
+    if (const auto *it = std::get_if<NotifyEntry>(&action))
+      notify(entry, *it);
     if (const auto *it = std::get_if<WriteRetired>(&action))
-      write(entry, "retired", textOf(it->What), it->Over);
+      write(entry, "retired", encodeRetired(it->Retirements),
+            it->ExpectedRevision);
     if (const auto *it = std::get_if<RemoveRegistration>(&action))
       write(entry, "registered:" + toString(it->Peer), "", it->Revision);
   }
@@ -248,17 +250,17 @@
 }
 
 void RetirementWorld::write(const EntryPtr &entry, const std::string &key,
-                            const std::string &value, uint64_t over) {
+                            const std::string &value, uint64_t expected) {
   deliver(entry, Now + CallTimeout,
           [this](ModelEntry &self) { self.Agreement.onWritten(Now); });
   if (!canWrite(entry))
     return;
   // It may be carried out long after its sender has given it up.
-  Duration way = pick(4) == 0 ? Duration(4'000'000) : ServiceDelay;
-  at(Now + way, [this, key, value, over, token = entry->Token] {
+  Duration delay = randomBelow(4) == 0 ? Duration(4'000'000) : ServiceDelay;
+  schedule(Now + delay, [this, key, value, expected, token = entry->Token] {
     // The service compares its own counts, of whatever era they were.
-    if (countOf(Service.revisionOf("holder")) != countOf(token) ||
-        countOf(Service.revisionOf(key)) != countOf(over))
+    if (countInEra(Service.revisionOf("holder")) != countInEra(token) ||
+        countInEra(Service.revisionOf(key)) != countInEra(expected))
       return;
     if (value.empty())
       Service.remove(key);
@@ -269,8 +271,8 @@
 
 void RetirementWorld::restoreService(Duration age) {
   Service.restore(Now - age);
-  Duration pause(static_cast<int64_t>(pick(500'000)));
-  at(Now + pause, [this] {
+  Duration pause(static_cast<int64_t>(randomBelow(500'000)));
+  schedule(Now + pause, [this] {
     Service.put("weights:m", std::to_string(Wanted));
     for (const auto &[id, server] : Servers)
       if (server.IsUp)
@@ -280,11 +282,11 @@
 
 void RetirementWorld::noteEra(ModelEntry &entry, uint64_t era) {
   if (era > eraOf(entry.CompleteTo))
-    entry.HasAll = false;
+    entry.HasFullState = false;
 }
 
 void RetirementWorld::heal() {
-  for (Machine &it : Machines)
+  for (Instance &it : Instances)
     it = {};
   for (const EntryPtr &it : Entries)
     if (it)
@@ -293,30 +295,31 @@
   PeerDelay = Duration(5'000);
 }
 
-bool RetirementWorld::mayName(const ModelEntry &entry) const {
-  SourceStanding standing;
-  standing.HasReadAll = entry.HasReadAll;
-  standing.IsRegistered =
+bool RetirementWorld::canNameSources(const ModelEntry &entry) const {
+  SourceEligibility eligibility;
+  eligibility.HasReadAll = entry.HasReadAll;
+  eligibility.IsRegistered =
       entry.Catalog.view()->Registered.contains(entry.Address);
-  standing.ListedAt = entry.ListedAt;
-  return mayNameSources(standing, SourceTrust, Now);
+  eligibility.AnnouncedAsOf = entry.AnnouncedAsOf;
+  return mayNameSources(eligibility, MaxSourceStaleness, Now);
 }
 
-void RetirementWorld::tell(const EntryPtr &entry, const TellEntry &what) {
-  auto isDone = std::make_shared<bool>(false);
-  auto end = [this, isDone, what](bool hasAgreed) {
-    return [this, isDone, what, hasAgreed](ModelEntry &self) {
-      if (!std::exchange(*isDone, true))
-        self.Agreement.onTold(what, hasAgreed, Now);
+void RetirementWorld::notify(const EntryPtr &entry,
+                             const NotifyEntry &notification) {
+  auto hasEnded = std::make_shared<bool>(false);
+  auto end = [this, hasEnded, notification](bool hasAgreed) {
+    return [this, hasEnded, notification, hasAgreed](ModelEntry &self) {
+      if (!std::exchange(*hasEnded, true))
+        self.Agreement.onNotified(notification, hasAgreed, Now);
     };
   };
   deliver(entry, Now + CallTimeout, end(false));
-  EntryPtr peer = byAddress(what.Peer);
+  EntryPtr peer = entryAt(notification.Peer);
   if (!peer || isCutFromPeers(entry) || isCutFromPeers(peer))
     return;
   deliver(peer, Now + PeerDelay,
-          [this, entry, peer, what, end](ModelEntry &other) {
-            for (const Retirement &it : what.What)
+          [this, entry, peer, notification, end](ModelEntry &other) {
+            for (const Retirement &it : notification.Retirements)
               other.Kept.retire(it);
             if (!isCutFromPeers(peer) && !isCutFromPeers(entry))
               deliver(entry, Now + PeerDelay, end(true));
@@ -326,28 +329,28 @@
 void RetirementWorld::free(const EntryPtr &entry) {
   if (Now < entry->NextFree)
     return;
-  entry->NextFree = Now + FreePause;
+  entry->NextFree = Now + FreeInterval;
   auto freeable = entry->Agreement.freeable(Now);
   auto parts = entry->Kept.partsWhere(StoreName, [&](const BrokenPart &it) {
     return isUnused(it, 0, freeable);
   });
-  Duration way = Duration(
-      static_cast<int64_t>(pick(static_cast<uint64_t>(FreeDelayMost.count()))));
-  at(Now + way, [this, parts, name = entry->Name] {
+  Duration delay = Duration(static_cast<int64_t>(
+      randomBelow(static_cast<uint64_t>(MaxFreeDelay.count()))));
+  schedule(Now + delay, [this, parts, name = entry->Name] {
     for (const BrokenPart &part : parts) {
       PartKey key{part.Scope, part.Part};
-      Freed += Whole.erase(key);
-      for (const Fetch &fetch : Running[key])
+      FreedParts += StoredParts.erase(key);
+      for (const Fetch &fetch : RunningFetches[key])
         if (fetch.Until > Now)
-          Broken.push_back(name + " freed " + part.Scope + "/" + part.Part +
-                           " under a fetch of " + fetch.Entry);
-      Running.erase(key);
+          Violations.push_back(name + " freed " + part.Scope + "/" + part.Part +
+                               " under a fetch of " + fetch.Entry);
+      RunningFetches.erase(key);
     }
   });
 }
 
 void RetirementWorld::nameSources(ModelEntry &entry) {
-  if (!mayName(entry))
+  if (!canNameSources(entry))
     return;
   std::set<uint64_t> versions;
   for (const BackendServer &server : entry.Catalog.view()->AllServers) {
@@ -361,20 +364,20 @@
     for (int i = 0; i < PartsPerVersion; ++i) {
       PromptPart part{"part" + std::to_string(i), 10};
       PartKey key{scopeOf(version), part.Id};
-      if (!Whole.contains(key) || !entry.Kept.find(key.first, part, ""))
+      if (!StoredParts.contains(key) || !entry.Kept.find(key.first, part, ""))
         continue;
-      auto &running = Running[key];
+      auto &running = RunningFetches[key];
       std::erase_if(running, [&](const Fetch &it) { return it.Until <= Now; });
       running.push_back({entry.Name, Now + LongestFetch});
       ++Fetches;
-      UnlistedFetches += isListed(entry) ? 0 : 1;
+      UnannouncedFetches += isAnnounced(entry) ? 0 : 1;
     }
 }
 
-void RetirementWorld::moveServers() {
-  if (Now < NextMove)
+void RetirementWorld::updateServers() {
+  if (Now < NextUpdate)
     return;
-  NextMove = Now + MovePause;
+  NextUpdate = Now + UpdateInterval;
   for (auto &[id, server] : Servers) {
     if (!server.IsUp || server.Version >= Wanted)
       continue;
@@ -384,12 +387,12 @@
   }
 }
 
-void RetirementWorld::nameWeights() {
-  if (Wanted >= MostVersion)
+void RetirementWorld::raiseDesiredVersion() {
+  if (Wanted >= MaxVersion)
     return;
   ++Wanted;
   Service.put("weights:m", std::to_string(Wanted));
-  NextMove = Now + Duration(1'000'000);
+  NextUpdate = Now + Duration(1'000'000);
 }
 
 void RetirementWorld::kill(size_t entry, Duration pause, bool atNewAddress) {
@@ -398,10 +401,10 @@
     return;
   Endpoint address = old->Address;
   if (atNewAddress) {
-    Machines[entry] = {};
+    Instances[entry] = {};
     address = {"10.0.0." + std::to_string(++Addresses), 80};
   }
-  at(Now + pause, [this, entry, name = old->Name, address] {
+  schedule(Now + pause, [this, entry, name = old->Name, address] {
     if (!Entries[entry])
       start(entry, name, address);
   });
@@ -414,7 +417,7 @@
 }
 
 void RetirementWorld::killFollower(Duration pause) {
-  size_t entry = pick(Entries.size());
+  size_t entry = randomBelow(Entries.size());
   bool isFollower = Entries[entry] && Entries[entry]->Token == 0;
   if (isFollower)
     kill(entry, pause, false);
@@ -425,22 +428,22 @@
     Entries[entry]->FrozenUntil = Now + time;
 }
 
-void RetirementWorld::cutFromService(size_t machine, bool isCut) {
-  Machines[machine].IsCutFromService = isCut;
+void RetirementWorld::cutFromService(size_t instance, bool isCut) {
+  Instances[instance].IsCutFromService = isCut;
 }
 
-void RetirementWorld::cutFromPeers(size_t machine, bool isCut) {
-  Machines[machine].IsCutFromPeers = isCut;
+void RetirementWorld::cutFromPeers(size_t instance, bool isCut) {
+  Instances[instance].IsCutFromPeers = isCut;
 }
 
-void RetirementWorld::refuseWrites(size_t machine, bool isRefused) {
-  Machines[machine].IsRefusedWrites = isRefused;
+void RetirementWorld::refuseWrites(size_t instance, bool isRefused) {
+  Instances[instance].RefusesWrites = isRefused;
 }
 
 void RetirementWorld::loseHistory() {
   for (const EntryPtr &entry : Entries)
     if (entry)
-      entry->HasAll = false;
+      entry->HasFullState = false;
 }
 
 void RetirementWorld::crashServer(size_t server, Duration pause) {
@@ -451,7 +454,7 @@
   // It comes back with the weights that it had.
   std::string key = "server:" + it->first;
   Service.remove(key);
-  at(Now + pause, [this, key, id = it->first] {
+  schedule(Now + pause, [this, key, id = it->first] {
     Servers[id].IsUp = true;
     Service.put(key, std::to_string(Servers[id].Version));
   });
--- a/tests/direct/serving_config_test.cpp
+++ b/tests/direct/serving_config_test.cpp
@@ -66,7 +66,7 @@
   EXPECT_FALSE(ConfigIndex(ServingConfig{}).needsKeys());
 }
 
-TEST(Route, MayRepeatWhatIsIdempotentOrResumable) {
+TEST(Route, MayRepeatIdempotentRequestsAndResumableStreams) {
   Route route;
   route.Kind = RouteKind::NonIdempotent;
   route.IsResumable = true;
--- a/tests/direct/weight_plan_test.cpp
+++ b/tests/direct/weight_plan_test.cpp
@@ -23,13 +23,13 @@
       server.Weights = {{"model", 1}};
       Catalog.AllServers.push_back(server);
     }
-    Catalog.Wanted["model"] = {{2, Start}};
+    Catalog.DesiredVersions["model"] = {{2, Start}};
   }
 
   static std::set<std::string> asked(const std::vector<WeightAction> &actions) {
     std::set<std::string> out;
     for (const WeightAction &it : actions)
-      if (const auto *ask = std::get_if<AskReport>(&it))
+      if (const auto *ask = std::get_if<RequestReport>(&it))
         out.insert(ask->ServerId);
     return out;
   }
@@ -48,10 +48,10 @@
   EXPECT_TRUE(Plan.next(Catalog, Start).empty());
 }
 
-TEST_F(WeightPlanTest, LetsWhatWaitsAtAnEngineGoFirst) {
+TEST_F(WeightPlanTest, LetsQueuedRequestsOfAnEngineStartFirst) {
   WeightPlan plan{{.PrepareTime = 300ms}};
   EXPECT_TRUE(plan.next(Catalog, Start).empty());
-  EXPECT_EQ(plan.busy().size(), 2);
+  EXPECT_EQ(plan.loadingServers().size(), 2);
   EXPECT_TRUE(plan.next(Catalog, Start + 200ms).empty());
   EXPECT_EQ(asked(plan.next(Catalog, Start + 300ms)).size(), 2);
 }
@@ -61,11 +61,11 @@
 TEST_F(WeightPlanTest, OrdersTheNewestOfTwoVersions) {
   WeightPlan plan{{.PrepareTime = 300ms}};
   plan.next(Catalog, Start);
-  Catalog.Wanted["model"].push_back({3, Start + 100ms});
+  Catalog.DesiredVersions["model"].push_back({3, Start + 100ms});
   plan.next(Catalog, Start + 300ms);
   auto actions = plan.onReport("e0", report(1, 0), Start + 310ms);
   ASSERT_EQ(actions.size(), 1);
-  EXPECT_EQ(std::get<GiveOrder>(actions[0]).Wanted.Version, 3);
+  EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).Wanted.Version, 3);
 }
 
 /// It has no runs left at that moment, so that the next load costs least.
@@ -73,15 +73,15 @@
   Plan.next(Catalog, Start);
   Plan.onReport("e0", report(1, 0), Start);
   Plan.onAnswer({"e0"}, OrderAnswer::Accepted, Start);
-  Catalog.Wanted["model"].push_back({3, Start + 500ms});
+  Catalog.DesiredVersions["model"].push_back({3, Start + 500ms});
   EXPECT_TRUE(asked(Plan.next(Catalog, Start + 1s)).contains("e0"));
   auto actions = Plan.onReport("e0", report(2, 1), Start + 1200ms);
   ASSERT_EQ(actions.size(), 1);
-  EXPECT_EQ(std::get<GiveOrder>(actions[0]).Wanted.Version, 3);
+  EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).Wanted.Version, 3);
 }
 
-TEST_F(WeightPlanTest, LoadsThoseFirstThatHaveBeenBehindForLongest) {
-  Catalog.Wanted["model"].push_back({3, Start + 4s});
+TEST_F(WeightPlanTest, LoadsTheLongestOutdatedEnginesFirst) {
+  Catalog.DesiredVersions["model"].push_back({3, Start + 4s});
   for (int i : {0, 2})
     Catalog.AllServers[static_cast<size_t>(i)].Weights = {{"model", 2}};
   auto first = asked(Plan.next(Catalog, Start + 5s));
@@ -90,20 +90,20 @@
 }
 
 TEST_F(WeightPlanTest, HasNothingToDoWhenAllAreUpToDate) {
-  Catalog.Wanted.clear();
+  Catalog.DesiredVersions.clear();
   EXPECT_TRUE(Plan.next(Catalog, Start).empty());
 }
 
-TEST_F(WeightPlanTest, OrdersWithTheNumberOfOrdersThatTheEngineTook) {
+TEST_F(WeightPlanTest, OrdersWithTheNumberOfOrdersThatTheEngineAccepted) {
   Plan.next(Catalog, Start);
   auto actions = Plan.onReport("e0", report(1, 7), Start);
   ASSERT_EQ(actions.size(), 1);
-  const auto &order = std::get<GiveOrder>(actions[0]);
+  const auto &order = std::get<SendWeightOrder>(actions[0]);
   EXPECT_EQ(order.OrdersTaken, 7);
   EXPECT_EQ(order.Wanted, (ModelVersion{"model", 2}));
 }
 
-TEST_F(WeightPlanTest, GivesNoSecondOrderWhileOneIsCarriedOut) {
+TEST_F(WeightPlanTest, SendsNoSecondOrderWhileOneIsCarriedOut) {
   Plan.next(Catalog, Start);
   EXPECT_TRUE(Plan.onReport("e0", report(1, 7, true), Start).empty());
   Plan.next(Catalog, Start + 2s);
@@ -124,7 +124,7 @@
   EXPECT_EQ(asked(Plan.next(Catalog, Start + 1s)).count("e1"), 1);
 }
 
-TEST_F(WeightPlanTest, LooksAgainAfterAnOrderWithoutAnAnswer) {
+TEST_F(WeightPlanTest, ChecksAgainAfterAnOrderWithoutAnAnswer) {
   Plan.next(Catalog, Start);
   Plan.onReport("e0", report(1, 0), Start);
   Plan.onAnswer("e0", OrderAnswer::Unknown, Start);
@@ -132,24 +132,24 @@
   // It was not carried out yet: the next order names the same count, so that
   // only one of the two can be accepted.
   auto actions = Plan.onReport("e0", report(1, 0), Start + 400ms);
-  EXPECT_EQ(std::get<GiveOrder>(actions[0]).OrdersTaken, 0);
+  EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).OrdersTaken, 0);
 }
 
-TEST_F(WeightPlanTest, OrdersTheNewerVersionWhenTwoAreNamedInARow) {
+TEST_F(WeightPlanTest, OrdersTheNewerVersionAfterALoadOfTheOlder) {
   Plan.next(Catalog, Start);
   Plan.onReport("e0", report(1, 0), Start);
   Plan.onAnswer("e0", OrderAnswer::Accepted, Start);
-  Catalog.Wanted["model"].push_back({3, Start + 1s});
+  Catalog.DesiredVersions["model"].push_back({3, Start + 1s});
   Plan.next(Catalog, Start + 1s);
   Plan.onReport("e0", report(2, 1), Start + 1s);
   Catalog.AllServers[0].Weights = {{"model", 2}};
   bool wants3 = false;
   for (int i = 0; i < 20; ++i)
     for (const WeightAction &it : Plan.next(Catalog, Start + 2s + i * 1s)) {
-      const auto &ask = std::get<AskReport>(it);
+      const auto &ask = std::get<RequestReport>(it);
       for (const WeightAction &next :
            Plan.onReport(ask.ServerId, report(1, 0), Start + 2s + i * 1s))
-        wants3 |= std::get<GiveOrder>(next).Wanted.Version == 3;
+        wants3 |= std::get<SendWeightOrder>(next).Wanted.Version == 3;
     }
   EXPECT_TRUE(wants3);
 }
@@ -165,7 +165,7 @@
   Plan.next(Catalog, Start);
   Catalog.AllServers.erase(Catalog.AllServers.begin());
   Plan.next(Catalog, Start);
-  auto busy = Plan.busy();
+  auto busy = Plan.loadingServers();
   EXPECT_EQ(std::count(busy.begin(), busy.end(), ServerStart{"e0"}), 0);
 }
 
