--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -63,13 +63,13 @@
 std::vector<std::string> entrySeeds() {
   using namespace direct;
   return {
-      wire::encode(PeerMessage(RecordsWanted{7})),
-      wire::encode(PeerMessage(
-          RecordsFound{{{"key", "value", 5, false}, {"k", "", 6, true}}, 9})),
+      wire::encode(PeerMessage(RecordsRequest{7})),
+      wire::encode(PeerMessage(RecordsResponse{
+          {{"key", "value", 5, false}, {"k", "", 6, true}}, 9})),
       wire::encode(PeerMessage(ServersLoading{{{"a", 5}, {"b", 6}}})),
       wire::encode(PeerMessage(ServerLoaded{{"a", 5}, {"model", 2}})),
       wire::encode(PeerMessage(EntryLoads{"e", 100, {{1, 2, 3, 4}}, {{5, 6}}})),
-      wire::encode(PeerMessage(Received{}))};
+      wire::encode(PeerMessage(Acknowledgement{}))};
 }
 
 /// A value under each kind of key of the platform's store.
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -319,7 +319,7 @@
   ASSERT_EQ(orders().size(), 1);
   EXPECT_NE(orders()[0].find("\"expected\":4"), std::string::npos);
   EXPECT_NE(orders()[0].find("\"fencing-token\":" +
-                             std::to_string(direct::lastingRevision(
+                             std::to_string(direct::monotonicRevision(
                                  1, Store.revisionOf("daisytack/holder")))),
             std::string::npos)
       << orders()[0];
--- a/tests/platform/format_test.cpp
+++ b/tests/platform/format_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using namespace std::chrono_literals;
-using direct::FactKind;
+using direct::RecordKind;
 
 constexpr const char *ConfigText = R"({"version":7,"routes":[
  {"name":"r1","host":"a.example","path-prefix":"/x/","kind":"streaming",
@@ -126,17 +126,17 @@
 }
 
 TEST(SubjectOf, KnowsEveryKey) {
-  EXPECT_EQ(subjectOf("op/config").Kind, FactKind::Config);
+  EXPECT_EQ(subjectOf("op/config").Kind, RecordKind::Config);
   EXPECT_EQ(subjectOf("op/version/m"),
-            (direct::FactSubject{FactKind::Weights, "m"}));
+            (direct::RecordSubject{RecordKind::Weights, "m"}));
   EXPECT_EQ(subjectOf("servers/i"),
-            (direct::FactSubject{FactKind::Server, "i"}));
+            (direct::RecordSubject{RecordKind::Server, "i"}));
   EXPECT_EQ(subjectOf(entryKey("e")),
-            (direct::FactSubject{FactKind::Entry, "e"}));
-  EXPECT_EQ(subjectOf(holderKey()).Kind, FactKind::Holder);
+            (direct::RecordSubject{RecordKind::Entry, "e"}));
+  EXPECT_EQ(subjectOf(holderKey()).Kind, RecordKind::Holder);
   EXPECT_EQ(subjectOf("op/evacuate/z"),
-            (direct::FactSubject{FactKind::Evacuation, "z"}));
-  EXPECT_EQ(subjectOf("op/other").Kind, FactKind::Other);
+            (direct::RecordSubject{RecordKind::Evacuation, "z"}));
+  EXPECT_EQ(subjectOf("op/other").Kind, RecordKind::Other);
 }
 
 TEST(DecodeFact, ReadsBackWhatEntriesWrite) {
@@ -151,12 +151,13 @@
   EXPECT_EQ(decodeAs<direct::EntryRegistration>(registrationKey(entry.Peer),
                                                 encodeRegistration(entry)),
             entry);
-  direct::OrderHolder holder{"e", {"10.0.0.1", 7580}};
-  EXPECT_EQ(decodeAs<direct::OrderHolder>(holderKey(), encodeHolder(holder)),
-            holder);
+  direct::OrderLeaseHolder holder{"e", {"10.0.0.1", 7580}};
+  EXPECT_EQ(
+      decodeAs<direct::OrderLeaseHolder>(holderKey(), encodeHolder(holder)),
+      holder);
   // Of a version that named no instance.
-  EXPECT_EQ(decodeAs<direct::OrderHolder>(holderKey(), R"({"entry":"e"})"),
-            direct::OrderHolder{"e"});
+  EXPECT_EQ(decodeAs<direct::OrderLeaseHolder>(holderKey(), R"({"entry":"e"})"),
+            direct::OrderLeaseHolder{"e"});
 }
 
 TEST(ReadChanges, NoticesMissingNumbers) {
--- a/tests/platform/kv_store_test.cpp
+++ b/tests/platform/kv_store_test.cpp
@@ -312,7 +312,7 @@
   };
   edge::KvRangeResult before = read();
   EXPECT_EQ(before.Header.Era, 1);
-  EXPECT_EQ(before.Header.Revision, direct::lastingRevision(1, 67));
+  EXPECT_EQ(before.Header.Revision, direct::monotonicRevision(1, 67));
   era = 2;
   edge::KvRangeResult after = read();
   EXPECT_EQ(service.Store.LatestEra(), 2);
@@ -361,8 +361,9 @@
       service.Store.Commit(change, CallTime, std::move(done));
     });
   };
-  uint64_t known = direct::lastingRevision(1, 62);
-  EXPECT_EQ(commitOver(known).Header.Revision, direct::lastingRevision(1, 70));
+  uint64_t known = direct::monotonicRevision(1, 62);
+  EXPECT_EQ(commitOver(known).Header.Revision,
+            direct::monotonicRevision(1, 70));
   EXPECT_NE(service.requests()[0].Body.find(R"("revision":62)"),
             std::string::npos);
   // The restore is found out by the answer, and was carried out or not.
--- a/tests/platform/server_record_test.cpp
+++ b/tests/platform/server_record_test.cpp
@@ -28,7 +28,7 @@
 
 json::object wholeRecord() { return json::parse(WholeRecord).as_object(); }
 
-std::optional<direct::FactValue>
+std::optional<direct::RecordValue>
 decode(const std::string &key, const std::string &value, Error &reason) {
   return decodeFact({key, value, 5, false}, reason);
 }
