--- a/tests/gateway/test_ports_test.cpp
+++ b/tests/gateway/test_ports_test.cpp
@@ -10,17 +10,17 @@
 namespace {
 
 /// The first port that the kernel gives to a connection without one.
-unsigned firstOwnPortOfKernel() {
+unsigned firstEphemeralPort() {
   std::ifstream range("/proc/sys/net/ipv4/ip_local_port_range");
   unsigned out = 0;
   range >> out;
   return out;
 }
 
-TEST(PortBlock, LiesBelowWhatTheKernelGivesAway) {
+TEST(PortBlock, LiesBelowTheEphemeralPortRange) {
   EXPECT_LE(PortBlock::First + PortBlock::Size * PortBlock::Blocks,
-            firstOwnPortOfKernel());
-  EXPECT_LT(freeEndpoint().Port, firstOwnPortOfKernel());
+            firstEphemeralPort());
+  EXPECT_LT(freeEndpoint().Port, firstEphemeralPort());
 }
 
 TEST(PortBlock, BelongsToOneHolder) {
@@ -30,7 +30,7 @@
   EXPECT_NE(one->base(), two->base());
 }
 
-TEST(PortBlock, IsLeftOutWhileSomebodyListensOnIt) {
+TEST(PortBlock, IsSkippedWhileAProcessListensOnIt) {
   namespace ip = boost::asio::ip;
   auto one = PortBlock::take();
   ASSERT_TRUE(one);
@@ -44,7 +44,7 @@
   EXPECT_NE(other->base(), base);
 }
 
-TEST(PortBlock, EndsWhenAllPortsWereHandedOut) {
+TEST(PortBlock, ReturnsNothingOnceAllPortsAreUsed) {
   auto block = PortBlock::take();
   ASSERT_TRUE(block);
   std::set<uint16_t> seen;
