--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -76,7 +76,7 @@
 
   ServerLoads Loads{{}};
   StoreLinks Links{{}};
-  ReadingRate Rates{{}};
+  PrefillRate Rates{{}};
   Ejector Ejected{{1, 4, 5s, 300s, 60s, 600s, true}};
   KeptContext Kept{{}};
   Catalog Known;
@@ -95,7 +95,7 @@
           static_cast<size_t>(i * 40 + n) % world.Known.AllServers.size();
       shares.push_back({world.Known.AllServers[at].ref().key(), 1, 100, 100});
     }
-    world.Loads.onPeer("e" + std::to_string(i), shares, 10s, Start);
+    world.Loads.onPeerReport("e" + std::to_string(i), shares, 10s, Start);
   }
   std::vector<ForwardRequest> requests;
   for (int i = 0; i < Calls; ++i)
--- a/bench/server_loads.cpp
+++ b/bench/server_loads.cpp
@@ -38,15 +38,15 @@
       auto at = static_cast<size_t>((entry * 31 + i) % fleet.Servers);
       shares.push_back({ServerRef{ids[at], 0}.key(), 1, 100, 200});
     }
-    loads.onPeer("entry-" + std::to_string(entry), shares, Duration(2'000'000),
-                 now);
+    loads.onPeerReport("entry-" + std::to_string(entry), shares,
+                       Duration(2'000'000), now);
   }
   double message = micros(start, fleet.Entries);
   start = monotonicNow();
   uint64_t sum = 0;
   for (int i = 0; i < Looks; ++i)
     sum += loads.view({ids[static_cast<size_t>(i % fleet.Servers)], 0}, now)
-               .Tokens;
+               .WaitingTokens;
   std::printf("%6d servers %5d entries: look %.3f us, message %.1f us (%llu)\n",
               fleet.Servers, fleet.Entries, micros(start, Looks), message,
               static_cast<unsigned long long>(sum));
--- a/src/direct/admission.cpp
+++ b/src/direct/admission.cpp
@@ -37,7 +37,8 @@
   if (!hasMemory(request, catalog, load))
     return true;
   std::optional<double> most = mostQueueMs(request, catalog);
-  if (most && Cost.readMs(request, static_cast<double>(load.Tokens)) > *most)
+  if (most &&
+      Cost.prefillMs(request, static_cast<double>(load.WaitingTokens)) > *most)
     return true;
   Duration patience = request.Deadline - now;
   if (request.Via.FirstEventPatience > Duration::zero())
@@ -58,7 +59,7 @@
   if (!most)
     return soon;
   double excessMs =
-      Cost.readMs(request, static_cast<double>(load.Tokens)) - *most;
+      Cost.prefillMs(request, static_cast<double>(load.WaitingTokens)) - *most;
   return std::max(soon, Duration(static_cast<int64_t>(excessMs * 1000)));
 }
 
--- a/src/direct/candidate.h
+++ b/src/direct/candidate.h
@@ -13,7 +13,7 @@
   const BackendServer *Server = nullptr; ///< Of the catalog; never null.
   ServerLoadView Load;
   /// How long its weights have been older than wanted.
-  Duration Behind{0};
+  Duration OutdatedFor{0};
   /// It has just started, or is cold again, or may be: it takes few requests.
   bool IsCold = false;
   auto operator<=>(const Candidate &) const = default;
--- a/src/direct/context_planner.cpp
+++ b/src/direct/context_planner.cpp
@@ -25,9 +25,9 @@
   double target = millisecondsOf(request.Via.TargetLatency);
   // The queue's wait is left out: reading what could be fetched would only
   // lengthen it.
-  double left = target * Settings.FetchShare - Settings.LeastFirstTokenMs -
-                Cost.readMs(request, request.Head.PromptTokens);
-  return std::max(left, Cost.readMs(request, sharedTokens(request.Head)));
+  double left = target * Settings.FetchShare - Settings.MinFirstTokenMs -
+                Cost.prefillMs(request, request.Head.PromptTokens);
+  return std::max(left, Cost.prefillMs(request, sharedTokens(request.Head)));
 }
 
 void ContextPlanner::plan(const ForwardRequest &request,
@@ -45,7 +45,7 @@
   double longest = -1;
   uint64_t sourced = 0;
   uint64_t unread = 0;
-  bool isOld = candidate.Behind > Duration::zero();
+  bool isOld = candidate.OutdatedFor > Duration::zero();
   // The home will fetch what is the session's own; the rest all servers will.
   size_t ofSession = head.Parts.size() - 2;
   for (size_t i = 0; i + 1 < head.Parts.size(); ++i) {
@@ -65,7 +65,7 @@
         longest = transfer;
         order.SlowestSource = store->Address;
       }
-    } else if (part.Tokens < Settings.LeastPartTokens || isOld) {
+    } else if (part.Tokens < Settings.MinPartTokens || isOld) {
       continue; // Context of weights that are about to go is not worth room.
     } else if (auto place = Kept.planSave(order.CacheScope, part,
                                           i == ofSession ? home.FailureDomain
@@ -82,8 +82,8 @@
   if (order.SlowestSource && serversClockMs)
     order.FetchUntilMs =
         *serversClockMs +
-        std::min(static_cast<int64_t>(std::max(budget, Settings.LeastFetchMs)),
-                 LongestFetch.count() / 1000);
+        std::min(static_cast<int64_t>(std::max(budget, Settings.MinFetchMs)),
+                 MaxFetchTime.count() / 1000);
 }
 
 } // namespace daisytack::direct
--- a/src/direct/context_planner.h
+++ b/src/direct/context_planner.h
@@ -16,7 +16,7 @@
 /// No fetch that an entry asks for lasts longer; the platform starts none that
 /// would wait for two seconds. Kept context is freed only once that has passed
 /// since the last entry stopped naming it.
-constexpr Duration LongestFetch{2'000'000};
+constexpr Duration MaxFetchTime{2'000'000};
 
 /// Thread-safe.
 class ContextPlanner {
--- a/src/direct/eligibility.cpp
+++ b/src/direct/eligibility.cpp
@@ -25,28 +25,28 @@
   const std::string &model = request.Head.Model;
   if (!model.empty())
     if (auto since = catalog.behindSince(model, server.versionOf(model)))
-      out.Behind = now - *since;
+      out.OutdatedFor = now - *since;
   // One that becomes cold while nobody can say so is not to be flooded.
   out.IsCold = (now < server.ColdUntil || catalog.IsServiceSilent) &&
                coldRateOf(catalog, server) > 0;
   return out;
 }
 
-std::optional<TimePoint> Eligibility::opensAt(const Candidate &candidate,
-                                              const Catalog &catalog,
-                                              TimePoint now) const {
+std::optional<TimePoint> Eligibility::availableAt(const Candidate &candidate,
+                                                  const Catalog &catalog,
+                                                  TimePoint now) const {
   if (candidate.Load.IsLeaving)
     return std::nullopt;
   const BackendServer &server = *candidate.Server;
   std::optional<TimePoint> limited =
-      Beliefs.Limits.opensAt(server, catalog, now);
+      Beliefs.Limits.availableAt(server, catalog, now);
   if (!limited)
     return std::nullopt;
-  TimePoint out = std::max({now, candidate.Load.ClosedUntil, *limited});
+  TimePoint out = std::max({now, candidate.Load.RetryAt, *limited});
   if (!candidate.IsCold)
     return out;
-  std::optional<TimePoint> share =
-      Beliefs.ColdServers.opensAt(server, coldRateOf(catalog, server), catalog);
+  std::optional<TimePoint> share = Beliefs.ColdServers.availableAt(
+      server, coldRateOf(catalog, server), catalog);
   // It takes as much as before once it is known to be warm.
   if (catalog.IsServiceSilent)
     return share ? std::optional(std::max(out, *share)) : std::nullopt;
@@ -61,14 +61,15 @@
   uint64_t key = candidate.Server->ref().key();
   if (load.IsAvoided || Beliefs.Ejected.isEjected(key, now))
     return Care::Any;
-  if (candidate.Behind == Duration::zero())
+  if (candidate.OutdatedFor == Duration::zero())
     return Care::Full;
   // What counts is when it begins to run.
   double waitMs =
       Cost.firstTokenMs(request, load, 0) * Settings.OldWeightsWaitFactor;
   auto wait = Duration(static_cast<int64_t>(waitMs * 1000));
-  bool isInTime = candidate.Behind + std::min(wait, Settings.OldWeightsWait) <
-                  Settings.OldWeightsLimit;
+  bool isInTime =
+      candidate.OutdatedFor + std::min(wait, Settings.OldWeightsWait) <
+      Settings.OldWeightsLimit;
   return isInTime ? Care::Full : Care::AnyVersion;
 }
 
@@ -83,7 +84,7 @@
     if (!Where.allows(request.Regions, server.FailureDomain))
       continue;
     Candidate candidate = look(request, catalog, server, now);
-    std::optional<TimePoint> opens = opensAt(candidate, catalog, now);
+    std::optional<TimePoint> opens = availableAt(candidate, catalog, now);
     if (!opens)
       continue;
     if (now < *opens) {
@@ -109,13 +110,13 @@
   return out;
 }
 
-bool Eligibility::take(const Candidate &candidate, const Catalog &catalog,
-                       TimePoint now) const {
+bool Eligibility::tryAcquire(const Candidate &candidate, const Catalog &catalog,
+                             TimePoint now) const {
   const BackendServer &server = *candidate.Server;
   bool isTaken = !candidate.IsCold ||
-                 Beliefs.ColdServers.take(server, coldRateOf(catalog, server),
-                                          catalog, now);
-  return isTaken && Beliefs.Limits.take(server, catalog, now);
+                 Beliefs.ColdServers.tryAcquire(
+                     server, coldRateOf(catalog, server), catalog, now);
+  return isTaken && Beliefs.Limits.tryAcquire(server, catalog, now);
 }
 
 } // namespace daisytack::direct
--- a/src/direct/eligibility.h
+++ b/src/direct/eligibility.h
@@ -42,8 +42,8 @@
                      Error &reason) const;
   /// Counts a request that is about to be sent against this entry's share of
   /// what the server takes; false when that is used up.
-  bool take(const Candidate &server, const Catalog &catalog,
-            TimePoint now) const;
+  bool tryAcquire(const Candidate &server, const Catalog &catalog,
+                  TimePoint now) const;
 
 private:
   /// How picky a choice is; each level is tried before the next.
@@ -53,8 +53,9 @@
                  const BackendServer &server, TimePoint now) const;
   /// When the server may be asked by its own word, its limit and its slow
   /// start: now or earlier for at once, nothing when that is not known.
-  std::optional<TimePoint> opensAt(const Candidate &server,
-                                   const Catalog &catalog, TimePoint now) const;
+  std::optional<TimePoint> availableAt(const Candidate &server,
+                                       const Catalog &catalog,
+                                       TimePoint now) const;
   /// The pickiest level at which the server is used.
   Care careFor(const ForwardRequest &request, const Candidate &server,
                TimePoint now) const;
--- a/src/direct/kept_context.cpp
+++ b/src/direct/kept_context.cpp
@@ -42,7 +42,7 @@
   return version && *version < BelowVersion && unitHash(part) < Share;
 }
 
-bool isUnused(const BrokenPart &part, uint64_t freeBelow,
+bool isUnused(const PartRef &part, uint64_t freeBelow,
               const std::vector<Retirement> &agreed) {
   if (versionOfScope(part.Scope).value_or(0) < freeBelow)
     return true;
@@ -254,7 +254,7 @@
   return best;
 }
 
-void KeptContext::forgetSave(std::string_view scope, const PromptPart &part) {
+void KeptContext::cancelSave(std::string_view scope, const PromptPart &part) {
   std::lock_guard guard(Lock);
   Saves.erase(keyOf(scope, part.Id));
 }
@@ -270,17 +270,17 @@
   Retired.push_back(retirement);
 }
 
-std::vector<BrokenPart> KeptContext::partsWhere(
+std::vector<PartRef> KeptContext::partsWhere(
     const std::string &name,
-    const std::function<bool(const BrokenPart &)> &test) const {
+    const std::function<bool(const PartRef &)> &test) const {
   std::lock_guard guard(Lock);
-  std::vector<BrokenPart> out;
+  std::vector<PartRef> out;
   auto it = Stores.find(name);
   if (it == Stores.end())
     return out;
   for (const auto &[key, tokens] : it->second.Parts) {
     size_t at = key.find(KeySeparator);
-    BrokenPart part{key.substr(0, at), key.substr(at + 1)};
+    PartRef part{key.substr(0, at), key.substr(at + 1)};
     if (test(part))
       out.push_back(std::move(part));
   }
@@ -288,16 +288,16 @@
 }
 
 void KeptContext::onFreed(const std::string &name,
-                          const std::vector<BrokenPart> &parts) {
+                          const std::vector<PartRef> &parts) {
   std::lock_guard guard(Lock);
   auto it = Stores.find(name);
   if (it == Stores.end())
     return;
-  for (const BrokenPart &part : parts)
+  for (const PartRef &part : parts)
     removePart(it->second, keyOf(part.Scope, part.Part));
 }
 
-double KeptContext::spareShare() const {
+double KeptContext::freeToUsedRatio() const {
   std::lock_guard guard(Lock);
   double held = 0;
   double room = 0;
--- a/src/direct/kept_context.h
+++ b/src/direct/kept_context.h
@@ -43,10 +43,10 @@
 };
 
 /// Space that was reserved for a part whose save broke off.
-struct BrokenPart {
+struct PartRef {
   std::string Scope;
   std::string Part;
-  auto operator<=>(const BrokenPart &) const = default;
+  auto operator<=>(const PartRef &) const = default;
 };
 
 /// Everything that a store holds.
@@ -54,13 +54,13 @@
   uint64_t Epoch = 0;
   uint64_t Next = 0;
   std::vector<PartChange> Kept; ///< Numbers are not used.
-  std::vector<BrokenPart> Broken;
+  std::vector<PartRef> Incomplete;
   auto operator<=>(const PartList &) const = default;
 };
 
 /// Whether a part can be freed: it was made for weights before the version that
 /// nobody has had for long enough, or is retired and not read any more.
-bool isUnused(const BrokenPart &part, uint64_t freeBelow,
+bool isUnused(const PartRef &part, uint64_t freeBelow,
               const std::vector<Retirement> &agreed);
 
 /// Text under which kept context is found: apart by weight version, and by
@@ -125,22 +125,22 @@
                                              TimePoint now,
                                              const StoreTest &mayUse = {});
   /// The save was not carried out.
-  void forgetSave(std::string_view scope, const PromptPart &part);
+  void cancelSave(std::string_view scope, const PromptPart &part);
 
   /// Parts of a share of sessions, made for weights before the version, are not
   /// offered any more, for good, so that they can be freed for those of newer
   /// weights.
   void retire(const Retirement &retirement);
   /// Known parts of the store that pass the test.
-  std::vector<BrokenPart>
+  std::vector<PartRef>
   partsWhere(const std::string &store,
-             const std::function<bool(const BrokenPart &)> &test) const;
+             const std::function<bool(const PartRef &)> &test) const;
   /// The store has freed the parts, by its own answer; its report may be lost.
-  void onFreed(const std::string &store, const std::vector<BrokenPart> &parts);
+  void onFreed(const std::string &store, const std::vector<PartRef> &parts);
   size_t partsKnown() const;
   /// Room for further parts, as a share of what is held; over all stores. No
   /// room while none is known.
-  double spareShare() const;
+  double freeToUsedRatio() const;
 
 private:
   struct Store {
--- a/src/direct/peer_messages.h
+++ b/src/direct/peer_messages.h
@@ -102,7 +102,7 @@
 /// What servers said of their limits on requests, as the sender heard it; by
 /// datagram.
 struct RequestLimitNews {
-  std::vector<LimitWord> Words;
+  std::vector<LimitReport> Words;
   bool operator==(const RequestLimitNews &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(Words); }
 };
--- a/src/direct/placement.cpp
+++ b/src/direct/placement.cpp
@@ -50,7 +50,7 @@
 } // namespace
 
 Placement::Placement(PlacementSettings settings, Locality where,
-                     PlacementView view)
+                     PlacementInputs view)
     : Settings(settings), Where(std::move(where)), Rates(view.Rates),
       Cost(settings, Where.FailureDomain, view.Rates, view.Kept),
       Eligible(settings, Where,
@@ -64,7 +64,7 @@
   size_t current = 0;
   RankedServers ranked(homeKey(request.Head), servers);
   while (const Candidate *it = ranked.next()) {
-    bool isCurrent = it->Behind == Duration::zero();
+    bool isCurrent = it->OutdatedFor == Duration::zero();
     bool hasAll = out.size() >= Settings.SessionCandidates;
     if (hasAll && current >= Settings.CurrentCandidates)
       break;
@@ -92,11 +92,11 @@
 const Candidate &Placement::cheapest(const ForwardRequest &request,
                                      const Candidates &servers,
                                      const BackendServer *home) const {
-  PlacementCost::UnkeptTokens unkept;
+  PlacementCost::UnsavedTokens unsaved;
   size_t best = 0;
   double least = std::numeric_limits<double>::infinity();
   for (size_t i = 0; i < servers.size(); ++i) {
-    double cost = Cost.of(request, servers[i], home, unkept);
+    double cost = Cost.costMs(request, servers[i], home, unsaved);
     if (cost >= least)
       continue;
     best = i;
@@ -148,7 +148,7 @@
     std::optional<Choice> choice = best(request, catalog, servers, now, reason);
     if (!choice)
       return std::nullopt;
-    if (!Eligible.take(choice->Server, catalog, now))
+    if (!Eligible.tryAcquire(choice->Server, catalog, now))
       continue;
     return AttemptChoice{orderFor(request, catalog, choice->Server,
                                   choice->Home, serversClockMs, now)};
@@ -174,9 +174,9 @@
   out.CacheScope =
       cacheScope(request.Organisation, request.IsIsolated, out.WeightVersion);
   out.QueuedTokens = head.PromptTokens;
-  out.TokensBefore = candidate.Load.Tokens;
+  out.TokensBefore = candidate.Load.WaitingTokens;
   out.HeldBefore = candidate.Load.HeldTokens;
-  out.TokensPerMs = Rates.of(request.Service);
+  out.TokensPerMs = Rates.tokensPerMs(request.Service);
   if (service->Engine->HasManagedContext && head.Parts.size() >= 2)
     Contexts.plan(request, candidate, *home, serversClockMs, now, out);
   out.FirstTokenMs =
--- a/src/direct/placement.h
+++ b/src/direct/placement.h
@@ -18,11 +18,11 @@
 namespace daisytack::direct {
 
 /// What a choice is made on; all thread-safe.
-struct PlacementView {
+struct PlacementInputs {
   const ServerLoads &Loads; ///< Of backend servers.
   const StoreLinks &Links;  ///< To the stores.
   const Ejector &Ejected;
-  const ReadingRate &Rates;
+  const PrefillRate &Rates;
   KeptContext &Kept;
   SlowStart &ColdServers;
   RequestLimits &Limits;
@@ -31,7 +31,7 @@
 /// Thread-safe.
 class Placement {
 public:
-  Placement(PlacementSettings settings, Locality where, PlacementView view);
+  Placement(PlacementSettings settings, Locality where, PlacementInputs view);
   // Its parts refer to one another.
   Placement(const Placement &) = delete;
   Placement &operator=(const Placement &) = delete;
@@ -75,7 +75,7 @@
 
   PlacementSettings Settings;
   Locality Where;
-  const ReadingRate &Rates;
+  const PrefillRate &Rates;
   PlacementCost Cost;
   Eligibility Eligible;
   Admission Admit;
--- a/src/direct/placement_cost.cpp
+++ b/src/direct/placement_cost.cpp
@@ -14,22 +14,22 @@
 
 PlacementCost::PlacementCost(PlacementSettings settings,
                              std::string failureDomain,
-                             const ReadingRate &rates, const KeptContext &kept)
+                             const PrefillRate &rates, const KeptContext &kept)
     : Settings(settings), FailureDomain(std::move(failureDomain)), Rates(rates),
       Kept(kept) {}
 
-double PlacementCost::readMs(const ForwardRequest &request,
-                             double tokens) const {
-  return tokens / Rates.of(request.Service);
+double PlacementCost::prefillMs(const ForwardRequest &request,
+                                double tokens) const {
+  return tokens / Rates.tokensPerMs(request.Service);
 }
 
 double PlacementCost::firstTokenMs(const ForwardRequest &request,
                                    const ServerLoadView &load,
                                    uint64_t readTokens) const {
-  auto queued = static_cast<double>(load.Tokens + readTokens);
+  auto queued = static_cast<double>(load.WaitingTokens + readTokens);
   bool hasPrompt = !request.Head.Model.empty();
-  return (hasPrompt ? Settings.LeastFirstTokenMs : 0) +
-         readMs(request, queued) + load.Running * Settings.RunningMs;
+  return (hasPrompt ? Settings.MinFirstTokenMs : 0) +
+         prefillMs(request, queued) + load.Running * Settings.RunningMs;
 }
 
 uint64_t PlacementCost::tokensToRead(const ForwardRequest &request,
@@ -44,9 +44,10 @@
   return out;
 }
 
-double PlacementCost::of(const ForwardRequest &request,
-                         const Candidate &candidate, const BackendServer *home,
-                         UnkeptTokens &unkept) const {
+double PlacementCost::costMs(const ForwardRequest &request,
+                             const Candidate &candidate,
+                             const BackendServer *home,
+                             UnsavedTokens &unsaved) const {
   const BackendServer &server = *candidate.Server;
   const ServerLoadView &load = candidate.Load;
   bool isFar = server.FailureDomain != FailureDomain;
@@ -54,15 +55,15 @@
     return load.Running * Settings.CallRunningMs +
            (isFar ? Settings.CallOtherDomainMs : 0);
   auto [toRead, isNew] =
-      unkept.try_emplace(server.versionOf(request.Head.Model));
+      unsaved.try_emplace(server.versionOf(request.Head.Model));
   if (isNew)
     toRead->second = tokensToRead(request, server);
   double out = firstTokenMs(request, load, toRead->second);
   if (isFar)
     out += Settings.OtherDomainMs;
   if (&server != home) // What the home may still have is read or fetched.
-    out += readMs(request, sharedTokens(request.Head));
-  if (candidate.Behind > Settings.OldWeightsGrace)
+    out += prefillMs(request, sharedTokens(request.Head));
+  if (candidate.OutdatedFor > Settings.OldWeightsGrace)
     out += Settings.OldWeightsMs;
   return out;
 }
--- a/src/direct/placement_cost.h
+++ b/src/direct/placement_cost.h
@@ -6,7 +6,7 @@
 #include "direct/forward_flow.h"
 #include "direct/kept_context.h"
 #include "direct/placement_settings.h"
-#include "direct/reading_rate.h"
+#include "direct/prefill_rate.h"
 
 #include <map>
 #include <string>
@@ -17,17 +17,17 @@
 class PlacementCost {
 public:
   /// Tokens that no store holds, by weight version; one choice's own.
-  using UnkeptTokens = std::map<uint64_t, uint64_t>;
+  using UnsavedTokens = std::map<uint64_t, uint64_t>;
 
   PlacementCost(PlacementSettings settings, std::string failureDomain,
-                const ReadingRate &rates, const KeptContext &kept);
+                const PrefillRate &rates, const KeptContext &kept);
 
   /// The home is the server that may hold the session's context in its memory;
   /// null for a request without a prompt.
-  double of(const ForwardRequest &request, const Candidate &server,
-            const BackendServer *home, UnkeptTokens &unkept) const;
+  double costMs(const ForwardRequest &request, const Candidate &server,
+                const BackendServer *home, UnsavedTokens &unsaved) const;
   /// What so many tokens take to read, alone.
-  double readMs(const ForwardRequest &request, double tokens) const;
+  double prefillMs(const ForwardRequest &request, double tokens) const;
   /// Until the first token of a prompt of which so much has to be read.
   double firstTokenMs(const ForwardRequest &request, const ServerLoadView &load,
                       uint64_t readTokens) const;
@@ -39,7 +39,7 @@
 
   PlacementSettings Settings;
   std::string FailureDomain;
-  const ReadingRate &Rates;
+  const PrefillRate &Rates;
   const KeptContext &Kept;
 };
 
--- a/src/direct/placement_settings.h
+++ b/src/direct/placement_settings.h
@@ -10,7 +10,7 @@
 
 struct PlacementSettings {
   /// Least time until a first token, without reading and queues.
-  double LeastFirstTokenMs = 50;
+  double MinFirstTokenMs = 50;
   /// Servers that one session's prompts may go to, the first by rendezvous over
   /// all failure domains, and so many with the wanted weights. The same ones
   /// for every entry: a home in each entry's own domain would hold each
@@ -76,12 +76,12 @@
   double FetchShare = 0.75;
   /// A fetch is given up after this at the soonest, however it delays its own
   /// request: one that is cut short has kept its link busy in vain.
-  double LeastFetchMs = 2000;
+  double MinFetchMs = 2000;
   /// Requests that go on fetching from the most congested link, so that its
   /// recovery is seen.
   double ProbeShare = 0.1;
   /// Parts with fewer tokens are not worth a transfer of their own.
-  uint32_t LeastPartTokens = 64;
+  uint32_t MinPartTokens = 64;
   bool operator==(const PlacementSettings &) const = default;
 };
 
--- a/src/direct/reading_rate.cpp
+++ b/src/direct/prefill_rate.cpp
@@ -1,4 +1,4 @@
-#include "direct/reading_rate.h"
+#include "direct/prefill_rate.h"
 
 #include "base/duration.h"
 
@@ -7,17 +7,18 @@
 
 namespace daisytack::direct {
 
-void ReadingRate::observe(std::string_view service, uint64_t unread,
+void PrefillRate::observe(std::string_view service, uint64_t unread,
                           uint64_t before, Duration firstByte) {
-  double readMs = millisecondsOf(firstByte) - Settings.BaseMs;
-  if (unread < Settings.LeastTokens || readMs <= 0)
+  double prefillMs = millisecondsOf(firstByte) - Settings.BaseMs;
+  if (unread < Settings.LeastTokens || prefillMs <= 0)
     return;
-  double seen = readMs / static_cast<double>(unread + before);
+  double seen = prefillMs / static_cast<double>(unread + before);
   std::lock_guard guard(Lock);
   auto it = Estimates.find(service);
   if (it == Estimates.end())
-    it = Estimates.emplace(service, Estimate{1 / Settings.PriorTokensPerMs, 0})
-             .first;
+    it =
+        Estimates.emplace(service, Estimate{1 / Settings.InitialTokensPerMs, 0})
+            .first;
   Estimate &estimate = it->second;
   // Follows the quantile: it rests where that share of observations is below.
   double step = std::max(Settings.FirstStep / (1 + 0.1 * estimate.Observed),
@@ -29,10 +30,10 @@
   ++estimate.Observed;
 }
 
-double ReadingRate::of(std::string_view service) const {
+double PrefillRate::tokensPerMs(std::string_view service) const {
   std::lock_guard guard(Lock);
   auto it = Estimates.find(service);
-  return it == Estimates.end() ? Settings.PriorTokensPerMs
+  return it == Estimates.end() ? Settings.InitialTokensPerMs
                                : 1 / it->second.MsPerToken;
 }
 
--- a/src/direct/reading_rate.h
+++ b/src/direct/prefill_rate.h
@@ -16,10 +16,10 @@
 
 namespace daisytack::direct {
 
-struct ReadingRateSettings {
+struct PrefillRateSettings {
   /// Of the engines first in use, by their data sheet; believed until prompts
   /// were observed.
-  double PriorTokensPerMs = 112;
+  double InitialTokensPerMs = 112;
   /// Part of the first byte's wait that is not reading: the trip, the engine's
   /// set-up and its first step.
   double BaseMs = 50;
@@ -36,20 +36,20 @@
   /// second moves it by a few hundredths.
   double FirstStep = 0.25;
   double LeastStep = 0.02;
-  bool operator==(const ReadingRateSettings &) const = default;
+  bool operator==(const PrefillRateSettings &) const = default;
 };
 
 /// Thread-safe.
-class ReadingRate {
+class PrefillRate {
 public:
-  explicit ReadingRate(ReadingRateSettings settings) : Settings(settings) {}
+  explicit PrefillRate(PrefillRateSettings settings) : Settings(settings) {}
 
   /// The first byte of an answer came after so long. Of its prompt so many
   /// tokens had certainly to be read, and so many waited before it.
   void observe(std::string_view service, uint64_t unread, uint64_t before,
                Duration firstByte);
   /// Tokens a millisecond; the prior while nothing was observed.
-  double of(std::string_view service) const;
+  double tokensPerMs(std::string_view service) const;
 
 private:
   struct Estimate {
@@ -57,7 +57,7 @@
     uint32_t Observed = 0;
   };
 
-  ReadingRateSettings Settings;
+  PrefillRateSettings Settings;
   mutable std::mutex Lock;
   std::map<std::string, Estimate, std::less<>> Estimates;
 };
--- a/src/direct/protocol.h
+++ b/src/direct/protocol.h
@@ -54,8 +54,8 @@
       ReadChanges;
   std::function<net::HttpRequest()> ListRequest;
   std::function<std::optional<PartList>(std::string_view body)> ReadList;
-  std::function<net::HttpRequest(const std::vector<BrokenPart> &,
-                                 uint64_t epoch, std::optional<int64_t> until)>
+  std::function<net::HttpRequest(const std::vector<PartRef> &, uint64_t epoch,
+                                 std::optional<int64_t> until)>
       FreeRequest;
   std::function<net::HttpRequest(const WeightOrder &)> OrderRequest;
   std::function<net::HttpRequest()> ReportRequest;
--- a/src/direct/request_limits.cpp
+++ b/src/direct/request_limits.cpp
@@ -30,7 +30,7 @@
   double requests = std::min(perSecond * secondsOf(out.Window), MostRequests);
   // At least one: only its answer tells that the limit has ended.
   out.Requests = std::max(1U, static_cast<uint32_t>(requests));
-  out.IsSpread = true;
+  out.IsPaced = true;
   return out;
 }
 
@@ -53,14 +53,15 @@
   if (wasLimited == perSecond.has_value())
     return LimitChange::None;
   if (perSecond)
-    return LimitChange::Named;
+    return LimitChange::Imposed;
   belief.TellUntil = now + Settings.LiftNews;
   return LimitChange::Lifted;
 }
 
-void RequestLimits::onPeer(const std::vector<LimitWord> &words, TimePoint now) {
+void RequestLimits::onPeerReports(const std::vector<LimitReport> &words,
+                                  TimePoint now) {
   std::lock_guard guard(Lock);
-  for (const LimitWord &word : words) {
+  for (const LimitReport &word : words) {
     TimePoint heardAt = now - std::chrono::milliseconds(word.AgoMs);
     auto it = Servers.find(word.Server);
     bool isOld = it != Servers.end() && heardAt <= it->second.HeardAt;
@@ -81,7 +82,7 @@
   }
 }
 
-std::vector<LimitWord> RequestLimits::takeNews(TimePoint now) {
+std::vector<LimitReport> RequestLimits::takeGossip(TimePoint now) {
   std::lock_guard guard(Lock);
   std::vector<std::pair<uint64_t, Belief *>> due;
   for (auto &[server, belief] : Servers)
@@ -91,7 +92,7 @@
     return a.second->ToldAt < b.second->ToldAt;
   });
   due.resize(std::min(due.size(), Settings.MostNews));
-  std::vector<LimitWord> out;
+  std::vector<LimitReport> out;
   for (auto &[server, belief] : due) {
     belief->ToldAt = now;
     int64_t agoMs = (now - belief->HeardAt).count() / 1000;
@@ -113,24 +114,24 @@
   // share does not use it: other entries get one, so that the server is asked
   // again and the end of its limit found.
   Duration silent = std::max(now - it->second.HeardAt, Duration::zero());
-  out.Turn = static_cast<uint64_t>(silent / (2 * out.Window));
+  out.Rotation = static_cast<uint64_t>(silent / (2 * out.Window));
   return out;
 }
 
-std::optional<TimePoint> RequestLimits::opensAt(const BackendServer &server,
-                                                const Catalog &catalog,
-                                                TimePoint now) {
+std::optional<TimePoint> RequestLimits::availableAt(const BackendServer &server,
+                                                    const Catalog &catalog,
+                                                    TimePoint now) {
   std::optional<QuotaBound> bound = boundOf(server, now);
-  return bound ? Shares.opensAt(server, *bound, catalog) : now;
+  return bound ? Shares.availableAt(server, *bound, catalog) : now;
 }
 
-bool RequestLimits::take(const BackendServer &server, const Catalog &catalog,
-                         TimePoint now) {
+bool RequestLimits::tryAcquire(const BackendServer &server,
+                               const Catalog &catalog, TimePoint now) {
   std::optional<QuotaBound> bound = boundOf(server, now);
-  return !bound || Shares.take(server, *bound, catalog, now);
+  return !bound || Shares.tryAcquire(server, *bound, catalog, now);
 }
 
-size_t RequestLimits::limited() const {
+size_t RequestLimits::limitedCount() const {
   std::lock_guard guard(Lock);
   return static_cast<size_t>(
       std::count_if(Servers.begin(), Servers.end(), [](const auto &it) {
--- a/src/direct/request_limits.h
+++ b/src/direct/request_limits.h
@@ -33,15 +33,15 @@
 };
 
 /// What one answer made of the belief.
-enum class LimitChange : uint8_t { None, Named, Lifted };
+enum class LimitChange : uint8_t { None, Imposed, Lifted };
 
 /// What a server's latest answer said, as entries tell one another.
-struct LimitWord {
+struct LimitReport {
   uint64_t Server = 0; ///< ServerRef::key of one start of a server.
   bool IsLimited = false;
   double PerSecond = 0;
   uint32_t AgoMs = 0; ///< Since the sender of the message heard it.
-  auto operator<=>(const LimitWord &) const = default;
+  auto operator<=>(const LimitReport &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Server, IsLimited, PerSecond, AgoMs);
   }
@@ -63,20 +63,21 @@
                        TimePoint now);
   /// What another entry heard. Has no effect where this one knows of a later
   /// answer.
-  void onPeer(const std::vector<LimitWord> &words, TimePoint now);
+  void onPeerReports(const std::vector<LimitReport> &words, TimePoint now);
   /// What this entry heard, for the others: limits that hold, and those that
   /// ended lately. Those that were told least lately, where there are many.
-  std::vector<LimitWord> takeNews(TimePoint now);
+  std::vector<LimitReport> takeGossip(TimePoint now);
 
   /// When this entry may send its next request to the server: now or earlier
   /// for at once, nothing when it has no share of the limit.
-  std::optional<TimePoint> opensAt(const BackendServer &server,
-                                   const Catalog &catalog, TimePoint now);
+  std::optional<TimePoint> availableAt(const BackendServer &server,
+                                       const Catalog &catalog, TimePoint now);
   /// Takes one request of the share; false when it is used up.
-  bool take(const BackendServer &server, const Catalog &catalog, TimePoint now);
+  bool tryAcquire(const BackendServer &server, const Catalog &catalog,
+                  TimePoint now);
 
   /// Servers that are believed to have a limit.
-  size_t limited() const;
+  size_t limitedCount() const;
   /// Forgets what was heard before.
   void forgetIdle(TimePoint heardBefore);
 
--- a/src/direct/retirement.h
+++ b/src/direct/retirement.h
@@ -64,7 +64,7 @@
   /// Between tries to write, and to ask one entry.
   Duration AskPause{500'000};
   /// After the last entry stopped naming: the longest fetch, and its way.
-  Duration FetchTime{LongestFetch + Duration(500'000)};
+  Duration FetchTime{MaxFetchTime + Duration(500'000)};
   Duration Trust = SourceTrust;
   bool operator==(const RetirementSettings &) const = default;
 };
--- a/src/direct/server_loads.cpp
+++ b/src/direct/server_loads.cpp
@@ -19,12 +19,12 @@
   State &state = Servers[server.key()];
   if (state.Running++ == 0)
     state.LastHeard = now;
-  state.Tokens += tokens;
+  state.WaitingTokens += tokens;
   state.HeldTokens += tokens;
   state.LastUsed = now;
 }
 
-void ServerLoads::onHeard(ServerRef server, TimePoint now) {
+void ServerLoads::onActivity(ServerRef server, TimePoint now) {
   std::lock_guard guard(Lock);
   Servers[server.key()].LastHeard = now;
 }
@@ -35,7 +35,7 @@
   State &state = Servers[server.key()];
   state.LastHeard = now;
   state.Rejections = 0;
-  state.Tokens -= std::min(state.Tokens, tokens);
+  state.WaitingTokens -= std::min(state.WaitingTokens, tokens);
 }
 
 void ServerLoads::onEnded(ServerRef server, uint64_t tokens, bool wasRead,
@@ -45,11 +45,11 @@
   state.Running -= std::min(state.Running, 1U);
   state.HeldTokens -= std::min(state.HeldTokens, tokens);
   if (!wasRead)
-    state.Tokens -= std::min(state.Tokens, tokens);
+    state.WaitingTokens -= std::min(state.WaitingTokens, tokens);
   state.LastUsed = now;
 }
 
-void ServerLoads::onTurnedAway(ServerRef server, TimePoint now) {
+void ServerLoads::onRejected(ServerRef server, TimePoint now) {
   std::lock_guard guard(Lock);
   State &state = Servers[server.key()];
   // Those that waited there are turned away together: they count as one.
@@ -61,11 +61,11 @@
                                Settings.LongestRejectPause);
 }
 
-void ServerLoads::onClosed(ServerRef server, Duration time, TimePoint now) {
+void ServerLoads::onRetryAfter(ServerRef server, Duration time, TimePoint now) {
   std::lock_guard guard(Lock);
   State &state = Servers[server.key()];
-  state.ClosedUntil = now + std::min(time, Settings.LongestClosing);
-  state.LastUsed = std::max(state.LastUsed, state.ClosedUntil);
+  state.RetryAt = now + std::min(time, Settings.LongestClosing);
+  state.LastUsed = std::max(state.LastUsed, state.RetryAt);
 }
 
 bool ServerLoads::onLeaving(uint64_t server, TimePoint now) {
@@ -73,7 +73,7 @@
   return Leaving.try_emplace(server, now).second;
 }
 
-std::vector<uint64_t> ServerLoads::leavingNews(TimePoint now) const {
+std::vector<uint64_t> ServerLoads::recentlyLeaving(TimePoint now) const {
   std::vector<uint64_t> out;
   std::lock_guard guard(Lock);
   for (const auto &[server, since] : Leaving)
@@ -92,7 +92,7 @@
   state.AvoidUntil = std::max(state.AvoidUntil, until);
 }
 
-void ServerLoads::onLoaded(ServerRef server) {
+void ServerLoads::onWeightsLoaded(ServerRef server) {
   std::lock_guard guard(Lock);
   auto it = Servers.find(server.key());
   if (it != Servers.end())
@@ -103,7 +103,7 @@
   for (const LoadShare &share : peer.Shares) {
     Sum &sum = Sums[share.Name];
     sum.Running += share.Running;
-    sum.Tokens += share.Tokens;
+    sum.WaitingTokens += share.WaitingTokens;
     sum.HeldTokens += share.HeldTokens;
     ++sum.Entries;
   }
@@ -116,7 +116,7 @@
   for (const LoadShare &share : peer->second.Shares) {
     auto sum = Sums.find(share.Name);
     sum->second.Running -= share.Running;
-    sum->second.Tokens -= share.Tokens;
+    sum->second.WaitingTokens -= share.WaitingTokens;
     sum->second.HeldTokens -= share.HeldTokens;
     if (--sum->second.Entries == 0)
       Sums.erase(sum);
@@ -132,9 +132,9 @@
   }
 }
 
-void ServerLoads::onPeer(const std::string &entry,
-                         const std::vector<LoadShare> &shares, Duration period,
-                         TimePoint now) {
+void ServerLoads::onPeerReport(const std::string &entry,
+                               const std::vector<LoadShare> &shares,
+                               Duration period, TimePoint now) {
   std::lock_guard guard(Lock);
   remove(entry);
   Duration told =
@@ -158,29 +158,29 @@
     bool isSilent =
         state.Running > 0 && now >= state.LastHeard + Settings.SilenceLimit;
     out = {state.Running,
-           state.Tokens,
+           state.WaitingTokens,
            state.HeldTokens,
            isSilent || now < state.AvoidUntil,
            false,
-           state.ClosedUntil};
+           state.RetryAt};
   }
   out.IsLeaving = Leaving.contains(name);
   auto sum = Sums.find(name);
   if (sum == Sums.end())
     return out;
   out.Running += sum->second.Running;
-  out.Tokens += sum->second.Tokens;
+  out.WaitingTokens += sum->second.WaitingTokens;
   out.HeldTokens += sum->second.HeldTokens;
   return out;
 }
 
-std::vector<LoadShare> ServerLoads::own() const {
+std::vector<LoadShare> ServerLoads::ownLoads() const {
   std::lock_guard guard(Lock);
   std::vector<LoadShare> out;
   for (const auto &[name, state] : Servers)
     if (state.Running > 0)
-      out.push_back(
-          {name, state.Running, fit(state.Tokens), fit(state.HeldTokens)});
+      out.push_back({name, state.Running, fit(state.WaitingTokens),
+                     fit(state.HeldTokens)});
   return out;
 }
 
--- a/src/direct/server_loads.h
+++ b/src/direct/server_loads.h
@@ -47,13 +47,13 @@
 
 /// Of one server, at one moment.
 struct ServerLoadView {
-  uint32_t Running = 0;    ///< Requests, over all entries.
-  uint64_t Tokens = 0;     ///< Of prompts without a first byte.
-  uint64_t HeldTokens = 0; ///< Of the prompts of all running requests.
-  bool IsAvoided = false;  ///< Silent, or turned a request away just now.
-  bool IsLeaving = false;  ///< By its own word: nothing new is sent to it.
+  uint32_t Running = 0;       ///< Requests, over all entries.
+  uint64_t WaitingTokens = 0; ///< Of prompts without a first byte.
+  uint64_t HeldTokens = 0;    ///< Of the prompts of all running requests.
+  bool IsAvoided = false;     ///< Silent, or turned a request away just now.
+  bool IsLeaving = false;     ///< By its own word: nothing new is sent to it.
   /// The same until then, where it is in the future.
-  TimePoint ClosedUntil{};
+  TimePoint RetryAt{};
   auto operator<=>(const ServerLoadView &) const = default;
 };
 
@@ -61,11 +61,11 @@
 struct LoadShare {
   uint64_t Name = 0; ///< ServerRef::key of one start of a server.
   uint32_t Running = 0;
-  uint32_t Tokens = 0;
+  uint32_t WaitingTokens = 0;
   uint32_t HeldTokens = 0;
   auto operator<=>(const LoadShare &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Name, Running, Tokens, HeldTokens);
+    ar(Name, Running, WaitingTokens, HeldTokens);
   }
 };
 
@@ -76,15 +76,15 @@
 
   void onSent(ServerRef server, uint64_t tokens, TimePoint now);
   /// Any byte came from the server.
-  void onHeard(ServerRef server, TimePoint now);
+  void onActivity(ServerRef server, TimePoint now);
   /// The tokens of a request that still runs are read.
   void onFirstByte(ServerRef server, uint64_t tokens, TimePoint now);
   /// The request is over; whether its prompt was read.
   void onEnded(ServerRef server, uint64_t tokens, bool wasRead, TimePoint now);
   /// It turned a request away, or took no connection for it.
-  void onTurnedAway(ServerRef server, TimePoint now);
+  void onRejected(ServerRef server, TimePoint now);
   /// The server said that it wants nothing from this entry for so long.
-  void onClosed(ServerRef server, Duration time, TimePoint now);
+  void onRetryAfter(ServerRef server, Duration time, TimePoint now);
   /// The server said, or another entry heard, that it leaves; whether that is
   /// news.
   bool onLeaving(uint64_t server, TimePoint now);
@@ -93,29 +93,30 @@
   /// The server is taking new weights and turns requests away until then.
   void avoidUntil(ServerRef server, TimePoint until);
   /// It has taken them.
-  void onLoaded(ServerRef server);
+  void onWeightsLoaded(ServerRef server);
   /// What another entry has under way; replaces what it said before. It speaks
   /// again after the period.
-  void onPeer(const std::string &entry, const std::vector<LoadShare> &shares,
-              Duration period, TimePoint now);
+  void onPeerReport(const std::string &entry,
+                    const std::vector<LoadShare> &shares, Duration period,
+                    TimePoint now);
 
   ServerLoadView view(ServerRef server, TimePoint now) const;
   /// This entry's own, for the others.
-  std::vector<LoadShare> own() const;
+  std::vector<LoadShare> ownLoads() const;
   /// Servers of which this entry heard lately that they leave, for the others.
-  std::vector<uint64_t> leavingNews(TimePoint now) const;
+  std::vector<uint64_t> recentlyLeaving(TimePoint now) const;
   /// Forgets servers without running requests that were not used since.
   void forgetIdle(TimePoint usedBefore);
 
 private:
   struct State {
     uint32_t Running = 0;
-    uint64_t Tokens = 0;
+    uint64_t WaitingTokens = 0;
     uint64_t HeldTokens = 0;
     TimePoint LastHeard; ///< Or when it was first asked after a quiet time.
     TimePoint LastUsed;
     TimePoint AvoidUntil;
-    TimePoint ClosedUntil;
+    TimePoint RetryAt;
     uint32_t Rejections = 0; ///< In a row.
   };
   struct Peer {
@@ -125,7 +126,7 @@
   /// Of all other entries that count.
   struct Sum {
     uint32_t Running = 0;
-    uint64_t Tokens = 0;
+    uint64_t WaitingTokens = 0;
     uint64_t HeldTokens = 0;
     uint32_t Entries = 0;
   };
--- a/src/direct/shared_quota.cpp
+++ b/src/direct/shared_quota.cpp
@@ -40,7 +40,7 @@
     return state;
   state.RegisteredVersion = catalog.RegisteredVersion;
   state.Bound = bound;
-  state.Share = quotaShare(bound.Requests, server.Id, bound.Turn,
+  state.Share = quotaShare(bound.Requests, server.Id, bound.Rotation,
                            catalog.Registered, Own);
   return state;
 }
@@ -53,20 +53,21 @@
   const std::deque<TimePoint> &sent = state.Sent;
   if (sent.size() >= state.Share)
     out = std::max(out, sent[sent.size() - state.Share] + bound.Window);
-  if (bound.IsSpread && !sent.empty())
+  if (bound.IsPaced && !sent.empty())
     out = std::max(out, sent.back() + bound.Window / (2 * state.Share));
   return out;
 }
 
-std::optional<TimePoint> SharedQuota::opensAt(const BackendServer &server,
-                                              const QuotaBound &bound,
-                                              const Catalog &catalog) {
+std::optional<TimePoint> SharedQuota::availableAt(const BackendServer &server,
+                                                  const QuotaBound &bound,
+                                                  const Catalog &catalog) {
   std::lock_guard guard(Lock);
   return opening(stateOf(server, bound, catalog));
 }
 
-bool SharedQuota::take(const BackendServer &server, const QuotaBound &bound,
-                       const Catalog &catalog, TimePoint now) {
+bool SharedQuota::tryAcquire(const BackendServer &server,
+                             const QuotaBound &bound, const Catalog &catalog,
+                             TimePoint now) {
   std::lock_guard guard(Lock);
   State &state = stateOf(server, bound, catalog);
   std::optional<TimePoint> opens = opening(state);
--- a/src/direct/shared_quota.h
+++ b/src/direct/shared_quota.h
@@ -24,10 +24,10 @@
   uint32_t Requests = 0; ///< Of all entries in a window.
   Duration Window{0};
   /// Ranks the entries for what is left beyond equal shares, with the server.
-  uint64_t Turn = 0;
+  uint64_t Rotation = 0;
   /// The sends of one entry are kept apart by half of their even distance, so
   /// that a long window is not used up in a burst.
-  bool IsSpread = false;
+  bool IsPaced = false;
   bool operator==(const QuotaBound &) const = default;
 };
 
@@ -45,12 +45,12 @@
 
   /// When this entry may send its next request to the server: now or earlier
   /// for at once, nothing when it has no share.
-  std::optional<TimePoint> opensAt(const BackendServer &server,
-                                   const QuotaBound &bound,
-                                   const Catalog &catalog);
+  std::optional<TimePoint> availableAt(const BackendServer &server,
+                                       const QuotaBound &bound,
+                                       const Catalog &catalog);
   /// Takes one request of the share; false when it is used up.
-  bool take(const BackendServer &server, const QuotaBound &bound,
-            const Catalog &catalog, TimePoint now);
+  bool tryAcquire(const BackendServer &server, const QuotaBound &bound,
+                  const Catalog &catalog, TimePoint now);
   /// Forgets servers to which nothing was sent since.
   void forgetIdle(TimePoint usedBefore);
 
--- a/src/direct/slow_start.cpp
+++ b/src/direct/slow_start.cpp
@@ -24,15 +24,16 @@
   return out;
 }
 
-std::optional<TimePoint> SlowStart::opensAt(const BackendServer &server,
-                                            double requestsPerSecond,
-                                            const Catalog &catalog) {
-  return Shares.opensAt(server, boundOf(requestsPerSecond), catalog);
+std::optional<TimePoint> SlowStart::availableAt(const BackendServer &server,
+                                                double requestsPerSecond,
+                                                const Catalog &catalog) {
+  return Shares.availableAt(server, boundOf(requestsPerSecond), catalog);
 }
 
-bool SlowStart::take(const BackendServer &server, double requestsPerSecond,
-                     const Catalog &catalog, TimePoint now) {
-  return Shares.take(server, boundOf(requestsPerSecond), catalog, now);
+bool SlowStart::tryAcquire(const BackendServer &server,
+                           double requestsPerSecond, const Catalog &catalog,
+                           TimePoint now) {
+  return Shares.tryAcquire(server, boundOf(requestsPerSecond), catalog, now);
 }
 
 } // namespace daisytack::direct
--- a/src/direct/slow_start.h
+++ b/src/direct/slow_start.h
@@ -37,12 +37,12 @@
 
   /// When this entry may send its next request to the server: now or earlier
   /// for at once, nothing when it has no share.
-  std::optional<TimePoint> opensAt(const BackendServer &server,
-                                   double requestsPerSecond,
-                                   const Catalog &catalog);
+  std::optional<TimePoint> availableAt(const BackendServer &server,
+                                       double requestsPerSecond,
+                                       const Catalog &catalog);
   /// Takes one request of the share; false when it is used up.
-  bool take(const BackendServer &server, double requestsPerSecond,
-            const Catalog &catalog, TimePoint now);
+  bool tryAcquire(const BackendServer &server, double requestsPerSecond,
+                  const Catalog &catalog, TimePoint now);
   /// Forgets servers to which nothing was sent since.
   void forgetIdle(TimePoint usedBefore) { Shares.forgetIdle(usedBefore); }
 
--- a/src/direct/store_links.cpp
+++ b/src/direct/store_links.cpp
@@ -29,13 +29,14 @@
   News.push_back({name, static_cast<uint32_t>(seen)});
 }
 
-void StoreLinks::onPeer(const std::vector<LinkDelay> &delays, TimePoint now) {
+void StoreLinks::onPeerDelays(const std::vector<LinkDelay> &delays,
+                              TimePoint now) {
   std::lock_guard guard(Lock);
   for (const LinkDelay &it : delays)
     learn(it.Store, std::min<double>(it.LateMs, Settings.MostMs), now);
 }
 
-std::vector<LinkDelay> StoreLinks::takeNews() {
+std::vector<LinkDelay> StoreLinks::takeGossip() {
   std::lock_guard guard(Lock);
   return std::exchange(News, {});
 }
--- a/src/direct/store_links.h
+++ b/src/direct/store_links.h
@@ -60,9 +60,9 @@
                TimePoint now);
   /// What another entry observed counts like an own observation: a single
   /// entry of many sees too few fetches to notice a slow link while it is slow.
-  void onPeer(const std::vector<LinkDelay> &delays, TimePoint now);
+  void onPeerDelays(const std::vector<LinkDelay> &delays, TimePoint now);
   /// Own observations since the last call, the latest ones, for the others.
-  std::vector<LinkDelay> takeNews();
+  std::vector<LinkDelay> takeGossip();
   /// What a fetch from the store waits beyond one from the best of the others.
   double excessMs(const Endpoint &store, TimePoint now) const;
 
--- a/src/gateway/context_follower.cpp
+++ b/src/gateway/context_follower.cpp
@@ -86,13 +86,13 @@
   followed.ListedAt = now;
   followed.Epoch = list->Epoch;
   followed.Next = list->Next;
-  followed.Broken = {list->Broken.begin(), list->Broken.end()};
+  followed.Broken = {list->Incomplete.begin(), list->Incomplete.end()};
   State.Kept.apply(store, *list);
   State.Log.write(LogWeight::Notable, "store_listed",
                   {{"store", store},
                    {"epoch", list->Epoch},
                    {"parts", list->Kept.size()},
-                   {"broken", list->Broken.size()}},
+                   {"broken", list->Incomplete.size()}},
                   now);
   laterByPace(store);
 }
@@ -177,7 +177,7 @@
     self->Agreement.onWritten(monotonicNow());
   };
   for (const auto &action :
-       Agreement.next(*State.catalog(), State.Kept.spareShare(), now)) {
+       Agreement.next(*State.catalog(), State.Kept.freeToUsedRatio(), now)) {
     if (const auto *tell = std::get_if<direct::TellEntry>(&action))
       Hooks.Tell(*tell, [self = shared_from_this(), tell = *tell](bool agreed) {
         self->onAnswered(tell, agreed);
@@ -200,18 +200,18 @@
   Agreement.onTold(tell, hasAgreed, now);
 }
 
-std::vector<direct::BrokenPart>
+std::vector<direct::PartRef>
 ContextFollower::unused(const std::string &store, const Followed &followed,
                         uint64_t unusedBelow,
                         const std::vector<direct::Retirement> &freeable) const {
-  std::vector<direct::BrokenPart> out =
-      State.Kept.partsWhere(store, [&](const direct::BrokenPart &part) {
+  std::vector<direct::PartRef> out =
+      State.Kept.partsWhere(store, [&](const direct::PartRef &part) {
         return direct::isUnused(part, 0, freeable);
       });
   // Space of a save that broke off looks like that of one which goes on slowly,
   // and what is freed under a save is reported as whole all the same. So it is
   // freed only once no server can be saving under its scope.
-  for (const direct::BrokenPart &part : followed.Broken)
+  for (const direct::PartRef &part : followed.Broken)
     if (direct::isUnused(part, unusedBelow, {}) &&
         direct::isUnused(part, 0, freeable))
       out.push_back(part);
@@ -229,7 +229,7 @@
   for (auto &[store, followed] : Stores) {
     if (followed.IsFreeing || now < followed.FreedAt + Settings.FreePause)
       continue;
-    std::vector<direct::BrokenPart> parts =
+    std::vector<direct::PartRef> parts =
         unused(store, followed, unusedBelow, freeable);
     if (parts.empty())
       continue;
@@ -257,7 +257,7 @@
             if (!isDone)
               return;
             self->State.Kept.onFreed(name, parts);
-            for (const direct::BrokenPart &part : parts)
+            for (const direct::PartRef &part : parts)
               it.Broken.erase(part);
           });
         });
--- a/src/gateway/context_follower.h
+++ b/src/gateway/context_follower.h
@@ -76,7 +76,7 @@
     bool WantsList = true;
     bool IsSilent = false; ///< The last call was not answered.
     std::optional<TimePoint> ListedAt;
-    std::set<direct::BrokenPart> Broken; ///< By the last list.
+    std::set<direct::PartRef> Broken; ///< By the last list.
     bool IsFreeing = false;
     TimePoint FreedAt;
     std::unique_ptr<net::Timer> Timer;
@@ -95,7 +95,7 @@
   void laterByPace(const std::string &store);
   void noteAnswered(const std::string &store, TimePoint now);
   void later(const std::string &store, Duration pause);
-  std::vector<direct::BrokenPart>
+  std::vector<direct::PartRef>
   unused(const std::string &store, const Followed &followed,
          uint64_t unusedBelow,
          const std::vector<direct::Retirement> &freeable) const;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -250,7 +250,8 @@
   State.Counts.ServersCold.set(std::count_if(
       servers.begin(), servers.end(),
       [now = monotonicNow()](const auto &it) { return now < it.ColdUntil; }));
-  State.Counts.ServersLimited.set(static_cast<int64_t>(State.Limits.limited()));
+  State.Counts.ServersLimited.set(
+      static_cast<int64_t>(State.Limits.limitedCount()));
   State.Counts.DomainsEvacuated.set(
       static_cast<int64_t>(catalog->Evacuated.size()));
   exchange.respond({net::StatusOk,
@@ -322,7 +323,7 @@
     if (it == LoadingFrom.end() || server.Weights.empty() ||
         server.Weights.front().Version == it->second)
       continue;
-    State.Loads.onLoaded(server.ref());
+    State.Loads.onWeightsLoaded(server.ref());
     LoadingFrom.erase(it);
   }
   if (std::exchange(Seen, catalog) != catalog)
--- a/src/gateway/gateway_options.cpp
+++ b/src/gateway/gateway_options.cpp
@@ -85,9 +85,9 @@
 
 void readPlacement(Settings &settings, GatewayOptions &out) {
   direct::PlacementSettings &place = out.Placement;
-  out.Reading.PriorTokensPerMs =
+  out.Reading.InitialTokensPerMs =
       settings.number("placement.prefill_tokens_per_ms",
-                      out.Reading.PriorTokensPerMs, 0.001, MostWeight);
+                      out.Reading.InitialTokensPerMs, 0.001, MostWeight);
   place.OtherDomainMs = settings.number("placement.other_domain_ms",
                                         place.OtherDomainMs, 0, MostWeight);
   place.SessionCandidates = static_cast<size_t>(settings.integer(
@@ -106,8 +106,8 @@
                       place.OverloadRetryShare, 0, MostWeight);
   place.MemoryShare = settings.number("placement.memory_share",
                                       place.MemoryShare, 0, MostWeight);
-  place.LeastFetchMs = settings.number("placement.least_fetch_ms",
-                                       place.LeastFetchMs, 0, MostWeight);
+  place.MinFetchMs = settings.number("placement.least_fetch_ms",
+                                     place.MinFetchMs, 0, MostWeight);
   place.FetchShare =
       settings.number("placement.fetch_share", place.FetchShare, 0, MostWeight);
   out.Forward.SilenceFactor = settings.number(
--- a/src/gateway/gateway_options.h
+++ b/src/gateway/gateway_options.h
@@ -13,7 +13,7 @@
 #include "direct/forward_flow.h"
 #include "direct/kept_context.h"
 #include "direct/placement.h"
-#include "direct/reading_rate.h"
+#include "direct/prefill_rate.h"
 #include "direct/retirement.h"
 #include "direct/server_loads.h"
 
@@ -86,7 +86,7 @@
   direct::SlowStartSettings SlowStart;
   direct::ServerLoadSettings Loads;
   direct::StoreLinkSettings Links;
-  direct::ReadingRateSettings Reading;
+  direct::PrefillRateSettings Reading;
   direct::KeptContextSettings Kept;
   direct::CatalogSettings Catalog;
   DecisionLogSettings Log;
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -257,7 +257,7 @@
   bool turnsAway = head.Status == net::StatusUnavailable ||
                    head.Status == net::StatusTooManyRequests;
   if (turnsAway && head.RetryAfter)
-    State.Loads.onClosed(Order.server(), *head.RetryAfter, now);
+    State.Loads.onRetryAfter(Order.server(), *head.RetryAfter, now);
   noteRequestLimit(State, Order.server(), head, AnswerTo::Request, now);
   // Its record says so too, but can't be written while the key-value service
   // is away.
@@ -274,7 +274,7 @@
   if (Flow.isEnded() || attempt != Flow.attempts())
     return;
   TimePoint now = monotonicNow();
-  State.Loads.onHeard(Order.server(), now);
+  State.Loads.onActivity(Order.server(), now);
   Flow.onData(attempt, data, now);
 }
 
@@ -300,7 +300,7 @@
     State.Counts.TurnedAway.add();
   // Otherwise each request finds out by itself, and waits for a connection.
   if (wasRefused || result == AttemptResult::Unreached)
-    State.Loads.onTurnedAway(order.server(), now);
+    State.Loads.onRejected(order.server(), now);
   if (result == AttemptResult::Misdirected)
     noteMisdirected(order, now);
   noteEjection(order, result, now);
@@ -311,7 +311,7 @@
     const direct::CallerHead &head = Flow.request().Head;
     for (size_t i = 0; i < order.Destinations.size(); ++i)
       if (order.Destinations[i])
-        State.Kept.forgetSave(order.CacheScope, head.Parts[i]);
+        State.Kept.cancelSave(order.CacheScope, head.Parts[i]);
   }
   DecisionLog::Fields fields{{"request", Flow.request().Head.RequestId},
                              {"attempt", attempt},
--- a/src/gateway/gateway_state.h
+++ b/src/gateway/gateway_state.h
@@ -111,7 +111,7 @@
   GatewayMetrics Counts;
   direct::ServerLoads Loads;
   direct::StoreLinks Links;
-  direct::ReadingRate Rates;
+  direct::PrefillRate Rates;
   Ejector Ejected;
   direct::CrashSuspects Suspects;
   direct::KeptContext Kept;
--- a/src/gateway/load_datagram.cpp
+++ b/src/gateway/load_datagram.cpp
@@ -12,8 +12,9 @@
   std::string whole = wire::encode(direct::PeerMessage(loads));
   if (whole.size() <= mostBytes || servers.empty())
     return whole;
-  std::sort(servers.begin(), servers.end(),
-            [](const auto &a, const auto &b) { return a.Tokens > b.Tokens; });
+  std::sort(servers.begin(), servers.end(), [](const auto &a, const auto &b) {
+    return a.WaitingTokens > b.WaitingTokens;
+  });
   size_t count = servers.size();
   auto all = std::exchange(servers, {});
   size_t fixed = wire::encode(direct::PeerMessage(loads)).size();
--- a/src/gateway/load_exchange.cpp
+++ b/src/gateway/load_exchange.cpp
@@ -68,13 +68,13 @@
   if (const auto *reports = std::get_if<direct::CrashReports>(&*message))
     return enforceQuarantine(State, State.Suspects.onPeer(*reports, now), now);
   if (const auto *limits = std::get_if<direct::RequestLimitNews>(&*message))
-    return State.Limits.onPeer(limits->Words, now);
+    return State.Limits.onPeerReports(limits->Words, now);
   const auto *loads = std::get_if<direct::EntryLoads>(&*message);
   if (!loads || loads->Entry == State.Options.Name)
     return;
-  State.Loads.onPeer(loads->Entry, loads->Servers, Duration(loads->Period),
-                     now);
-  State.Links.onPeer(loads->Links, now);
+  State.Loads.onPeerReport(loads->Entry, loads->Servers,
+                           Duration(loads->Period), now);
+  State.Links.onPeerDelays(loads->Links, now);
   for (uint64_t server : loads->Leaving)
     State.Loads.onLeaving(server, now);
 }
@@ -99,14 +99,14 @@
   size_t rounds = (n + Settings.MostAtOnce - 1) / Settings.MostAtOnce;
   Duration period = Settings.Interval * static_cast<int64_t>(rounds);
   std::vector<std::string> messages{
-      encodeLoads({State.Options.Name, period.count(), State.Loads.own(),
-                   State.Links.takeNews(), State.Loads.leavingNews(now)},
+      encodeLoads({State.Options.Name, period.count(), State.Loads.ownLoads(),
+                   State.Links.takeGossip(), State.Loads.recentlyLeaving(now)},
                   MaxDatagramBytes)};
   direct::CrashReports reports =
       State.Suspects.takeNews(1.0 / static_cast<double>(rounds), now);
   if (!reports.isEmpty())
     messages.push_back(wire::encode(direct::PeerMessage(std::move(reports))));
-  direct::RequestLimitNews limits{State.Limits.takeNews(now)};
+  direct::RequestLimitNews limits{State.Limits.takeGossip(now)};
   if (!limits.Words.empty())
     messages.push_back(wire::encode(direct::PeerMessage(std::move(limits))));
   for (size_t i = 0; i < std::min(n, Settings.MostAtOnce); ++i) {
--- a/src/gateway/server_word.cpp
+++ b/src/gateway/server_word.cpp
@@ -19,7 +19,7 @@
     return;
   direct::LimitChange change =
       state.Limits.onAnswer(server, head.RequestLimit, now);
-  if (change == direct::LimitChange::Named)
+  if (change == direct::LimitChange::Imposed)
     state.Log.write(LogWeight::Notable, "server_limited",
                     {{"server", server.Id}, {"per_second", *head.RequestLimit}},
                     now);
--- a/tests/direct/kept_context_test.cpp
+++ b/tests/direct/kept_context_test.cpp
@@ -120,7 +120,7 @@
   EXPECT_TRUE(kept.planSave("s", PartA, "", Start));
   EXPECT_FALSE(kept.planSave("s", PartA, "", Start + 1s));
   EXPECT_TRUE(kept.planSave("s", PartA, "", Start + 10s)); // It was lost.
-  kept.forgetSave("s", PartA);
+  kept.cancelSave("s", PartA);
   EXPECT_TRUE(kept.planSave("s", PartA, "", Start + 10s)); // It was not tried.
   kept.apply("x", change(true, PartA));
   EXPECT_FALSE(kept.planSave("s", PartA, "", Start + 60s));
@@ -258,9 +258,9 @@
   TwoStores kept;
   kept.apply("x", change(true, PartA, 1, "old"));
   kept.apply("x", change(true, PartB, 1, "new"));
-  auto unused = kept.partsWhere(
-      "x", [](const BrokenPart &it) { return it.Scope != "new"; });
-  EXPECT_EQ(unused, (std::vector<BrokenPart>{{"old", "a"}}));
+  auto unused =
+      kept.partsWhere("x", [](const PartRef &it) { return it.Scope != "new"; });
+  EXPECT_EQ(unused, (std::vector<PartRef>{{"old", "a"}}));
 }
 
 /// Against a model of one store: saves, completions, frees, restarts and late
--- a/tests/direct/placement_fixture.h
+++ b/tests/direct/placement_fixture.h
@@ -97,7 +97,7 @@
 
   ServerLoads Loads{{}};
   StoreLinks Links{{}};
-  ReadingRate Rates{{}};
+  PrefillRate Rates{{}};
   Ejector Ejected{{1, 4, 5s, 300s, 60s, 600s, true}};
   KeptContext Kept{{}};
   SlowStart ColdServers{{}, {"10.0.0.1", 7000}, TimePoint()};
@@ -113,7 +113,7 @@
   Placement Place{unboundedQueues(),
                   {"d1"},
                   {Loads, Links, Ejected, Rates, Kept, ColdServers, Limits}};
-  Placement Bounded{
+  Placement BoundedPlace{
       {}, {"d1"}, {Loads, Links, Ejected, Rates, Kept, ColdServers, Limits}};
 };
 
--- a/tests/direct/placement_load_test.cpp
+++ b/tests/direct/placement_load_test.cpp
@@ -29,7 +29,7 @@
 
   std::optional<AttemptChoice> ask(const ForwardRequest &request) {
     Error reason;
-    return Bounded.choose(request, Catalog, {}, ClockMs, Start, reason);
+    return BoundedPlace.choose(request, Catalog, {}, ClockMs, Start, reason);
   }
 };
 
@@ -81,7 +81,7 @@
     if (!isDark(order.ServerId))
       continue;
     ++attempts[order.ServerId];
-    Loads.onTurnedAway(order.server(), now);
+    Loads.onRejected(order.server(), now);
   }
   // One at once, and then after 0.25, 0.5, 1 and each further 2 seconds.
   for (const auto &[id, n] : attempts)
--- a/tests/direct/placement_test.cpp
+++ b/tests/direct/placement_test.cpp
@@ -37,7 +37,8 @@
     ForwardRequest request = prompt("s");
     request.Priority = priority;
     Error reason;
-    bool out = !Bounded.choose(request, Catalog, {}, ClockMs, Start, reason);
+    bool out =
+        !BoundedPlace.choose(request, Catalog, {}, ClockMs, Start, reason);
     EXPECT_EQ(out, reason.Kind == ErrorKind::Overloaded);
     return out;
   };
@@ -59,14 +60,16 @@
   ForwardRequest request = prompt("s");
   request.Priority = 1;
   Error reason;
-  EXPECT_TRUE(Bounded.choose(request, Catalog, {}, ClockMs, Start, reason));
+  EXPECT_TRUE(
+      BoundedPlace.choose(request, Catalog, {}, ClockMs, Start, reason));
   for (int i = 0; i < 100; ++i)
     Rates.observe("engines", 12'000, 0, 290ms); // 50 tokens a millisecond.
-  EXPECT_FALSE(Bounded.choose(request, Catalog, {}, ClockMs, Start, reason));
+  EXPECT_FALSE(
+      BoundedPlace.choose(request, Catalog, {}, ClockMs, Start, reason));
 }
 
 TEST_F(PlacementTest, KnowsWhatCertainlyHasToBeRead) {
-  Loads.onPeer("other", {}, 100ms, Start);
+  Loads.onPeerReport("other", {}, 100ms, Start);
   AttemptOrder first = choose(prompt("s"));
   EXPECT_EQ(first.UnreadTokens, 3000);
   // Asked to be saved just now: the server's memory may have the shared parts.
@@ -80,7 +83,8 @@
   ForwardRequest request = prompt("s");
   request.Priority = 1;
   Error reason;
-  ASSERT_FALSE(Bounded.choose(request, Catalog, {}, ClockMs, Start, reason));
+  ASSERT_FALSE(
+      BoundedPlace.choose(request, Catalog, {}, ClockMs, Start, reason));
   EXPECT_EQ(reason.RetryAfter, 240ms); // 0.3 of 800 ms.
 }
 
@@ -91,7 +95,8 @@
   ForwardRequest request = prompt("s");
   request.Priority = 1;
   Error reason;
-  ASSERT_FALSE(Bounded.choose(request, Catalog, {}, ClockMs, Start, reason));
+  ASSERT_FALSE(
+      BoundedPlace.choose(request, Catalog, {}, ClockMs, Start, reason));
   EXPECT_EQ(reason.RetryAfter, 760ms);
 }
 
@@ -102,12 +107,14 @@
   for (size_t i = 0; i < defaults.SessionCandidates; ++i) {
     ForwardRequest request = prompt("s");
     Error reason;
-    auto choice = Bounded.choose(request, Catalog, {}, ClockMs, Start, reason);
+    auto choice =
+        BoundedPlace.choose(request, Catalog, {}, ClockMs, Start, reason);
     ASSERT_TRUE(choice);
     Loads.onSent(choice->Order.ServerId, 80'000, Start);
   }
   Error reason;
-  EXPECT_TRUE(Bounded.choose(prompt("s"), Catalog, {}, ClockMs, Start, reason));
+  EXPECT_TRUE(
+      BoundedPlace.choose(prompt("s"), Catalog, {}, ClockMs, Start, reason));
 }
 
 TEST_F(PlacementTest, CountsWhatIsFetchedForLessThanWhatIsRead) {
@@ -188,7 +195,8 @@
 TEST_F(PlacementTest, CountsWhatOtherEntriesHaveUnderWay) {
   ForwardRequest request = prompt("s");
   std::string home = choose(request).ServerId;
-  Loads.onPeer("other", {{stableHash(home), 5, 50'000, 50'000}}, 100ms, Start);
+  Loads.onPeerReport("other", {{stableHash(home), 5, 50'000, 50'000}}, 100ms,
+                     Start);
   EXPECT_NE(choose(request).ServerId, home);
   EXPECT_EQ(choose(request, {}, Start + 2s).ServerId, home); // Old news.
 }
@@ -313,7 +321,7 @@
   EXPECT_FALSE(order.Sources[2]);
   ASSERT_TRUE(order.FetchUntilMs);
   EXPECT_GT(*order.FetchUntilMs, ClockMs);
-  EXPECT_LE(*order.FetchUntilMs, ClockMs + LongestFetch.count() / 1000);
+  EXPECT_LE(*order.FetchUntilMs, ClockMs + MaxFetchTime.count() / 1000);
   ForwardRequest isolated = prompt("s");
   isolated.IsIsolated = true;
   EXPECT_FALSE(choose(isolated).Sources[1]);
@@ -326,7 +334,7 @@
   call.Service = "plain";
   Loads.onLeaving(server("p0").ref().key(), Start);
   EXPECT_EQ(choose(call).ServerId, "p1");
-  Loads.onClosed(server("p1").ref(), 5s, Start);
+  Loads.onRetryAfter(server("p1").ref(), 5s, Start);
   Error reason;
   EXPECT_FALSE(Place.choose(call, Catalog, {}, ClockMs, Start + 1s, reason));
   EXPECT_EQ(reason.Kind, ErrorKind::NoServer);
--- a/tests/direct/reading_rate_test.cpp
+++ b/tests/direct/prefill_rate_test.cpp
@@ -1,4 +1,4 @@
-#include "direct/reading_rate.h"
+#include "direct/prefill_rate.h"
 
 #include <gtest/gtest.h>
 
@@ -7,35 +7,35 @@
 
 using namespace std::chrono_literals;
 
-TEST(ReadingRate, FollowsTheQuickerOfWhatItSees) {
-  ReadingRate rates{{}};
-  EXPECT_EQ(rates.of("engines"), 112);
+TEST(PrefillRate, FollowsTheQuickerOfWhatItSees) {
+  PrefillRate rates{{}};
+  EXPECT_EQ(rates.tokensPerMs("engines"), 112);
   // Engines of 55 tokens a millisecond; every second prompt waits for something
   // else besides, up to a second.
   for (int i = 0; i < 60; ++i) {
     auto late = i % 2 ? 0ms : std::chrono::milliseconds(17 * i);
     rates.observe("engines", 11'000, 0, 250ms + late);
   }
-  EXPECT_NEAR(rates.of("engines"), 55, 6);
-  EXPECT_EQ(rates.of("others"), 112);
+  EXPECT_NEAR(rates.tokensPerMs("engines"), 55, 6);
+  EXPECT_EQ(rates.tokensPerMs("others"), 112);
 }
 
-TEST(ReadingRate, CorrectsAWrongPriorWithinAFewPrompts) {
-  ReadingRate rates{{}};
+TEST(PrefillRate, CorrectsAWrongPriorWithinAFewPrompts) {
+  PrefillRate rates{{}};
   for (int i = 0; i < 14; ++i)
     rates.observe("engines", 11'000, 0, 250ms);
-  EXPECT_NEAR(rates.of("engines"), 55, 8);
+  EXPECT_NEAR(rates.tokensPerMs("engines"), 55, 8);
 }
 
-TEST(ReadingRate, CountsWhatWaitedBeforeAndLeavesShortPromptsOut) {
-  ReadingRate rates{{}};
+TEST(PrefillRate, CountsWhatWaitedBeforeAndLeavesShortPromptsOut) {
+  PrefillRate rates{{}};
   for (int i = 0; i < 100; ++i) {
     rates.observe("engines", 11'000, 11'000, 450ms);
     rates.observe("engines", 500, 0, 450ms);
     rates.observe("engines", 0, 0, 450ms);
     rates.observe("engines", 11'000, 0, 10ms); // Less than any answer takes.
   }
-  EXPECT_NEAR(rates.of("engines"), 55, 3);
+  EXPECT_NEAR(rates.tokensPerMs("engines"), 55, 3);
 }
 
 } // namespace
--- a/tests/direct/request_limits_test.cpp
+++ b/tests/direct/request_limits_test.cpp
@@ -40,14 +40,15 @@
   }
   /// Whether a request may be sent at once.
   bool isOpen(RequestLimits &limits, TimePoint now) {
-    std::optional<TimePoint> opens = limits.opensAt(Needy, Known, now);
+    std::optional<TimePoint> opens = limits.availableAt(Needy, Known, now);
     return opens && *opens <= now;
   }
   /// What goes through in so long, asked for every 10 ms.
   size_t sent(RequestLimits &limits, TimePoint from, Duration time) {
     size_t out = 0;
     for (TimePoint now = from; now < from + time; now += 10ms)
-      out += isOpen(limits, now) && limits.take(Needy, Known, now) ? 1 : 0;
+      out +=
+          isOpen(limits, now) && limits.tryAcquire(Needy, Known, now) ? 1 : 0;
     return out;
   }
 
@@ -59,9 +60,9 @@
 TEST_F(RequestLimitsTest, HoldsALimitForAsLongAsTheServerNamesIt) {
   EXPECT_TRUE(isOpen(One, Begin));
   EXPECT_EQ(One.onAnswer("needy", std::nullopt, Begin), LimitChange::None);
-  EXPECT_EQ(One.onAnswer("needy", 2, Begin), LimitChange::Named);
+  EXPECT_EQ(One.onAnswer("needy", 2, Begin), LimitChange::Imposed);
   EXPECT_EQ(One.onAnswer("needy", 2.5, Begin + 1ms), LimitChange::None);
-  EXPECT_EQ(One.limited(), 1);
+  EXPECT_EQ(One.limitedCount(), 1);
   EXPECT_LE(sent(One, Begin, 4s), 6);
   EXPECT_EQ(One.onAnswer("needy", std::nullopt, Begin + 4s),
             LimitChange::Lifted);
@@ -71,44 +72,44 @@
 /// Also those that have heard no answer of the server themselves.
 TEST_F(RequestLimitsTest, TellsTheOtherEntries) {
   One.onAnswer("needy", 2, Begin);
-  Two.onPeer(One.takeNews(Begin + 100ms), Begin + 101ms);
-  EXPECT_EQ(Two.limited(), 1);
+  Two.onPeerReports(One.takeGossip(Begin + 100ms), Begin + 101ms);
+  EXPECT_EQ(Two.limitedCount(), 1);
   One.onAnswer("needy", std::nullopt, Begin + 1s);
-  Two.onPeer(One.takeNews(Begin + 1100ms), Begin + 1101ms);
-  EXPECT_EQ(Two.limited(), 0);
+  Two.onPeerReports(One.takeGossip(Begin + 1100ms), Begin + 1101ms);
+  EXPECT_EQ(Two.limitedCount(), 0);
   // What was told is not told on, so that it does not grow younger on its way.
-  EXPECT_TRUE(Two.takeNews(Begin + 1200ms).empty());
+  EXPECT_TRUE(Two.takeGossip(Begin + 1200ms).empty());
 }
 
 /// Answers overtake each other on their way to different entries.
 TEST_F(RequestLimitsTest, BelievesTheLatestAnswer) {
   One.onAnswer("needy", 2, Begin);
-  std::vector<LimitWord> old = One.takeNews(Begin + 10ms);
+  std::vector<LimitReport> old = One.takeGossip(Begin + 10ms);
   Two.onAnswer("needy", 2, Begin + 100ms);
   Two.onAnswer("needy", std::nullopt, Begin + 200ms);
-  Two.onPeer(old, Begin + 20ms);
-  EXPECT_EQ(Two.limited(), 0);
+  Two.onPeerReports(old, Begin + 20ms);
+  EXPECT_EQ(Two.limitedCount(), 0);
   // Whoever still speaks of the limit is told that it has ended, however long
   // ago that was.
-  EXPECT_TRUE(Two.takeNews(Begin + 30s).empty());
-  Two.onPeer(One.takeNews(Begin + 30s), Begin + 30s);
-  One.onPeer(Two.takeNews(Begin + 30s), Begin + 30s);
-  EXPECT_EQ(One.limited(), 0);
+  EXPECT_TRUE(Two.takeGossip(Begin + 30s).empty());
+  Two.onPeerReports(One.takeGossip(Begin + 30s), Begin + 30s);
+  One.onPeerReports(Two.takeGossip(Begin + 30s), Begin + 30s);
+  EXPECT_EQ(One.limitedCount(), 0);
 }
 
 TEST_F(RequestLimitsTest, DoesNotCountForAnotherStartOfTheServer) {
   One.onAnswer(ServerRef("needy", 1), 2, Begin);
   BackendServer restarted = Needy;
   restarted.StartedMs = 2;
-  std::optional<TimePoint> opens = One.opensAt(restarted, Known, Begin);
+  std::optional<TimePoint> opens = One.availableAt(restarted, Known, Begin);
   ASSERT_TRUE(opens);
   EXPECT_LE(*opens, Begin);
 }
 
 TEST_F(RequestLimitsTest, IgnoresWhatNoServerCanHaveSaid) {
   for (double odd : {-1.0, std::nan(""), HUGE_VAL})
-    One.onPeer({{ServerRef("needy").key(), true, odd, 0}}, Begin);
-  EXPECT_EQ(One.limited(), 0);
+    One.onPeerReports({{ServerRef("needy").key(), true, odd, 0}}, Begin);
+  EXPECT_EQ(One.limitedCount(), 0);
 }
 
 /// Only an answer tells that a limit has ended, so that a server that wants
@@ -156,8 +157,9 @@
   for (int i = 0; i < 150; ++i)
     One.onAnswer("s" + std::to_string(i), 2, Begin);
   for (int round = 0; round < 3; ++round)
-    Two.onPeer(One.takeNews(Begin + round * 100ms), Begin + round * 100ms);
-  EXPECT_EQ(Two.limited(), 150);
+    Two.onPeerReports(One.takeGossip(Begin + round * 100ms),
+                      Begin + round * 100ms);
+  EXPECT_EQ(Two.limitedCount(), 150);
 }
 
 /// The deployment's bound on what a server gets: over four seconds, from the
@@ -294,11 +296,11 @@
     for (Entry &from : Entries) {
       if (!from.Limits || now < from.CutUntil)
         continue;
-      std::vector<LimitWord> news = from.Limits->takeNews(now);
+      std::vector<LimitReport> news = from.Limits->takeGossip(now);
       for (Entry &to : Entries) {
         bool hears = &to != &from && to.Limits && now >= to.CutUntil;
         if (hears && !chance(0.02))
-          to.Limits->onPeer(news, now);
+          to.Limits->onPeerReports(news, now);
       }
     }
   }
@@ -319,8 +321,9 @@
     }
     if (!chance(20 / static_cast<double>(Entries.size())))
       return;
-    std::optional<TimePoint> opens = it.Limits->opensAt(Needy, it.Knows, now);
-    if (!opens || now < *opens || !it.Limits->take(Needy, it.Knows, now))
+    std::optional<TimePoint> opens =
+        it.Limits->availableAt(Needy, it.Knows, now);
+    if (!opens || now < *opens || !it.Limits->tryAcquire(Needy, it.Knows, now))
       return;
     bool counts = it.ToldAt && now >= *it.ToldAt + TellingTime;
     Duration way = chance(0.1) ? upTo(80ms) : upTo(4ms);
--- a/tests/direct/restart_test.cpp
+++ b/tests/direct/restart_test.cpp
@@ -21,10 +21,11 @@
 TEST(RestartedServer, IsIdleAndNotAvoidedForWhatWasBefore) {
   ServerLoads loads{{}};
   loads.onSent(First, 700, Start);
-  loads.onTurnedAway(First, Start);
+  loads.onRejected(First, Start);
   loads.onReplaced(First, Start);
-  loads.onPeer("entry", {{ServerRef(First).key(), 2, 900, 900}}, 1s, Start);
-  EXPECT_EQ(loads.view(First, Start).Tokens, 1600);
+  loads.onPeerReport("entry", {{ServerRef(First).key(), 2, 900, 900}}, 1s,
+                     Start);
+  EXPECT_EQ(loads.view(First, Start).WaitingTokens, 1600);
   EXPECT_EQ(loads.view(Second, Start), ServerLoadView{});
   EXPECT_FALSE(loads.view(Second, Start + 2s).IsAvoided); // Nor silent.
 }
@@ -37,16 +38,18 @@
   loads.avoidUntil(First, Start + 9s);
   ServerLoadView view = loads.view(Second, Start + 2s);
   EXPECT_EQ(view.Running, 1);
-  EXPECT_EQ(view.Tokens, 300);
+  EXPECT_EQ(view.WaitingTokens, 300);
   EXPECT_FALSE(loads.view(Second, Start + 2s).IsAvoided);
 }
 
 /// Entries learn of a restart at different times.
 TEST(RestartedServer, CountsWhatEntriesSentToItsOwnStartOnly) {
   ServerLoads loads{{}};
-  loads.onPeer("late", {{ServerRef(First).key(), 1, 500, 500}}, 1s, Start);
-  loads.onPeer("soon", {{ServerRef(Second).key(), 1, 200, 200}}, 1s, Start);
-  EXPECT_EQ(loads.view(Second, Start).Tokens, 200);
+  loads.onPeerReport("late", {{ServerRef(First).key(), 1, 500, 500}}, 1s,
+                     Start);
+  loads.onPeerReport("soon", {{ServerRef(Second).key(), 1, 200, 200}}, 1s,
+                     Start);
+  EXPECT_EQ(loads.view(Second, Start).WaitingTokens, 200);
 }
 
 TEST_F(PlacementTest, UsesAServerAtOnceThatStartedAnew) {
@@ -58,7 +61,8 @@
   uint64_t pool = stableHash("engines");
   ASSERT_EQ(Ejected.onFailure(pool, 6, ServerRef("e0").key(), Start),
             EjectionVerdict::Ejected);
-  Loads.onLoaded("e1"); // Again usable: e0 is not chosen for want of others.
+  Loads.onWeightsLoaded(
+      "e1"); // Again usable: e0 is not chosen for want of others.
   EXPECT_EQ(choose(prompt("s")).ServerId, "e1");
   server("e0").StartedMs = Second.StartedMs;
   Loads.avoidUntil("e1", Start + 60s);
--- a/tests/direct/retirement_world.cpp
+++ b/tests/direct/retirement_world.cpp
@@ -328,13 +328,12 @@
     return;
   entry->NextFree = Now + FreePause;
   auto freeable = entry->Agreement.freeable(Now);
-  auto parts = entry->Kept.partsWhere(StoreName, [&](const BrokenPart &it) {
-    return isUnused(it, 0, freeable);
-  });
+  auto parts = entry->Kept.partsWhere(
+      StoreName, [&](const PartRef &it) { return isUnused(it, 0, freeable); });
   Duration way = Duration(
       static_cast<int64_t>(pick(static_cast<uint64_t>(FreeDelayMost.count()))));
   at(Now + way, [this, parts, name = entry->Name] {
-    for (const BrokenPart &part : parts) {
+    for (const PartRef &part : parts) {
       PartKey key{part.Scope, part.Part};
       Freed += Whole.erase(key);
       for (const Fetch &fetch : Running[key])
@@ -365,7 +364,7 @@
         continue;
       auto &running = Running[key];
       std::erase_if(running, [&](const Fetch &it) { return it.Until <= Now; });
-      running.push_back({entry.Name, Now + LongestFetch});
+      running.push_back({entry.Name, Now + MaxFetchTime});
       ++Fetches;
       UnlistedFetches += isListed(entry) ? 0 : 1;
     }
--- a/tests/direct/server_loads_test.cpp
+++ b/tests/direct/server_loads_test.cpp
@@ -20,32 +20,32 @@
   loads.onSent("a", 100, Start);
   EXPECT_FALSE(loads.view("a", Start + 1s).IsAvoided);
   EXPECT_TRUE(loads.view("a", Start + 2s).IsAvoided);
-  loads.onHeard("a", Start + 2s);
+  loads.onActivity("a", Start + 2s);
   EXPECT_FALSE(loads.view("a", Start + 3s).IsAvoided);
   loads.onEnded("a", 100, false, Start + 3s);
   EXPECT_EQ(loads.view("a", Start + 60s), ServerLoadView{});
   loads.forgetIdle(Start + 60s);
-  EXPECT_TRUE(loads.own().empty());
+  EXPECT_TRUE(loads.ownLoads().empty());
 }
 
 /// With many entries each is heard seldom, and counts until it is heard again.
 TEST(ServerLoads, RemembersAnEntryAsLongAsItsPeriodAsks) {
   ServerLoads loads{{}};
   std::vector<LoadShare> shares{{stableHash("a"), 2, 700, 900}};
-  loads.onPeer("often", shares, 100ms, Start);
-  loads.onPeer("seldom", shares, 1s, Start);
-  loads.onPeer("absurd", shares, Duration::max(), Start);
-  loads.onPeer("negative", shares, -1s, Start);
+  loads.onPeerReport("often", shares, 100ms, Start);
+  loads.onPeerReport("seldom", shares, 1s, Start);
+  loads.onPeerReport("absurd", shares, Duration::max(), Start);
+  loads.onPeerReport("negative", shares, -1s, Start);
   EXPECT_EQ(loads.view("a", Start).HeldTokens, 2700);
-  EXPECT_EQ(loads.view("a", Start + 1s).Tokens, 1400);
+  EXPECT_EQ(loads.view("a", Start + 1s).WaitingTokens, 1400);
   EXPECT_EQ(loads.view("a", Start + 11s).Running, 0);
 }
 
 /// What entries said last, each until it lapses, added up at each look.
 class AddedAnew {
 public:
-  void onPeer(const std::string &entry, std::vector<LoadShare> shares,
-              TimePoint until) {
+  void onPeerReport(const std::string &entry, std::vector<LoadShare> shares,
+                    TimePoint until) {
     Said[entry] = {until, std::move(shares)};
   }
   ServerLoadView view(uint64_t name, TimePoint now) const {
@@ -53,7 +53,7 @@
     for (const auto &[entry, said] : Said)
       for (const LoadShare &it : said.second)
         if (it.Name == name && now < said.first)
-          out = {out.Running + it.Running, out.Tokens + it.Tokens,
+          out = {out.Running + it.Running, out.WaitingTokens + it.WaitingTokens,
                  out.HeldTokens + it.HeldTokens, false};
     return out;
   }
@@ -81,9 +81,9 @@
         shares.push_back({stableHash(std::to_string(server)),
                           *rc::gen::inRange(0U, 9U), *rc::gen::inRange(0U, 99U),
                           *rc::gen::inRange(0U, 99U)});
-    loads.onPeer(entry, shares, period, now);
+    loads.onPeerReport(entry, shares, period, now);
     Duration counts = std::min<Duration>(5 * period, 10s);
-    anew.onPeer(entry, std::move(shares), now + counts);
+    anew.onPeerReport(entry, std::move(shares), now + counts);
     for (int server = 0; server < Servers; ++server) {
       std::string name = std::to_string(server);
       RC_ASSERT(loads.view({name, 0}, now) == anew.view(stableHash(name), now));
@@ -93,14 +93,14 @@
 
 TEST(ServerLoads, AvoidsAServerLongerEachTimeItTurnsARequestAway) {
   ServerLoads loads{{}};
-  loads.onTurnedAway("a", Start);
-  loads.onTurnedAway("a", Start + 1ms); // Of the same moment.
+  loads.onRejected("a", Start);
+  loads.onRejected("a", Start + 1ms); // Of the same moment.
   EXPECT_FALSE(loads.view("a", Start + 260ms).IsAvoided);
-  loads.onTurnedAway("a", Start + 260ms);
+  loads.onRejected("a", Start + 260ms);
   EXPECT_TRUE(loads.view("a", Start + 700ms).IsAvoided);
   EXPECT_FALSE(loads.view("a", Start + 800ms).IsAvoided);
   loads.onFirstByte("a", 0, Start + 800ms);
-  loads.onTurnedAway("a", Start + 800ms);
+  loads.onRejected("a", Start + 800ms);
   EXPECT_FALSE(loads.view("a", Start + 1060ms).IsAvoided);
 }
 
@@ -108,12 +108,12 @@
 TEST(ServerLoads, KeepsAServerClosedForAsLongAsItSaid) {
   ServerLoads loads{{}};
   ServerRef first{"a", 1};
-  loads.onClosed(first, 90s, Start);
+  loads.onRetryAfter(first, 90s, Start);
   loads.forgetIdle(Start + 80s); // Nothing was sent to it meanwhile.
-  EXPECT_EQ(loads.view(first, Start + 80s).ClosedUntil, Start + 90s);
-  EXPECT_EQ(loads.view({"a", 2}, Start).ClosedUntil, TimePoint());
-  loads.onClosed(first, 1s, Start + 2s); // The newest word counts.
-  EXPECT_EQ(loads.view(first, Start + 2s).ClosedUntil, Start + 3s);
+  EXPECT_EQ(loads.view(first, Start + 80s).RetryAt, Start + 90s);
+  EXPECT_EQ(loads.view({"a", 2}, Start).RetryAt, TimePoint());
+  loads.onRetryAfter(first, 1s, Start + 2s); // The newest word counts.
+  EXPECT_EQ(loads.view(first, Start + 2s).RetryAt, Start + 3s);
 }
 
 TEST(ServerLoads, RemembersThatAServerLeavesAndTellsItForAWhile) {
@@ -121,8 +121,8 @@
   ServerRef first{"a", 1};
   EXPECT_TRUE(loads.onLeaving(first.key(), Start));
   EXPECT_FALSE(loads.onLeaving(first.key(), Start + 1s));
-  EXPECT_EQ(loads.leavingNews(Start + 2s), std::vector{first.key()});
-  EXPECT_TRUE(loads.leavingNews(Start + 3s).empty());
+  EXPECT_EQ(loads.recentlyLeaving(Start + 2s), std::vector{first.key()});
+  EXPECT_TRUE(loads.recentlyLeaving(Start + 3s).empty());
   loads.forgetIdle(Start + 30min);
   EXPECT_TRUE(loads.view(first, Start + 30min).IsLeaving);
   EXPECT_FALSE(loads.view({"a", 2}, Start).IsLeaving);
@@ -132,7 +132,7 @@
 /// until then every request sent there would be turned away.
 TEST(ServerLoads, AvoidsAReplacedServerUntilItsRecordHasLapsed) {
   ServerLoads loads{{}};
-  loads.onTurnedAway("a", Start);
+  loads.onRejected("a", Start);
   loads.onReplaced("a", Start);
   EXPECT_TRUE(loads.view("a", Start + 3600ms).IsAvoided);
   EXPECT_FALSE(loads.view("a", Start + 5s).IsAvoided);
@@ -140,11 +140,11 @@
 
 TEST(ServerLoads, AvoidsAServerThatTurnsRequestsAwayForAMoment) {
   ServerLoads loads{{}};
-  loads.onTurnedAway("a", Start);
+  loads.onRejected("a", Start);
   EXPECT_TRUE(loads.view("a", Start + 100ms).IsAvoided);
   EXPECT_FALSE(loads.view("a", Start + 300ms).IsAvoided);
   loads.avoidUntil("a", Start + 10s);
-  loads.onLoaded("a");
+  loads.onWeightsLoaded("a");
   EXPECT_FALSE(loads.view("a", Start + 1s).IsAvoided);
 }
 
--- a/tests/direct/slow_start_model_test.cpp
+++ b/tests/direct/slow_start_model_test.cpp
@@ -50,7 +50,7 @@
 class Way {
 public:
   virtual ~Way() = default;
-  virtual bool take(const Catalog &catalog, TimePoint now) = 0;
+  virtual bool tryAcquire(const Catalog &catalog, TimePoint now) = 0;
   /// What the others have sent in the last second, as they told this entry.
   virtual void onTold(uint32_t) {}
   /// What this entry tells.
@@ -61,8 +61,8 @@
 public:
   SharesByRendezvous(Endpoint own, TimePoint now)
       : Start(settings(), std::move(own), now) {}
-  bool take(const Catalog &catalog, TimePoint now) override {
-    return Start.take(Cold, Rate, catalog, now);
+  bool tryAcquire(const Catalog &catalog, TimePoint now) override {
+    return Start.tryAcquire(Cold, Rate, catalog, now);
   }
 
 private:
@@ -72,7 +72,7 @@
 /// An equal part of the rate for each registered entry.
 class EqualRates : public Way {
 public:
-  bool take(const Catalog &catalog, TimePoint now) override {
+  bool tryAcquire(const Catalog &catalog, TimePoint now) override {
     auto entries =
         static_cast<double>(std::max<size_t>(catalog.Registered.size(), 1));
     auto pause = Duration(static_cast<int64_t>(1e6 * entries / (Rate * 1.5)));
@@ -89,7 +89,7 @@
 /// What all entries sent in the last second, by their datagrams, and a margin.
 class CountsByDatagram : public Way {
 public:
-  bool take(const Catalog &, TimePoint now) override {
+  bool tryAcquire(const Catalog &, TimePoint now) override {
     if (Others + told(now) + 1 > Rate * 1.5)
       return false;
     Sent.push_back(now);
@@ -246,7 +246,7 @@
     }
     if (!chance(std::min(1.0, 1.5 / static_cast<double>(Entries.size()) * 10)))
       return;
-    if (!it.Decides->take(it.Knows, now))
+    if (!it.Decides->tryAcquire(it.Knows, now))
       return;
     Duration way = chance(0.1) ? upTo(80ms) : upTo(4ms);
     History.push_back({now, now + way});
--- a/tests/direct/store_links_test.cpp
+++ b/tests/direct/store_links_test.cpp
@@ -46,16 +46,16 @@
   Endpoint sound{"10.0.0.2", 1};
   StoreLinks here{{}};
   here.observe(sound, 20, Start);
-  here.takeNews();
+  here.takeGossip();
   for (int entry = 0; entry < 25; ++entry) {
     StoreLinks there{{}};
     there.observe(slow, 1500, Start);
-    here.onPeer(there.takeNews(), Start);
-    EXPECT_TRUE(there.takeNews().empty()); // Each is told once.
+    here.onPeerDelays(there.takeGossip(), Start);
+    EXPECT_TRUE(there.takeGossip().empty()); // Each is told once.
   }
   EXPECT_GT(here.excessMs(slow, Start), 1000);
   EXPECT_EQ(here.excessMs(sound, Start), 0);
-  EXPECT_TRUE(here.takeNews().empty()); // And not passed on.
+  EXPECT_TRUE(here.takeGossip().empty()); // And not passed on.
 }
 
 TEST(StoreLinks, TellsTheLatestOfManyObservations) {
@@ -63,7 +63,7 @@
   StoreLinks links{settings};
   for (size_t i = 0; i < settings.MostNews + 5; ++i)
     links.observe(std::nullopt, static_cast<double>(i), Start);
-  std::vector<LinkDelay> news = links.takeNews();
+  std::vector<LinkDelay> news = links.takeGossip();
   ASSERT_EQ(news.size(), settings.MostNews);
   EXPECT_EQ(news.front(), (LinkDelay{0, 5}));
 }
@@ -76,10 +76,10 @@
   links.observe(store, 0, Start);
   StoreLinks other{{}};
   other.observe(store, 1, Start);
-  LinkDelay told = other.takeNews().front();
+  LinkDelay told = other.takeGossip().front();
   told.LateMs = UINT32_MAX;
   for (int i = 0; i < 100; ++i)
-    links.onPeer({told}, Start);
+    links.onPeerDelays({told}, Start);
   EXPECT_LE(links.excessMs(store, Start), StoreLinkSettings{}.MostMs);
 }
 
--- a/tests/gateway/load_datagram_test.cpp
+++ b/tests/gateway/load_datagram_test.cpp
@@ -43,10 +43,11 @@
     EntryLoads told = sent(loadsOf(servers, 32));
     EXPECT_GE(told.Servers.size(), 40U) << servers;
     EXPECT_EQ(told.Links.size(), 32U);
-    auto least = std::min_element(
-        told.Servers.begin(), told.Servers.end(),
-        [](const auto &a, const auto &b) { return a.Tokens < b.Tokens; });
-    EXPECT_EQ(least->Tokens, 1000 + servers - told.Servers.size());
+    auto least = std::min_element(told.Servers.begin(), told.Servers.end(),
+                                  [](const auto &a, const auto &b) {
+                                    return a.WaitingTokens < b.WaitingTokens;
+                                  });
+    EXPECT_EQ(least->WaitingTokens, 1000 + servers - told.Servers.size());
   }
 }
 
--- a/tests/platform/entry_fixture.h
+++ b/tests/platform/entry_fixture.h
@@ -69,8 +69,8 @@
       : ColdServers(slowStart(), addressOf(number), Start - 10s),
         Limits({}, addressOf(number), Start - 10s),
         Place(direct::PlacementSettings{}, std::move(where),
-              direct::PlacementView{Loads, Links, Ejected, Rates, Kept,
-                                    ColdServers, Limits}) {}
+              direct::PlacementInputs{Loads, Links, Ejected, Rates, Kept,
+                                      ColdServers, Limits}) {}
 
   static Endpoint addressOf(int number) {
     return {"10.0.0." + std::to_string(number + 1), 7000};
@@ -127,7 +127,7 @@
 
   direct::ServerLoads Loads{{}};
   direct::StoreLinks Links{{}};
-  direct::ReadingRate Rates{{}};
+  direct::PrefillRate Rates{{}};
   Ejector Ejected{{1, 4, 5s, 300s, 60s, 600s, true}};
   direct::KeptContext Kept{{}};
   direct::CatalogKeeper Known{{}, hooks()};
--- a/tests/platform/format_test.cpp
+++ b/tests/platform/format_test.cpp
@@ -186,7 +186,7 @@
     "incomplete-parts":[["s","b",10,20]]})");
   ASSERT_TRUE(list);
   EXPECT_EQ(list->Kept.size(), 1);
-  EXPECT_EQ(list->Broken, (std::vector<direct::BrokenPart>{{"s", "b"}}));
+  EXPECT_EQ(list->Incomplete, (std::vector<direct::PartRef>{{"s", "b"}}));
 }
 
 TEST(Requests, CarryTheirFields) {
