--- a/src/direct/peer_messages.h
+++ b/src/direct/peer_messages.h
@@ -102,7 +102,7 @@
 /// What servers said of their limits on requests, as the sender heard it; by
 /// datagram.
 struct RequestLimitUpdate {
-  std::vector<LimitWord> ServerLimits;
+  std::vector<LimitReport> ServerLimits;
   bool operator==(const RequestLimitUpdate &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(ServerLimits); }
 };
--- a/src/gateway/context_follower.cpp
+++ b/src/gateway/context_follower.cpp
@@ -88,13 +88,13 @@
   followed.LastListAt = now;
   followed.Epoch = list->Epoch;
   followed.Next = list->Next;
-  followed.IncompleteParts = {list->Broken.begin(), list->Broken.end()};
+  followed.IncompleteParts = {list->Incomplete.begin(), list->Incomplete.end()};
   State.StoredParts.apply(store, *list);
   State.Log.write(LogWeight::Notable, "store_listed",
                   {{"store", store},
                    {"epoch", list->Epoch},
                    {"parts", list->Kept.size()},
-                   {"broken", list->Broken.size()}},
+                   {"broken", list->Incomplete.size()}},
                   now);
   scheduleNextPaced(store);
 }
@@ -178,8 +178,8 @@
   auto onWritten = [self = shared_from_this()] {
     self->Agreement.onWritten(monotonicNow());
   };
-  for (const auto &action :
-       Agreement.next(*State.catalog(), State.StoredParts.spareShare(), now)) {
+  for (const auto &action : Agreement.next(
+           *State.catalog(), State.StoredParts.freeToUsedRatio(), now)) {
     if (const auto *tell = std::get_if<direct::NotifyEntry>(&action))
       Hooks.Tell(*tell, [self = shared_from_this(), tell = *tell](bool agreed) {
         self->onEntryAnswered(tell, agreed);
@@ -202,18 +202,18 @@
   Agreement.onNotified(tell, hasAgreed, now);
 }
 
-std::vector<direct::BrokenPart> ContextFollower::unusedParts(
+std::vector<direct::PartRef> ContextFollower::unusedParts(
     const std::string &store, const FollowedStore &followed,
     uint64_t unusedBelow,
     const std::vector<direct::Retirement> &freeable) const {
-  std::vector<direct::BrokenPart> out =
-      State.StoredParts.partsWhere(store, [&](const direct::BrokenPart &part) {
+  std::vector<direct::PartRef> out =
+      State.StoredParts.partsWhere(store, [&](const direct::PartRef &part) {
         return direct::isUnused(part, 0, freeable);
       });
   // Space of a save that broke off looks like that of one which goes on slowly,
   // and what is freed under a save is reported as whole all the same. So it is
   // freed only once no server can be saving under its scope.
-  for (const direct::BrokenPart &part : followed.IncompleteParts)
+  for (const direct::PartRef &part : followed.IncompleteParts)
     if (direct::isUnused(part, unusedBelow, {}) &&
         direct::isUnused(part, 0, freeable))
       out.push_back(part);
@@ -231,7 +231,7 @@
   for (auto &[store, followed] : Stores) {
     if (followed.IsFreeing || now < followed.LastFreeAt + Settings.FreeInterval)
       continue;
-    std::vector<direct::BrokenPart> parts =
+    std::vector<direct::PartRef> parts =
         unusedParts(store, followed, unusedBelow, freeable);
     if (parts.empty())
       continue;
@@ -260,7 +260,7 @@
             if (!isDone)
               return;
             self->State.StoredParts.onFreed(name, parts);
-            for (const direct::BrokenPart &part : parts)
+            for (const direct::PartRef &part : parts)
               it.IncompleteParts.erase(part);
           });
         });
--- a/src/gateway/context_follower.h
+++ b/src/gateway/context_follower.h
@@ -77,7 +77,7 @@
     bool WantsList = true;
     bool IsSilent = false; ///< The last call was not answered.
     std::optional<TimePoint> LastListAt;
-    std::set<direct::BrokenPart> IncompleteParts; ///< By the last list.
+    std::set<direct::PartRef> IncompleteParts; ///< By the last list.
     bool IsFreeing = false;
     TimePoint LastFreeAt;
     std::unique_ptr<net::Timer> Timer;
@@ -96,7 +96,7 @@
   void scheduleNextPaced(const std::string &store);
   void markAnswered(const std::string &store, TimePoint now);
   void scheduleNext(const std::string &store, Duration pause);
-  std::vector<direct::BrokenPart>
+  std::vector<direct::PartRef>
   unusedParts(const std::string &store, const FollowedStore &followed,
               uint64_t unusedBelow,
               const std::vector<direct::Retirement> &freeable) const;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -254,7 +254,8 @@
   State.Stats.ServersCold.set(std::count_if(
       servers.begin(), servers.end(),
       [now = monotonicNow()](const auto &it) { return now < it.ColdUntil; }));
-  State.Stats.ServersLimited.set(static_cast<int64_t>(State.Limits.limited()));
+  State.Stats.ServersLimited.set(
+      static_cast<int64_t>(State.Limits.limitedCount()));
   State.Stats.DomainsEvacuated.set(
       static_cast<int64_t>(catalog->Evacuated.size()));
   exchange.respond({net::StatusOk,
@@ -328,7 +329,7 @@
     if (it == VersionBeforeLoad.end() || server.Weights.empty() ||
         server.Weights.front().Version == it->second)
       continue;
-    State.Loads.onLoaded(server.ref());
+    State.Loads.onWeightsLoaded(server.ref());
     VersionBeforeLoad.erase(it);
   }
   if (std::exchange(LastCatalog, catalog) != catalog)
--- a/src/gateway/gateway_options.cpp
+++ b/src/gateway/gateway_options.cpp
@@ -87,8 +87,8 @@
 
 void readPlacement(Settings &settings, GatewayOptions &out) {
   direct::PlacementSettings &place = out.Placement;
-  out.PrefillRate.PriorTokensPerMs = settings.number(
-      "placement.prefill_tokens_per_ms", out.PrefillRate.PriorTokensPerMs,
+  out.PrefillRate.InitialTokensPerMs = settings.number(
+      "placement.prefill_tokens_per_ms", out.PrefillRate.InitialTokensPerMs,
       0.001, NumberUpperBound);
   place.OtherDomainMs = settings.number(
       "placement.other_domain_ms", place.OtherDomainMs, 0, NumberUpperBound);
@@ -109,8 +109,8 @@
                       place.OverloadRetryShare, 0, NumberUpperBound);
   place.MemoryShare = settings.number("placement.memory_share",
                                       place.MemoryShare, 0, NumberUpperBound);
-  place.LeastFetchMs = settings.number("placement.least_fetch_ms",
-                                       place.LeastFetchMs, 0, NumberUpperBound);
+  place.MinFetchMs = settings.number("placement.least_fetch_ms",
+                                     place.MinFetchMs, 0, NumberUpperBound);
   place.FetchShare = settings.number("placement.fetch_share", place.FetchShare,
                                      0, NumberUpperBound);
   out.Forward.SilenceFactor = settings.number(
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -260,7 +260,7 @@
   bool isRejection = head.Status == net::StatusUnavailable ||
                      head.Status == net::StatusTooManyRequests;
   if (isRejection && head.RetryAfter)
-    State.Loads.onClosed(Order.server(), *head.RetryAfter, now);
+    State.Loads.onRetryAfter(Order.server(), *head.RetryAfter, now);
   applyRequestLimit(State, Order.server(), head, ResponseKind::Request, now);
   // Its record says so too, but can't be written while the key-value service
   // is away.
@@ -277,7 +277,7 @@
   if (Flow.isEnded() || attempt != Flow.attempts())
     return;
   TimePoint now = monotonicNow();
-  State.Loads.onHeard(Order.server(), now);
+  State.Loads.onActivity(Order.server(), now);
   Flow.onData(attempt, data, now);
 }
 
@@ -303,7 +303,7 @@
     State.Stats.AttemptsRejected.add();
   // Otherwise each request finds out by itself, and waits for a connection.
   if (wasRefused || result == AttemptResult::Unreached)
-    State.Loads.onTurnedAway(order.server(), now);
+    State.Loads.onRejected(order.server(), now);
   if (result == AttemptResult::Misdirected)
     avoidReplacedServer(order, now);
   updateEjection(order, result, now);
@@ -315,7 +315,7 @@
     const direct::CallerHead &head = Flow.request().Head;
     for (size_t i = 0; i < order.Destinations.size(); ++i)
       if (order.Destinations[i])
-        State.StoredParts.forgetSave(order.CacheScope, head.Parts[i]);
+        State.StoredParts.cancelSave(order.CacheScope, head.Parts[i]);
   }
   DecisionLog::Fields fields{{"request", Flow.request().Head.RequestId},
                              {"attempt", attempt},
--- a/src/gateway/gateway_state.h
+++ b/src/gateway/gateway_state.h
@@ -111,7 +111,7 @@
   GatewayMetrics Stats;
   direct::ServerLoads Loads;
   direct::StoreLinks Links;
-  direct::ReadingRate PrefillRates;
+  direct::PrefillRate PrefillRates;
   Ejector OutlierEjector;
   direct::CrashSuspects Suspects;
   direct::KeptContext StoredParts;
--- a/tests/direct/retirement_world.cpp
+++ b/tests/direct/retirement_world.cpp
@@ -331,13 +331,12 @@
     return;
   entry->NextFree = Now + FreeInterval;
   auto freeable = entry->Agreement.freeable(Now);
-  auto parts = entry->Kept.partsWhere(StoreName, [&](const BrokenPart &it) {
-    return isUnused(it, 0, freeable);
-  });
+  auto parts = entry->Kept.partsWhere(
+      StoreName, [&](const PartRef &it) { return isUnused(it, 0, freeable); });
   Duration delay = Duration(static_cast<int64_t>(
       randomBelow(static_cast<uint64_t>(MaxFreeDelay.count()))));
   schedule(Now + delay, [this, parts, name = entry->Name] {
-    for (const BrokenPart &part : parts) {
+    for (const PartRef &part : parts) {
       PartKey key{part.Scope, part.Part};
       FreedParts += StoredParts.erase(key);
       for (const Fetch &fetch : RunningFetches[key])
@@ -368,7 +367,7 @@
         continue;
       auto &running = RunningFetches[key];
       std::erase_if(running, [&](const Fetch &it) { return it.Until <= Now; });
-      running.push_back({entry.Name, Now + LongestFetch});
+      running.push_back({entry.Name, Now + MaxFetchTime});
       ++Fetches;
       UnannouncedFetches += isAnnounced(entry) ? 0 : 1;
     }
--- a/tests/gateway/load_datagram_test.cpp
+++ b/tests/gateway/load_datagram_test.cpp
@@ -43,10 +43,12 @@
     EntryLoads received = encodeAndDecode(loadsOf(servers, 32));
     EXPECT_GE(received.Servers.size(), 40U) << servers;
     EXPECT_EQ(received.Links.size(), 32U);
-    auto least = std::min_element(
-        received.Servers.begin(), received.Servers.end(),
-        [](const auto &a, const auto &b) { return a.Tokens < b.Tokens; });
-    EXPECT_EQ(least->Tokens, 1000 + servers - received.Servers.size());
+    auto least =
+        std::min_element(received.Servers.begin(), received.Servers.end(),
+                         [](const auto &a, const auto &b) {
+                           return a.WaitingTokens < b.WaitingTokens;
+                         });
+    EXPECT_EQ(least->WaitingTokens, 1000 + servers - received.Servers.size());
   }
 }
 
