--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -11,7 +11,7 @@
 #include "net/sse.h"
 #include "once/ticket.h"
 #include "platform/engine_calls.h"
-#include "platform/fact_format.h"
+#include "platform/record_format.h"
 #include "platform/request_head.h"
 #include "query/command_parser.h"
 #include "query/query_parser.h"
@@ -78,7 +78,7 @@
                           "daisytack/entries/e", "daisytack/holder"}) {
     Error reason;
     auto fact =
-        platform::decodeFact({key, std::string(text), 1, false}, reason);
+        platform::decodeRecord({key, std::string(text), 1, false}, reason);
     require(fact.has_value() == (reason.Kind == ErrorKind::None));
   }
 }
--- a/tests/platform/entry_fixture.h
+++ b/tests/platform/entry_fixture.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "direct/placement.h"
-#include "platform/fact_format.h"
+#include "platform/record_format.h"
 
 #include <memory>
 #include <string>
@@ -86,7 +86,7 @@
   static direct::CatalogHooks hooks() {
     direct::CatalogHooks out;
     out.SubjectOf = subjectOf;
-    out.Decode = decodeFact;
+    out.Decode = decodeRecord;
     out.Changed = [](const auto &...) {};
     out.Unreadable = [](const auto &...) {};
     return out;
--- a/tests/platform/format_test.cpp
+++ b/tests/platform/format_test.cpp
@@ -1,6 +1,6 @@
 #include "platform/engine_calls.h"
-#include "platform/fact_format.h"
 #include "platform/json_text.h"
+#include "platform/record_format.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -36,7 +36,7 @@
 template <class T>
 T decodeAs(const std::string &key, const std::string &value) {
   Error reason;
-  auto fact = decodeFact(record(key, value), reason);
+  auto fact = decodeRecord(record(key, value), reason);
   EXPECT_TRUE(fact) << reason.Detail;
   return fact ? std::get<T>(*fact) : T{};
 }
@@ -120,7 +120,7 @@
              "'address'"},
         Case{"servers/i", "{", "not a JSON object"}}) {
     Error reason;
-    EXPECT_FALSE(decodeFact(record(it.Key, it.Value), reason)) << it.Value;
+    EXPECT_FALSE(decodeRecord(record(it.Key, it.Value), reason)) << it.Value;
     EXPECT_NE(reason.Detail.find(it.Named), std::string::npos) << reason.Detail;
   }
 }
--- a/tests/platform/server_record_test.cpp
+++ b/tests/platform/server_record_test.cpp
@@ -6,7 +6,7 @@
 /// fields that are missing, and a record that it refused left the older one in
 /// force. The tables below, played against it, showed which records named a
 /// server.
-#include "platform/fact_format.h"
+#include "platform/record_format.h"
 
 #include <boost/json.hpp>
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
 
 std::optional<direct::FactValue>
 decode(const std::string &key, const std::string &value, Error &reason) {
-  return decodeFact({key, value, 5, false}, reason);
+  return decodeRecord({key, value, 5, false}, reason);
 }
 
 bool namesServer(const std::string &value, const std::string &id = "i-1") {
