--- a/tests/platform/entry_fixture.h
+++ b/tests/platform/entry_fixture.h
@@ -20,13 +20,13 @@
   return {std::move(key), std::move(value), revision, false};
 }
 
-inline direct::StoreRecord removed(std::string key, uint64_t revision) {
+inline direct::StoreRecord deletedRecord(std::string key, uint64_t revision) {
   return {std::move(key), "", revision, true};
 }
 
 /// A service of engines that tolerate 17 requests a second while they are cold,
 /// and a plain service that is never cold.
-inline direct::StoreRecord configuration(uint64_t revision) {
+inline direct::StoreRecord configRecord(uint64_t revision) {
   return record("op/config",
                 R"({"version":1,"routes":[
       {"name":"draft","host":"h","path-prefix":"/d/","kind":"streaming",
@@ -41,10 +41,10 @@
                 revision);
 }
 
-inline direct::StoreRecord server(const std::string &id,
-                                  const std::string &service,
-                                  const std::string &domain, int coldMs,
-                                  uint64_t revision) {
+inline direct::StoreRecord serverRecord(const std::string &id,
+                                        const std::string &service,
+                                        const std::string &domain, int coldMs,
+                                        uint64_t revision) {
   std::string models = service == "engines"
                            ? R"(,"models":[{"name":"m","version":1}])"
                            : std::string();
@@ -57,7 +57,7 @@
                 revision);
 }
 
-inline direct::StoreRecord registration(int entry, uint64_t revision) {
+inline direct::StoreRecord registrationRecord(int entry, uint64_t revision) {
   std::string address = "10.0.0." + std::to_string(entry + 1) + ":7000";
   return record("daisytack/registered/" + address,
                 R"({"peer":")" + address + R"("})", revision);
@@ -65,12 +65,12 @@
 
 class Entry {
 public:
-  explicit Entry(int number = 0, direct::Locality where = {"a"})
+  explicit Entry(int number = 0, direct::Locality locality = {"a"})
       : ColdServers(slowStart(), addressOf(number), Start - 10s),
         Limits({}, addressOf(number), Start - 10s),
-        Place(direct::PlacementSettings{}, std::move(where),
-              direct::PlacementView{Loads, Links, Ejected, Rates, Kept,
-                                    ColdServers, Limits}) {}
+        Placer(direct::PlacementSettings{}, std::move(locality),
+               direct::PlacementView{Loads, Links, Ejections, Rates, Kept,
+                                     ColdServers, Limits}) {}
 
   static Endpoint addressOf(int number) {
     return {"10.0.0." + std::to_string(number + 1), 7000};
@@ -92,7 +92,7 @@
     return out;
   }
 
-  static direct::ForwardRequest prompt(const std::string &session) {
+  static direct::ForwardRequest promptRequest(const std::string &session) {
     direct::ForwardRequest out;
     out.Head.RequestId = "r" + session;
     out.Head.Model = "m";
@@ -104,7 +104,7 @@
     return out;
   }
 
-  static direct::ForwardRequest call(const std::string &id) {
+  static direct::ForwardRequest plainRequest(const std::string &id) {
     direct::ForwardRequest out;
     out.Head.RequestId = id;
     out.Service = "plain";
@@ -120,20 +120,20 @@
     request.Arrived = now;
     request.Deadline = now + 12s;
     Reason = {};
-    auto choice =
-        Place.choose(request, *Known.view(), tried, std::nullopt, now, Reason);
+    auto choice = Placer.choose(request, *Catalog.view(), tried, std::nullopt,
+                                now, Reason);
     return choice ? choice->Order.ServerId : std::string();
   }
 
   direct::ServerLoads Loads{{}};
   direct::StoreLinks Links{{}};
   direct::ReadingRate Rates{{}};
-  Ejector Ejected{{1, 4, 5s, 300s, 60s, 600s, true}};
+  Ejector Ejections{{1, 4, 5s, 300s, 60s, 600s, true}};
   direct::KeptContext Kept{{}};
-  direct::CatalogKeeper Known{{}, hooks()};
+  direct::CatalogKeeper Catalog{{}, hooks()};
   direct::SlowStart ColdServers;
   direct::RequestLimits Limits;
-  direct::Placement Place;
+  direct::Placement Placer;
   Error Reason;
 };
 
--- a/tests/platform/evacuation_test.cpp
+++ b/tests/platform/evacuation_test.cpp
@@ -15,25 +15,27 @@
 class EvacuationTest : public testing::Test {
 protected:
   EvacuationTest() {
-    std::vector<direct::StoreRecord> all{configuration(1)};
+    std::vector<direct::StoreRecord> all{configRecord(1)};
     uint64_t revision = 1;
     for (const char *domain : {"a", "b", "c"})
       for (int i = 0; i < 3; ++i) {
         std::string name = domain + std::to_string(i);
-        all.push_back(server("e" + name, "engines", domain, 0, ++revision));
-        all.push_back(server("p" + name, "plain", domain, 0, ++revision));
+        all.push_back(
+            serverRecord("e" + name, "engines", domain, 0, ++revision));
+        all.push_back(serverRecord("p" + name, "plain", domain, 0, ++revision));
       }
-    All.Known.applyAll(all, revision, Start);
+    TestEntry.Catalog.applyAll(all, revision, Start);
   }
 
   /// Domains that a hundred prompts and calls are sent to, by the second letter
   /// of their servers' names.
-  std::set<char> used(TimePoint now, const std::vector<std::string> &tried) {
+  std::set<char> usedDomains(TimePoint now,
+                             const std::vector<std::string> &tried) {
     std::set<char> out;
     for (int i = 0; i < 100; ++i)
-      for (const auto &request :
-           {Entry::prompt(std::to_string(i)), Entry::call(std::to_string(i))}) {
-        std::string to = All.send(request, now, tried);
+      for (const auto &request : {Entry::promptRequest(std::to_string(i)),
+                                  Entry::plainRequest(std::to_string(i))}) {
+        std::string to = TestEntry.send(request, now, tried);
         if (!to.empty())
           out.insert(to[1]);
         now += 50ms;
@@ -41,31 +43,31 @@
     return out;
   }
 
-  Entry All;
+  Entry TestEntry;
 };
 
 TEST_F(EvacuationTest, SendsNothingToServersOfAnEvacuatedDomain) {
-  EXPECT_TRUE(used(Start, {}).contains('b'));
-  All.Known.apply({record("op/evacuate/b", "{}", 100)}, Start + 1s);
-  EXPECT_EQ(used(Start + 1s, {}), (std::set<char>{'a', 'c'}));
+  EXPECT_TRUE(usedDomains(Start, {}).contains('b'));
+  TestEntry.Catalog.apply({record("op/evacuate/b", "{}", 100)}, Start + 1s);
+  EXPECT_EQ(usedDomains(Start + 1s, {}), (std::set<char>{'a', 'c'}));
   // Nor when every other server was tried: a retry, or a stream that goes on.
-  EXPECT_EQ(used(Start + 9s, {"ea0", "ea1", "ea2", "ec0", "ec1", "ec2", "pa0",
-                              "pa1", "pa2", "pc0", "pc1", "pc2"}),
+  EXPECT_EQ(usedDomains(Start + 9s, {"ea0", "ea1", "ea2", "ec0", "ec1", "ec2",
+                                     "pa0", "pa1", "pa2", "pc0", "pc1", "pc2"}),
             std::set<char>());
 }
 
-TEST_F(EvacuationTest, TakesServersUpAgainWhenItIsTakenBack) {
-  All.Known.apply({record("op/evacuate/b", "{}", 100)}, Start);
-  All.Known.apply({removed("op/evacuate/b", 101)}, Start + 8s);
-  EXPECT_TRUE(used(Start + 20s, {}).contains('b'));
+TEST_F(EvacuationTest, UsesServersAgainAfterItIsRevoked) {
+  TestEntry.Catalog.apply({record("op/evacuate/b", "{}", 100)}, Start);
+  TestEntry.Catalog.apply({deletedRecord("op/evacuate/b", 101)}, Start + 8s);
+  EXPECT_TRUE(usedDomains(Start + 20s, {}).contains('b'));
 }
 
-TEST_F(EvacuationTest, KnowsSeveralDomainsEachByItself) {
-  All.Known.apply({record("op/evacuate/a", "{}", 100)}, Start);
-  All.Known.apply({record("op/evacuate/b", "{}", 101)}, Start + 2s);
-  EXPECT_EQ(used(Start + 3s, {}), std::set<char>{'c'});
-  All.Known.apply({removed("op/evacuate/a", 102)}, Start + 30s);
-  EXPECT_EQ(used(Start + 40s, {}), (std::set<char>{'a', 'c'}));
+TEST_F(EvacuationTest, TracksEachDomainSeparately) {
+  TestEntry.Catalog.apply({record("op/evacuate/a", "{}", 100)}, Start);
+  TestEntry.Catalog.apply({record("op/evacuate/b", "{}", 101)}, Start + 2s);
+  EXPECT_EQ(usedDomains(Start + 3s, {}), std::set<char>{'c'});
+  TestEntry.Catalog.apply({deletedRecord("op/evacuate/a", 102)}, Start + 30s);
+  EXPECT_EQ(usedDomains(Start + 40s, {}), (std::set<char>{'a', 'c'}));
 }
 
 } // namespace
--- a/tests/platform/format_test.cpp
+++ b/tests/platform/format_test.cpp
@@ -36,12 +36,12 @@
 template <class T>
 T decodeAs(const std::string &key, const std::string &value) {
   Error reason;
-  auto fact = decodeRecord(record(key, value), reason);
-  EXPECT_TRUE(fact) << reason.Detail;
-  return fact ? std::get<T>(*fact) : T{};
+  auto decoded = decodeRecord(record(key, value), reason);
+  EXPECT_TRUE(decoded) << reason.Detail;
+  return decoded ? std::get<T>(*decoded) : T{};
 }
 
-TEST(DecodeFact, ReadsTheConfiguration) {
+TEST(DecodeRecord, ReadsTheConfiguration) {
   auto config = decodeAs<direct::ServingConfig>("op/config", ConfigText);
   EXPECT_EQ(config.Version, 7);
   ASSERT_EQ(config.Routes.size(), 2);
@@ -64,7 +64,7 @@
   EXPECT_TRUE(config.Organisations[0].IsIsolated);
 }
 
-TEST(DecodeFact, ReadsAServer) {
+TEST(DecodeRecord, ReadsAServer) {
   auto server = decodeAs<direct::BackendServer>(
       "servers/i-1", R"({"service":"s","address":"10.0.0.1:80","zone":"z",
       "version":"v1","slots":128,"state":"ready","cold-remaining-ms":0,
@@ -76,14 +76,14 @@
 }
 
 /// The key says it all: no value takes the operator's word back.
-TEST(DecodeFact, ReadsAnEvacuationWhateverItsValue) {
+TEST(DecodeRecord, ReadsAnEvacuationRegardlessOfItsValue) {
   for (const char *value : {"{}", R"({"since":1})", "[]", "", "{"})
     EXPECT_EQ(
         decodeAs<direct::EvacuatedDomain>("op/evacuate/z", value).FailureDomain,
         "z");
 }
 
-TEST(DecodeFact, ReadsHowLongAServerIsCold) {
+TEST(DecodeRecord, ReadsHowLongAServerIsCold) {
   auto server = decodeAs<direct::BackendServer>(
       "servers/i-1", R"({"service":"s","address":"10.0.0.1:80","zone":"z",
       "version":"v1","slots":4,"state":"ready","cold-remaining-ms":1250.5,
@@ -97,7 +97,7 @@
   EXPECT_EQ(config.Services[1].ColdRequestsPerSecond, 0);
 }
 
-TEST(DecodeFact, KnowsADrainingServer) {
+TEST(DecodeRecord, ReadsADrainingServer) {
   auto server = decodeAs<direct::BackendServer>(
       "servers/i-1", R"({"service":"s","address":"10.0.0.1:80","zone":"z",
       "version":"v1","slots":4,"state":"draining","cold-remaining-ms":0.5,
@@ -105,11 +105,11 @@
   EXPECT_TRUE(server.IsDraining);
 }
 
-TEST(DecodeFact, NamesWhatItCannotRead) {
+TEST(DecodeRecord, ReportsTheInvalidField) {
   struct Case {
     const char *Key;
     const char *Value;
-    const char *Named;
+    const char *ExpectedDetail;
   };
   for (const Case &it :
        {Case{"op/config", "[]", "not a JSON object"},
@@ -121,11 +121,12 @@
         Case{"servers/i", "{", "not a JSON object"}}) {
     Error reason;
     EXPECT_FALSE(decodeRecord(record(it.Key, it.Value), reason)) << it.Value;
-    EXPECT_NE(reason.Detail.find(it.Named), std::string::npos) << reason.Detail;
+    EXPECT_NE(reason.Detail.find(it.ExpectedDetail), std::string::npos)
+        << reason.Detail;
   }
 }
 
-TEST(SubjectOf, KnowsEveryKey) {
+TEST(SubjectOf, RecognisesEveryKey) {
   EXPECT_EQ(subjectOf("op/config").Kind, FactKind::Config);
   EXPECT_EQ(subjectOf("op/version/m"),
             (direct::FactSubject{FactKind::Weights, "m"}));
@@ -139,7 +140,7 @@
   EXPECT_EQ(subjectOf("op/other").Kind, FactKind::Other);
 }
 
-TEST(DecodeFact, ReadsBackWhatEntriesWrite) {
+TEST(DecodeRecord, ReadsRecordsThatEntriesWrite) {
   direct::EntryPeer peer{"e", {"10.0.0.1", 7580}};
   EXPECT_EQ(decodeAs<direct::EntryPeer>(entryKey("e"), encodeEntry(peer)),
             peer);
@@ -159,7 +160,7 @@
             direct::OrderHolder{"e"});
 }
 
-TEST(ReadChanges, NoticesMissingNumbers) {
+TEST(ReadChanges, DetectsMissingNumbers) {
   auto read = [](const char *body, uint64_t since) {
     return readChanges(body, since);
   };
@@ -181,7 +182,7 @@
   EXPECT_FALSE(read("junk", 0));
 }
 
-TEST(ReadList, ReadsWholeAndBrokenParts) {
+TEST(ReadList, ReadsCompleteAndBrokenParts) {
   auto list = readList(R"({"epoch":7,"next":120,"held":[["s","a",800,"m"]],
     "incomplete-parts":[["s","b",10,20]]})");
   ASSERT_TRUE(list);
@@ -212,12 +213,12 @@
   EXPECT_FALSE(readReport(R"({"models":[],"born":"1700000000123"})"));
 }
 
-RC_GTEST_PROP(Base64, ReadsBackWhatItWrites, ()) {
+RC_GTEST_PROP(Base64, DecodesWhatItEncodes, ()) {
   auto bytes = *rc::gen::arbitrary<std::string>();
   RC_ASSERT(decodeBase64(encodeBase64(bytes)) == bytes);
 }
 
-TEST(Base64, RefusesWhatIsNone) {
+TEST(Base64, RejectsInvalidText) {
   EXPECT_EQ(encodeBase64("node-1"), "bm9kZS0x");
   EXPECT_FALSE(decodeBase64("abc"));
   EXPECT_FALSE(decodeBase64("****"));
--- a/tests/platform/kv_store_test.cpp
+++ b/tests/platform/kv_store_test.cpp
@@ -18,7 +18,7 @@
 using net::HttpRequest;
 using net::HttpResponse;
 
-constexpr Duration CallTime{2'000'000};
+constexpr Duration CallTimeout{2'000'000};
 
 /// Answers requests from a script, and keeps their targets and bodies.
 class ScriptedService {
@@ -76,7 +76,7 @@
   create.If.push_back({"k", edge::KvCompare::Target::ModRevision, 0});
   create.Then.push_back({"k", "value", 9, false});
   return await<edge::KvTransactionResult>([&](auto done) {
-    service.Store.Commit(create, CallTime, std::move(done));
+    service.Store.Commit(create, CallTimeout, std::move(done));
   });
 }
 
@@ -89,7 +89,7 @@
               R"(],"truncated":false,"store-revision":12})");
   });
   auto result = await<edge::KvRangeResult>([&](auto done) {
-    service.Store.Range({"", edge::prefixEnd(""), 0, 0}, CallTime,
+    service.Store.Range({"", edge::prefixEnd(""), 0, 0}, CallTimeout,
                         std::move(done));
   });
   ASSERT_EQ(result.Header.Status, KvStatus::Ok);
@@ -106,7 +106,7 @@
 /// servers of later pages were taken for gone. Items that could not be read
 /// were left out, and the next page was asked for after the last one that
 /// could; the two tests below showed both.
-TEST(KvStore, ReadsOnPastValuesThatCannotBeRead) {
+TEST(KvStore, ReadsTheRangeDespiteInvalidValues) {
   ScriptedService service([](const HttpRequest &request) {
     if (request.Query.find("after=") == std::string::npos)
       return ok(R"({"items":[{"key":"a","value":"%%%","revision":3},)"
@@ -119,7 +119,7 @@
     return ok("{}");
   });
   auto result = await<edge::KvRangeResult>([&](auto done) {
-    service.Store.Range({"", edge::prefixEnd(""), 0, 0}, CallTime,
+    service.Store.Range({"", edge::prefixEnd(""), 0, 0}, CallTimeout,
                         std::move(done));
   });
   ASSERT_EQ(result.Header.Status, KvStatus::Ok);
@@ -134,12 +134,12 @@
   EXPECT_EQ(service.requests()[2].Query, "path-prefix=&after=b%FF");
 }
 
-TEST(KvStore, FailsARangeWhosePagesLeadNowhere) {
+TEST(KvStore, FailsARangeWhosePagesMakeNoProgress) {
   ScriptedService service([](const HttpRequest &) {
     return ok(R"({"items":[7],"truncated":true,"store-revision":10})");
   });
   auto result = await<edge::KvRangeResult>([&](auto done) {
-    service.Store.Range({"", edge::prefixEnd(""), 0, 0}, CallTime,
+    service.Store.Range({"", edge::prefixEnd(""), 0, 0}, CallTimeout,
                         std::move(done));
   });
   EXPECT_EQ(result.Header.Status, KvStatus::Unavailable);
@@ -151,7 +151,7 @@
         lostConnection()}) {
     ScriptedService service([&](const HttpRequest &) { return response; });
     auto result = await<edge::KvRangeResult>([&](auto done) {
-      service.Store.Range({"p/", edge::prefixEnd("p/"), 0, 0}, CallTime,
+      service.Store.Range({"p/", edge::prefixEnd("p/"), 0, 0}, CallTimeout,
                           std::move(done));
     });
     EXPECT_EQ(result.Header.Status, KvStatus::Unavailable);
@@ -170,7 +170,7 @@
 }
 
 /// Which answers of a write leave open whether it was carried out.
-TEST(KvStore, TellsSurelyNotWrittenFromPerhapsWritten) {
+TEST(KvStore, DistinguishesFailedFromUnknownWrites) {
   struct Case {
     HttpResponse Response;
     KvStatus Status;
@@ -190,17 +190,17 @@
   }
 }
 
-TEST(KvStore, SurelyWritesNothingWithoutAConnection) {
+TEST(KvStore, ReportsAWriteWithoutAConnectionAsUnavailable) {
   net::IoThreads threads;
   net::HttpClient client(threads.Io, {});
   // A port on which nothing listens.
   edge::KvStore store = makeKvStore(client, {"127.0.0.1", 1});
   auto result = await<edge::KvTransactionResult>(
-      [&](auto done) { store.Commit({}, CallTime, std::move(done)); });
+      [&](auto done) { store.Commit({}, CallTimeout, std::move(done)); });
   EXPECT_EQ(result.Header.Status, KvStatus::Unavailable);
 }
 
-TEST(KvStore, GrantsAndKeepsLeases) {
+TEST(KvStore, GrantsAndRenewsLeases) {
   ScriptedService service([](const HttpRequest &request) {
     if (request.Path == "/kv-lease")
       return ok(R"({"lease":77,"ttl-ms":3000})");
@@ -209,48 +209,49 @@
     return HttpResponse{404, {}, {}};
   });
   auto granted = await<edge::KvLeaseResult>([&](auto done) {
-    service.Store.GrantLease(3s, CallTime, std::move(done));
+    service.Store.GrantLease(3s, CallTimeout, std::move(done));
   });
   EXPECT_EQ(granted.Lease, 77);
   auto kept = await<edge::KvLeaseResult>([&](auto done) {
-    service.Store.KeepLease(77, CallTime, std::move(done));
+    service.Store.KeepLease(77, CallTimeout, std::move(done));
   });
   EXPECT_EQ(kept.Lease, 77);
   EXPECT_EQ(kept.TimeLeft, 2500ms);
   auto lapsed = await<edge::KvLeaseResult>([&](auto done) {
-    service.Store.KeepLease(78, CallTime, std::move(done));
+    service.Store.KeepLease(78, CallTimeout, std::move(done));
   });
   EXPECT_EQ(lapsed.Header.Status, KvStatus::Ok);
   EXPECT_EQ(lapsed.Lease, 0);
 }
 
 /// What a watch reports, until it has ended.
-struct Watched {
+struct WatchOutcome {
   std::vector<edge::KvChange> Changes;
   uint64_t Revision = 0;
   uint64_t CompactRevision = 0;
   KvStatus Status = KvStatus::Ok;
 };
 
-Watched watch(ScriptedService &service) {
-  auto seen = std::make_shared<Watched>();
+WatchOutcome watch(ScriptedService &service) {
+  auto outcome = std::make_shared<WatchOutcome>();
   auto ended = std::make_shared<std::promise<void>>();
   auto future = ended->get_future();
   edge::KvWatchHooks hooks;
-  hooks.Changed = [seen](const edge::KvHeader &header,
-                         std::vector<edge::KvChange> changes) {
-    seen->Revision = header.Revision;
+  hooks.Changed = [outcome](const edge::KvHeader &header,
+                            std::vector<edge::KvChange> changes) {
+    outcome->Revision = header.Revision;
     for (auto &it : changes)
-      seen->Changes.push_back(std::move(it));
+      outcome->Changes.push_back(std::move(it));
   };
-  hooks.Ended = [seen, ended](const edge::KvHeader &header, uint64_t compact) {
-    seen->Status = header.Status;
-    seen->CompactRevision = compact;
+  hooks.Ended = [outcome, ended](const edge::KvHeader &header,
+                                 uint64_t compact) {
+    outcome->Status = header.Status;
+    outcome->CompactRevision = compact;
     ended->set_value();
   };
   service.Store.Watch("", edge::prefixEnd(""), 11, std::move(hooks));
   EXPECT_EQ(future.wait_for(net::WaitLimit), std::future_status::ready);
-  return *seen;
+  return *outcome;
 }
 
 TEST(KvStore, WatchesFromRevisionToRevision) {
@@ -264,20 +265,20 @@
       return ok(R"({"events":[],"store-revision":20})");
     return HttpResponse{503, {}, {}};
   });
-  Watched seen = watch(service);
-  ASSERT_EQ(seen.Changes.size(), 2);
-  EXPECT_FALSE(seen.Changes[0].Deleted);
-  EXPECT_TRUE(seen.Changes[1].Deleted);
-  EXPECT_EQ(seen.Revision, 20);
-  EXPECT_EQ(seen.Status, KvStatus::Unavailable);
-  EXPECT_EQ(seen.CompactRevision, 0);
+  WatchOutcome outcome = watch(service);
+  ASSERT_EQ(outcome.Changes.size(), 2);
+  EXPECT_FALSE(outcome.Changes[0].Deleted);
+  EXPECT_TRUE(outcome.Changes[1].Deleted);
+  EXPECT_EQ(outcome.Revision, 20);
+  EXPECT_EQ(outcome.Status, KvStatus::Unavailable);
+  EXPECT_EQ(outcome.CompactRevision, 0);
   auto requests = service.requests();
   EXPECT_NE(requests[0].Query.find("after=10&"), std::string::npos);
   EXPECT_NE(requests[1].Query.find("after=13&"), std::string::npos);
   EXPECT_NE(requests[2].Query.find("after=20&"), std::string::npos);
 }
 
-TEST(KvStore, ReportsAChangeWhoseValueCannotBeRead) {
+TEST(KvStore, ReportsAChangeWithAnInvalidValue) {
   std::atomic<int> calls{0};
   ScriptedService service([&](const HttpRequest &) {
     if (calls++ > 0)
@@ -285,21 +286,21 @@
     return ok(R"({"events":[{"key":"a","value":"%%%","revision":12},8,)" +
               item("b", 13) + R"(],"store-revision":13})");
   });
-  Watched seen = watch(service);
-  ASSERT_EQ(seen.Changes.size(), 2);
-  EXPECT_EQ(seen.Changes[0].Entry.Key, "a");
-  EXPECT_EQ(seen.Changes[0].Entry.ModRevision, 12);
-  EXPECT_EQ(seen.Changes[0].Entry.Value, "");
-  EXPECT_FALSE(seen.Changes[0].Deleted);
-  EXPECT_EQ(seen.Changes[1].Entry.Value, "vb");
-  EXPECT_EQ(seen.Revision, 13);
+  WatchOutcome outcome = watch(service);
+  ASSERT_EQ(outcome.Changes.size(), 2);
+  EXPECT_EQ(outcome.Changes[0].Entry.Key, "a");
+  EXPECT_EQ(outcome.Changes[0].Entry.ModRevision, 12);
+  EXPECT_EQ(outcome.Changes[0].Entry.Value, "");
+  EXPECT_FALSE(outcome.Changes[0].Deleted);
+  EXPECT_EQ(outcome.Changes[1].Entry.Value, "vb");
+  EXPECT_EQ(outcome.Revision, 13);
 }
 
 HttpResponse okIn(int era, std::string body) {
   return {200, {{"store-era", std::to_string(era)}}, std::move(body)};
 }
 
-TEST(KvStore, RevisionsRiseFromEraToEra) {
+TEST(KvStore, OrdersRevisionsByEra) {
   std::atomic<int> era{1};
   ScriptedService service([&](const HttpRequest &) {
     return okIn(era, R"({"items":[)" + item("a", 60 - era) +
@@ -307,7 +308,8 @@
   });
   auto read = [&] {
     return await<edge::KvRangeResult>([&](auto done) {
-      service.Store.Range({"", edge::prefixEnd("")}, CallTime, std::move(done));
+      service.Store.Range({"", edge::prefixEnd("")}, CallTimeout,
+                          std::move(done));
     });
   };
   edge::KvRangeResult before = read();
@@ -322,7 +324,7 @@
   EXPECT_EQ(read().Header.Status, KvStatus::Unavailable);
 }
 
-TEST(KvStore, FailsARangeWhosePagesAreOfTwoEras) {
+TEST(KvStore, FailsARangeWhosePagesHaveDifferentEras) {
   std::atomic<int> calls{0};
   ScriptedService service([&](const HttpRequest &) {
     int call = ++calls;
@@ -331,47 +333,49 @@
                           R"(,"store-revision":9})");
   });
   auto result = await<edge::KvRangeResult>([&](auto done) {
-    service.Store.Range({"", edge::prefixEnd("")}, CallTime, std::move(done));
+    service.Store.Range({"", edge::prefixEnd("")}, CallTimeout,
+                        std::move(done));
   });
   EXPECT_EQ(result.Header.Status, KvStatus::Unavailable);
 }
 
 /// Its revisions have passed the one that the watch asks from, so that the
 /// service itself does not notice.
-TEST(KvStore, AWatchLosesItsHistoryWithTheEra) {
+TEST(KvStore, EndsAWatchWhoseEraHasPassed) {
   ScriptedService service([&](const HttpRequest &) {
     return okIn(3,
                 R"({"events":[)" + item("a", 90) + R"(],"store-revision":90})");
   });
-  Watched seen = watch(service);
-  EXPECT_TRUE(seen.Changes.empty());
-  EXPECT_GT(seen.CompactRevision, 0);
+  WatchOutcome outcome = watch(service);
+  EXPECT_TRUE(outcome.Changes.empty());
+  EXPECT_GT(outcome.CompactRevision, 0);
 }
 
 /// A condition on a revision of an earlier era may hold by chance, as revisions
 /// are given out again.
-TEST(KvStore, ConditionsOfAnEarlierEraDoNotHold) {
+TEST(KvStore, FailsConditionsOfAnEarlierEra) {
   std::atomic<int> era{1};
   ScriptedService service(
       [&](const HttpRequest &) { return okIn(era, R"({"revision":70})"); });
-  auto commitOver = [&](uint64_t revision) {
+  auto commitAtRevision = [&](uint64_t revision) {
     edge::KvTransaction change;
     change.If.push_back({"k", edge::KvCompare::Target::ModRevision, revision});
     return await<edge::KvTransactionResult>([&](auto done) {
-      service.Store.Commit(change, CallTime, std::move(done));
+      service.Store.Commit(change, CallTimeout, std::move(done));
     });
   };
   uint64_t known = direct::lastingRevision(1, 62);
-  EXPECT_EQ(commitOver(known).Header.Revision, direct::lastingRevision(1, 70));
+  EXPECT_EQ(commitAtRevision(known).Header.Revision,
+            direct::lastingRevision(1, 70));
   EXPECT_NE(service.requests()[0].Body.find(R"("revision":62)"),
             std::string::npos);
   // The restore is found out by the answer, and was carried out or not.
   era = 2;
-  EXPECT_EQ(commitOver(known).Header.Status, KvStatus::Unknown);
+  EXPECT_EQ(commitAtRevision(known).Header.Status, KvStatus::Unknown);
   // From then on nothing is sent.
-  EXPECT_EQ(commitOver(known).Header.Status, KvStatus::CompareFailed);
+  EXPECT_EQ(commitAtRevision(known).Header.Status, KvStatus::CompareFailed);
   EXPECT_EQ(service.requests().size(), 2);
-  EXPECT_EQ(commitOver(0).Header.Status, KvStatus::Ok);
+  EXPECT_EQ(commitAtRevision(0).Header.Status, KvStatus::Ok);
 }
 
 TEST(KvStore, ReportsLostHistory) {
@@ -381,11 +385,11 @@
   EXPECT_GT(watch(service).CompactRevision, 0);
 }
 
-TEST(KvStore, EndsAWatchThatIsCut) {
+TEST(KvStore, EndsAWatchWhoseConnectionIsLost) {
   ScriptedService service([](const HttpRequest &) { return lostConnection(); });
-  Watched seen = watch(service);
-  EXPECT_EQ(seen.Status, KvStatus::Unavailable);
-  EXPECT_EQ(seen.CompactRevision, 0);
+  WatchOutcome outcome = watch(service);
+  EXPECT_EQ(outcome.Status, KvStatus::Unavailable);
+  EXPECT_EQ(outcome.CompactRevision, 0);
 }
 
 } // namespace
--- a/tests/platform/regions_test.cpp
+++ b/tests/platform/regions_test.cpp
@@ -10,11 +10,11 @@
 namespace {
 
 /// Domains a and b are in north, c in south, d in west.
-const direct::Locality Where{
+const direct::Locality TestLocality{
     "a", {{"a", "north"}, {"b", "north"}, {"c", "south"}, {"d", "west"}}};
 
-direct::StoreRecord confinedConfiguration(const std::string &route,
-                                          const std::string &organisation) {
+direct::StoreRecord confinedConfigRecord(const std::string &route,
+                                         const std::string &organisation) {
   auto store = [](const std::string &domain) {
     return R"({"name":"store-)" + domain +
            R"(","kv-store-address":"10.9.0.1:)" +
@@ -35,24 +35,25 @@
                 1);
 }
 
-class Confined {
+class ConfinedSetup {
 public:
-  Confined(const std::string &route, const std::string &organisation)
-      : Asked(0, Where) {
+  ConfinedSetup(const std::string &route, const std::string &organisation)
+      : TestEntry(0, TestLocality) {
     std::vector<direct::StoreRecord> all{
-        confinedConfiguration(route, organisation)};
+        confinedConfigRecord(route, organisation)};
     uint64_t revision = 1;
     for (const char *domain : {"a", "b", "c", "d", "unknown"})
       for (int i = 0; i < 3; ++i)
-        all.push_back(server(domain + std::to_string(i), "engines", domain, 0,
-                             ++revision));
-    Asked.Known.applyAll(all, revision, Start);
-    const direct::ServingConfig &config = Asked.Known.view()->Config->config();
-    Asked.Kept.setStores(config.Services);
+        all.push_back(serverRecord(domain + std::to_string(i), "engines",
+                                   domain, 0, ++revision));
+    TestEntry.Catalog.applyAll(all, revision, Start);
+    const direct::ServingConfig &config =
+        TestEntry.Catalog.view()->Config->config();
+    TestEntry.Kept.setStores(config.Services);
     for (const direct::Service &service : config.Services)
       if (service.Store)
-        Asked.Kept.apply(service.Name,
-                         direct::PartChanges{1, 0, false, {}, {}});
+        TestEntry.Kept.apply(service.Name,
+                             direct::PartChanges{1, 0, false, {}, {}});
     Regions = direct::intersect(config.Routes[0].Regions,
                                 config.Organisations[0].Regions);
   }
@@ -65,15 +66,16 @@
   Used send() {
     Used out;
     for (int i = 0; i < 200; ++i) {
-      direct::ForwardRequest request = Entry::prompt(std::to_string(i));
+      direct::ForwardRequest request = Entry::promptRequest(std::to_string(i));
       request.Regions = Regions;
       request.Arrived = Start;
       request.Deadline = Start + 12s;
       request.Head.Parts = {
           {"system", 100}, {std::to_string(i), 100}, {"own", 100}};
       Error reason;
-      auto choice = Asked.Place.choose(request, *Asked.Known.view(), {}, 1000,
-                                       Start + Duration(i), reason);
+      auto choice =
+          TestEntry.Placer.choose(request, *TestEntry.Catalog.view(), {}, 1000,
+                                  Start + Duration(i), reason);
       if (!choice)
         continue;
       out.Domains.insert(
@@ -86,66 +88,67 @@
     return out;
   }
 
-  Entry Asked;
+  Entry TestEntry;
   direct::AllowedRegions Regions;
 };
 
 using Names = std::set<std::string>;
 
-TEST(Regions, ConfineNothingThatNamesNone) {
-  auto used = Confined("", "").send();
+TEST(Regions, RestrictNothingWhenUnset) {
+  auto used = ConfinedSetup("", "").send();
   EXPECT_EQ(used.Domains, (Names{"a", "b", "c", "d", "unknown"}));
   EXPECT_EQ(used.Destinations, (Names{"a", "c", "d"}));
 }
 
-TEST(Regions, ConfineRequestsAndKeptContextOfARoute) {
-  auto used = Confined(R"(,"allowed-regions":["north"])", "").send();
+TEST(Regions, RestrictRequestsAndKeptContextOfARoute) {
+  auto used = ConfinedSetup(R"(,"allowed-regions":["north"])", "").send();
   EXPECT_EQ(used.Domains, (Names{"a", "b"}));
   EXPECT_EQ(used.Destinations, Names{"a"});
 }
 
-TEST(Regions, ConfineThoseOfAnOrganisation) {
-  auto used = Confined("", R"(,"allowed-regions":["south","west"])").send();
+TEST(Regions, RestrictRequestsOfAnOrganisation) {
+  auto used =
+      ConfinedSetup("", R"(,"allowed-regions":["south","west"])").send();
   EXPECT_EQ(used.Domains, (Names{"c", "d"}));
   EXPECT_EQ(used.Destinations, (Names{"c", "d"}));
 }
 
-TEST(Regions, BothBindWhereBothAre) {
-  auto used = Confined(R"(,"allowed-regions":["north","south"])",
-                       R"(,"allowed-regions":["south","west"])")
+TEST(Regions, OfRouteAndOrganisationAreIntersected) {
+  auto used = ConfinedSetup(R"(,"allowed-regions":["north","south"])",
+                            R"(,"allowed-regions":["south","west"])")
                   .send();
   EXPECT_EQ(used.Domains, Names{"c"});
   EXPECT_EQ(used.Destinations, Names{"c"});
 }
 
-TEST(Regions, RefuseWhatMayRunNowhere) {
-  Confined nowhere(R"(,"allowed-regions":["north"])",
-                   R"(,"allowed-regions":["west"])");
+TEST(Regions, RejectRequestsWithNoAllowedRegion) {
+  ConfinedSetup nowhere(R"(,"allowed-regions":["north"])",
+                        R"(,"allowed-regions":["west"])");
   EXPECT_EQ(nowhere.send().Domains, Names{});
-  direct::ForwardRequest request = Entry::prompt("s");
+  direct::ForwardRequest request = Entry::promptRequest("s");
   request.Regions = nowhere.Regions;
-  EXPECT_EQ(nowhere.Asked.send(request, Start), "");
-  EXPECT_EQ(nowhere.Asked.Reason.Kind, ErrorKind::NoServer);
+  EXPECT_EQ(nowhere.TestEntry.send(request, Start), "");
+  EXPECT_EQ(nowhere.TestEntry.Reason.Kind, ErrorKind::NoServer);
 }
 
 /// What another request left in a store of a foreign region is not fetched for
 /// a confined one.
-TEST(Regions, BoundSourcesOfKeptContext) {
-  Confined confined(R"(,"allowed-regions":["north"])", "");
+TEST(Regions, RestrictSourcesOfKeptContext) {
+  ConfinedSetup confined(R"(,"allowed-regions":["north"])", "");
   std::string scope = direct::cacheScope("", false, 1);
   auto keep = [&](const std::string &store) {
-    confined.Asked.Kept.apply(
+    confined.TestEntry.Kept.apply(
         store, direct::PartChanges{
                    1, 2, false, {}, {{1, true, scope, "session", 100}}});
   };
   auto source = [&](const direct::AllowedRegions &regions) {
-    direct::ForwardRequest request = Entry::prompt("session");
+    direct::ForwardRequest request = Entry::promptRequest("session");
     request.Regions = regions;
     request.Arrived = Start;
     request.Deadline = Start + 12s;
     Error reason;
-    auto choice = confined.Asked.Place.choose(
-        request, *confined.Asked.Known.view(), {}, 1000, Start, reason);
+    auto choice = confined.TestEntry.Placer.choose(
+        request, *confined.TestEntry.Catalog.view(), {}, 1000, Start, reason);
     return choice->Order.Sources[1].has_value();
   };
   keep("store-c");
--- a/tests/platform/request_head_test.cpp
+++ b/tests/platform/request_head_test.cpp
@@ -62,7 +62,7 @@
                             {"5c", 800}, {"91", 410}, {"e4", 250}}));
 }
 
-TEST(ReadCaller, RefusesADeadlineThatIsNoNumber) {
+TEST(ReadCaller, RejectsAnInvalidDeadline) {
   for (const char *text :
        {"soon", "-1", "1.5", "99999999999999999999", "1 2"}) {
     net::HttpRequest request = sample();
@@ -73,7 +73,7 @@
   }
 }
 
-TEST(ReadCaller, GoesOnWithoutReuseWhenThePromptCannotBeRead) {
+TEST(ReadCaller, IgnoresAnInvalidPromptPrefix) {
   for (const char *text : {"5c", "5c:", ":5", "5c:x", "5c:800,,x:y"}) {
     net::HttpRequest request = sample();
     request.Headers[5].Value = text;
@@ -82,7 +82,7 @@
 }
 
 /// Headers that only this system may set, whatever their case, and the key.
-TEST(WriteAttempt, DropsWhatACallerMayNotSet) {
+TEST(WriteAttempt, DropsHeadersThatACallerMayNotSet) {
   for (const char *name :
        {"X-Daisytack-Cache-Salt", "x-daisytack-kv-source",
         "X-Daisytack-Kv-Destination", "X-Daisytack-Kv-Until",
@@ -98,7 +98,7 @@
   }
 }
 
-TEST(WriteAttempt, ReplacesWhatACallerClaims) {
+TEST(WriteAttempt, ReplacesHeadersThatTheCallerForged) {
   net::HttpRequest request = sample();
   request.Headers.push_back({"X-Daisytack-Tenant", "other"});
   request.Headers.push_back({"X-Daisytack-Expected-Instance", "i-9"});
@@ -109,7 +109,7 @@
   EXPECT_EQ(valueOf(out.Headers, "X-Daisytack-Deadline-Milliseconds"), "1234");
 }
 
-TEST(WriteAttempt, ForwardsTheRestUnchanged) {
+TEST(WriteAttempt, ForwardsOtherHeadersUnchanged) {
   net::HttpRequest out =
       writeAttempt(readSample(sample()), orderSample(), "body");
   EXPECT_EQ(out.Target, "/a/b?c=1");
@@ -120,7 +120,7 @@
     EXPECT_EQ(valueOf(out.Headers, name), sample().header(name)) << name;
 }
 
-TEST(WriteAttempt, DropsWhatConcernsOneConnection) {
+TEST(WriteAttempt, DropsHopByHopHeaders) {
   net::HttpRequest request = sample();
   request.Headers.push_back({"Connection", "keep-alive, X-Hop"});
   request.Headers.push_back({"X-Hop", "1"});
@@ -133,7 +133,7 @@
     EXPECT_EQ(valueOf(out.Headers, name), "") << name;
 }
 
-TEST(WriteAttempt, NamesSourcesAndDestinationsPartByPart) {
+TEST(WriteAttempt, ListsSourcesAndDestinationsByPart) {
   direct::AttemptOrder order = orderSample();
   order.Sources = {Endpoint{"10.0.0.1", 80}, std::nullopt, std::nullopt};
   order.Destinations = {std::nullopt, Endpoint{"10.0.0.2", 81}, std::nullopt};
@@ -151,14 +151,14 @@
   EXPECT_EQ(valueOf(out.Headers, "X-Daisytack-Kv-Until"), "99");
 }
 
-TEST(WriteAttempt, NamesNoAddressesWhenThereAreNone) {
+TEST(WriteAttempt, OmitsTheSourceHeaderWithoutSources) {
   direct::AttemptOrder order = orderSample();
   order.Sources = {std::nullopt, std::nullopt};
   net::HttpRequest out = writeAttempt(readSample(sample()), order, "");
   EXPECT_EQ(valueOf(out.Headers, "X-Daisytack-Kv-Source"), "");
 }
 
-TEST(ReadServer, BelievesOnlyWhatTheServerSays) {
+TEST(ReadServer, ReadsWhetherTheRequestRan) {
   EXPECT_FALSE(readServer(503, {}).WasNotRun);
   EXPECT_TRUE(readServer(503, {{"X-Daisytack-Not-Executed", "1"}}).WasNotRun);
   EXPECT_TRUE(readServer(421, {}).WasNotRun);
@@ -166,7 +166,7 @@
   EXPECT_EQ(readServer(503, {{"Retry-After", "1.5"}}).RetryAfter, 1500ms);
 }
 
-TEST(ReadServer, TakesNoTimeForOneThatNoCallerCouldWaitFor) {
+TEST(ReadServer, CapsRetryAfterAndIgnoresInvalidValues) {
   auto after = [](const std::string &text) {
     return readServer(503, {{"Retry-After", text}}).RetryAfter;
   };
@@ -178,13 +178,13 @@
   EXPECT_EQ(after("Wed, 21 Oct 2015 07:28:00 GMT"), std::nullopt);
 }
 
-TEST(ReadServer, HearsThatAServerLeaves) {
+TEST(ReadServer, ReadsTheServerLeavingHeader) {
   EXPECT_TRUE(readServer(200, {{"server-leaving", " 1 "}}).IsLeaving);
   EXPECT_FALSE(readServer(200, {{"Server-Leaving", "0"}}).IsLeaving);
   EXPECT_FALSE(readServer(200, {}).IsLeaving);
 }
 
-TEST(ReadServer, ReadsTheLimitThatAServerNames) {
+TEST(ReadServer, ReadsTheServerLimitHeader) {
   auto limit = [](const std::string &text) {
     return readServer(200, {{"server-limit", text}}).RequestLimit;
   };
@@ -202,7 +202,7 @@
   EXPECT_TRUE(twice.IsLimitUnreadable);
 }
 
-TEST(ReadServer, PassesTheSignatureOnAndNothingOfTheConnection) {
+TEST(ReadServer, PassesTheSignatureAndDropsHopByHopHeaders) {
   direct::ServerHead head =
       readServer(200, {{"X-Daisytack-Server-Signature", "s"},
                        {"Connection", "close"},
@@ -214,7 +214,7 @@
   EXPECT_EQ(valueOf(head.Passed, "X-Daisytack-Server-Signature"), "s");
 }
 
-TEST(IsAnswerTo, TellsACrossedAnswerByItsId) {
+TEST(IsAnswerTo, DetectsAnAnswerToAnotherRequest) {
   direct::CallerHead head;
   head.RequestId = "abc";
   EXPECT_TRUE(isAnswerTo(head, {{"x-daisytack-request-id", "abc"}}));
@@ -222,13 +222,13 @@
   EXPECT_TRUE(isAnswerTo(head, {}));
 }
 
-TEST(OwnAnswer, TellsWhenToComeBack) {
+TEST(ErrorAnswer, CarriesRetryAfter) {
   net::HttpResponse out =
-      ownAnswer(503, "abc", {ErrorKind::Overloaded, "full", 300ms});
+      errorAnswer(503, "abc", {ErrorKind::Overloaded, "full", 300ms});
   EXPECT_EQ(valueOf(out.Headers, "Retry-After"), "0.300");
   EXPECT_EQ(valueOf(out.Headers, "X-Daisytack-Request-Id"), "abc");
   EXPECT_NE(out.Body.find("\"kind\":\"overloaded\""), std::string::npos);
-  EXPECT_EQ(valueOf(ownAnswer(502, "", {ErrorKind::ServerLost, ""}).Headers,
+  EXPECT_EQ(valueOf(errorAnswer(502, "", {ErrorKind::ServerLost, ""}).Headers,
                     "Retry-After"),
             "");
 }
--- a/tests/platform/server_record_test.cpp
+++ b/tests/platform/server_record_test.cpp
@@ -20,63 +20,66 @@
 
 namespace json = boost::json;
 
-constexpr const char *WholeRecord =
+constexpr const char *CompleteRecord =
     R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1",
     "slots":128,"state":"ready","cold-remaining-ms":0,"sequence":4,
     "born":1700000000123,"stage":"combined",
     "models":[{"name":"m","version":3,"adapters":[]}]})";
 
-json::object wholeRecord() { return json::parse(WholeRecord).as_object(); }
+json::object completeRecord() {
+  return json::parse(CompleteRecord).as_object();
+}
 
 std::optional<direct::FactValue>
 decode(const std::string &key, const std::string &value, Error &reason) {
   return decodeRecord({key, value, 5, false}, reason);
 }
 
-bool namesServer(const std::string &value, const std::string &id = "i-1") {
+bool isAccepted(const std::string &value, const std::string &id = "i-1") {
   Error reason;
   bool out = decode("servers/" + id, value, reason).has_value();
   EXPECT_EQ(out, reason.Kind == ErrorKind::None) << value;
   return out;
 }
 
-TEST(ServerRecord, NamesAServerWhenItIsWhole) {
-  EXPECT_TRUE(namesServer(WholeRecord));
-  json::object plain = wholeRecord();
+TEST(ServerRecord, IsAcceptedWhenComplete) {
+  EXPECT_TRUE(isAccepted(CompleteRecord));
+  json::object plain = completeRecord();
   plain.erase("models");
   plain.erase("stage");
-  EXPECT_TRUE(namesServer(json::serialize(plain)));
+  EXPECT_TRUE(isAccepted(json::serialize(plain)));
   plain["state"] = "draining";
   plain["unknown"] = json::array{1, "x"};
-  EXPECT_TRUE(namesServer(json::serialize(plain)));
+  EXPECT_TRUE(isAccepted(json::serialize(plain)));
 }
 
-TEST(ServerRecord, TellsWhenItsServerStarted) {
+TEST(ServerRecord, HoldsTheStartTime) {
   auto startOf = [](const std::string &record) {
     Error reason;
-    auto fact = decode("servers/i", record, reason);
-    return fact ? std::get<direct::BackendServer>(*fact).StartedMs : UINT64_MAX;
+    auto decoded = decode("servers/i", record, reason);
+    return decoded ? std::get<direct::BackendServer>(*decoded).StartedMs
+                   : UINT64_MAX;
   };
-  EXPECT_EQ(startOf(WholeRecord), 1'700'000'000'123);
-  json::object record = wholeRecord();
+  EXPECT_EQ(startOf(CompleteRecord), 1'700'000'000'123);
+  json::object record = completeRecord();
   record["born"] = 1.7e12; // Whole, however it is written.
   EXPECT_EQ(startOf(json::serialize(record)), 1'700'000'000'000);
   record.erase("born"); // Not every deployment's servers say so.
   EXPECT_EQ(startOf(json::serialize(record)), 0);
 }
 
-TEST(ServerRecord, NamesNoServerWithoutOneOfItsFields) {
+TEST(ServerRecord, IsRejectedWithoutARequiredField) {
   for (const char *field : {"service", "address", "zone", "version", "slots",
                             "state", "cold-remaining-ms", "sequence"}) {
-    json::object record = wholeRecord();
+    json::object record = completeRecord();
     record.erase(field);
-    EXPECT_FALSE(namesServer(json::serialize(record))) << field;
+    EXPECT_FALSE(isAccepted(json::serialize(record))) << field;
     record[field] = nullptr;
-    EXPECT_FALSE(namesServer(json::serialize(record))) << field;
+    EXPECT_FALSE(isAccepted(json::serialize(record))) << field;
   }
 }
 
-TEST(ServerRecord, NamesNoServerWithAFieldOfAnotherKind) {
+TEST(ServerRecord, IsRejectedWithAnInvalidField) {
   struct Case {
     const char *Field;
     const char *Value;
@@ -122,37 +125,37 @@
                          Case{"models", R"([{"name":"m","version":0}])"},
                          Case{"models", R"([{"name":"m","version":"1"}])"},
                          Case{"models", R"([{"name":"m","version":-1}])"}}) {
-    json::object record = wholeRecord();
+    json::object record = completeRecord();
     record[it.Field] = json::parse(it.Value);
-    EXPECT_FALSE(namesServer(json::serialize(record)))
+    EXPECT_FALSE(isAccepted(json::serialize(record)))
         << it.Field << " " << it.Value;
   }
 }
 
-TEST(ServerRecord, NamesNoServerWhenItsBytesAreNoObject) {
+TEST(ServerRecord, IsRejectedWhenItIsNotAnObject) {
   for (const std::string &bytes :
        {std::string(), std::string("{"), std::string("null"), std::string("[]"),
         std::string("\"text\""), std::string(3, '\0'),
-        std::string("\xff\xfe{}"), std::string(WholeRecord) + "}",
+        std::string("\xff\xfe{}"), std::string(CompleteRecord) + "}",
         std::string(10'000, '['), std::string(R"({"service":")") + "\xff\"}"})
-    EXPECT_FALSE(namesServer(bytes));
+    EXPECT_FALSE(isAccepted(bytes));
 }
 
 /// The id goes into headers and logs.
-TEST(ServerRecord, NamesNoServerUnderAnIdThatNoHeaderCanCarry) {
+TEST(ServerRecord, IsRejectedUnderAnIdThatNoHeaderCanCarry) {
   for (const std::string &id :
        {std::string(), std::string("a b"), std::string("a\r\nX-Evil: 1"),
         std::string("a\0b", 3), std::string("\xc3\xa9"), std::string("\x7f")})
-    EXPECT_FALSE(namesServer(WholeRecord, id)) << id;
-  EXPECT_TRUE(namesServer(WholeRecord, "i-7f3a91c2/x:y_z.1"));
+    EXPECT_FALSE(isAccepted(CompleteRecord, id)) << id;
+  EXPECT_TRUE(isAccepted(CompleteRecord, "i-7f3a91c2/x:y_z.1"));
 }
 
 /// The store holds whatever was written there.
-RC_GTEST_PROP(ServerRecord, NamesAServerOrTellsWhyForAnyBytes,
+RC_GTEST_PROP(ServerRecord, IsAcceptedOrRejectedWithAReasonForAnyBytes,
               (const std::string &bytes)) {
   Error reason;
-  auto fact = decode("servers/i", bytes, reason);
-  RC_ASSERT(fact.has_value() == (reason.Kind == ErrorKind::None));
+  auto decoded = decode("servers/i", bytes, reason);
+  RC_ASSERT(decoded.has_value() == (reason.Kind == ErrorKind::None));
 }
 
 json::value anyValue(int depth = 0) {
@@ -179,18 +182,18 @@
 }
 
 /// Whatever stands in one field, what is decoded can be used as it is.
-RC_GTEST_PROP(ServerRecord, CanBeUsedWhenItNamesAServer, ()) {
-  json::object record = wholeRecord();
+RC_GTEST_PROP(ServerRecord, HoldsValidFieldsWhenAccepted, ()) {
+  json::object record = completeRecord();
   std::vector<std::string> fields;
   for (const auto &it : record)
     fields.emplace_back(it.key());
   record[*rc::gen::elementOf(fields)] = anyValue();
   Error reason;
-  auto fact = decode("servers/i", json::serialize(record), reason);
-  RC_ASSERT(fact.has_value() == (reason.Kind == ErrorKind::None));
-  if (!fact)
+  auto decoded = decode("servers/i", json::serialize(record), reason);
+  RC_ASSERT(decoded.has_value() == (reason.Kind == ErrorKind::None));
+  if (!decoded)
     return;
-  const auto &server = std::get<direct::BackendServer>(*fact);
+  const auto &server = std::get<direct::BackendServer>(*decoded);
   RC_ASSERT(!server.Service.empty());
   RC_ASSERT(server.Address.isValid());
   RC_ASSERT(server.Slots > 0U);
