--- a/src/direct/crash_suspects.cpp
+++ b/src/direct/crash_suspects.cpp
@@ -46,7 +46,7 @@
               std::memory_order_release);
 }
 
-uint32_t CrashSuspects::occasions(const Id128 &request) const {
+uint32_t CrashSuspects::incidents(const Id128 &request) const {
   if (isEmpty())
     return 0;
   std::lock_guard guard(Lock);
@@ -66,7 +66,7 @@
   return *it->second.QuarantinedUntil - now;
 }
 
-std::vector<Id128> CrashSuspects::quarantined(TimePoint now) const {
+std::vector<Id128> CrashSuspects::quarantinedRequests(TimePoint now) const {
   std::vector<Id128> out;
   if (isEmpty())
     return out;
@@ -111,11 +111,11 @@
   suspect.TellFrom = from;
 }
 
-std::vector<Id128> CrashSuspects::onBroken(const Id128 &request,
-                                           uint64_t server,
-                                           uint32_t occasionsWhenSent,
-                                           TimePoint now) {
-  if (Settings.Servers == 0)
+std::vector<Id128> CrashSuspects::onConnectionBroken(const Id128 &request,
+                                                     uint64_t server,
+                                                     uint32_t occasionsWhenSent,
+                                                     TimePoint now) {
+  if (Settings.ServersToQuarantine == 0)
     return {};
   std::lock_guard guard(Lock);
   if (wasAnswered(request) || isBlamedOnAnother(request, server))
@@ -137,16 +137,16 @@
 std::vector<Id128> CrashSuspects::judge(const Id128 &request, TimePoint now) {
   Suspect &suspect = Suspects[request];
   if (suspect.QuarantinedUntil || suspect.Occasions < OccasionsToQuarantine ||
-      suspect.Servers.size() < Settings.Servers)
+      suspect.Servers.size() < Settings.ServersToQuarantine)
     return {};
-  quarantine(request, Settings.Memory, now);
+  quarantine(request, Settings.QuarantineDuration, now);
   return {request};
 }
 
 void CrashSuspects::quarantine(const Id128 &request, Duration left,
                                TimePoint now) {
   Suspect &suspect = Suspects[request];
-  suspect.QuarantinedUntil = now + std::min(left, Settings.Memory);
+  suspect.QuarantinedUntil = now + std::min(left, Settings.QuarantineDuration);
   suspect.LastAt = now;
   tell(suspect, now);
   acquitOthers(request);
@@ -199,9 +199,9 @@
     suspect.Occasions = std::max(suspect.Occasions, 1U);
 }
 
-std::vector<Id128> CrashSuspects::onPeer(const CrashReports &reports,
-                                         TimePoint now) {
-  if (Settings.Servers == 0)
+std::vector<Id128> CrashSuspects::onPeerReports(const CrashReports &reports,
+                                                TimePoint now) {
+  if (Settings.ServersToQuarantine == 0)
     return {};
   std::vector<Id128> out;
   std::lock_guard guard(Lock);
@@ -239,18 +239,18 @@
   return out;
 }
 
-std::vector<Id128> CrashSuspects::onRecord(const Id128 &request,
-                                           TimePoint now) {
+std::vector<Id128> CrashSuspects::onQuarantineRecord(const Id128 &request,
+                                                     TimePoint now) {
   std::lock_guard guard(Lock);
   auto it = Suspects.find(request);
   bool isKnown = it != Suspects.end() && it->second.QuarantinedUntil;
   if (wasAnswered(request))
     clear(request, Tells, now);
   count();
-  if (Settings.Servers == 0 || isKnown || Cleared.contains(request))
+  if (Settings.ServersToQuarantine == 0 || isKnown || Cleared.contains(request))
     return {};
   Suspects[request].Occasions = OccasionsToQuarantine;
-  quarantine(request, Settings.Memory, now);
+  quarantine(request, Settings.QuarantineDuration, now);
   Suspects[request].TellsLeft = 0; // The others read the same record.
   count();
   return {request};
@@ -288,7 +288,7 @@
 }
 
 void CrashSuspects::onAnswered(const Id128 &request, TimePoint now) {
-  if (Settings.Servers == 0)
+  if (Settings.ServersToQuarantine == 0)
     return;
   std::lock_guard guard(Lock);
   forgetAnswers(now);
@@ -307,7 +307,7 @@
       return ended.Name == server && ended.At + SignOfLifeAfter <= heardAt;
     });
     out |= n > 0;
-    bool isUnproved = suspect.Servers.size() < Settings.Servers;
+    bool isUnproved = suspect.Servers.size() < Settings.ServersToQuarantine;
     if (n > 0 && suspect.QuarantinedUntil && isUnproved)
       lifted.push_back(request);
   }
@@ -324,7 +324,7 @@
   relief.TellsLeft = std::max(relief.TellsLeft, tells);
 }
 
-void CrashSuspects::onHeardFrom(uint64_t server, TimePoint now) {
+void CrashSuspects::onServerAlive(uint64_t server, TimePoint now) {
   if (isEmpty())
     return;
   std::lock_guard guard(Lock);
@@ -342,13 +342,13 @@
       continue;
     suspect.QuarantinedUntil.reset();
     suspect.LastAt = now;
-    size_t kept = Settings.Servers - 1;
+    size_t kept = Settings.ServersToQuarantine - 1;
     if (suspect.Servers.size() > kept)
       suspect.Servers.resize(kept);
   }
   std::erase_if(Suspects, [&](const auto &it) {
     return !it.second.QuarantinedUntil &&
-           now >= it.second.LastAt + Settings.Memory;
+           now >= it.second.LastAt + Settings.QuarantineDuration;
   });
   auto isOver = [&](const auto &it) {
     return now >= it.second.At + ReliefMemory;
@@ -370,7 +370,7 @@
   Suspects.erase(std::min_element(Suspects.begin(), Suspects.end(), isLess));
 }
 
-CrashReports CrashSuspects::takeNews(double shareOfEntries, TimePoint now) {
+CrashReports CrashSuspects::takeReports(double shareOfEntries, TimePoint now) {
   CrashReports out;
   if (isEmpty())
     return out;
--- a/src/direct/crash_suspects.h
+++ b/src/direct/crash_suspects.h
@@ -34,11 +34,11 @@
 
 struct CrashSuspectSettings {
   /// Servers that must have ended under a request; 0: none is quarantined.
-  size_t Servers = 3;
+  size_t ServersToQuarantine = 3;
   /// How long a request is quarantined, and how long a suspicion lasts after
   /// its last server. After a quarantine one more server is enough for the
   /// next one.
-  Duration Memory{600'000'000};
+  Duration QuarantineDuration{600'000'000};
   /// Of requests that are remembered; beyond it the oldest suspicion goes.
   size_t MostSuspects = 2000;
   /// Of answered requests that are remembered: 30 s of 138 a second, twofold.
@@ -92,12 +92,12 @@
   bool isEmpty() const { return Count.load(std::memory_order_acquire) == 0; }
   /// Occasions that are known against the request; to be remembered with an
   /// attempt that is sent now.
-  uint32_t occasions(const Id128 &request) const;
+  uint32_t incidents(const Id128 &request) const;
   /// How much longer the request is refused; nothing when it isn't.
   std::optional<Duration> quarantineLeft(const Id128 &request,
                                          TimePoint now) const;
   /// Requests that are quarantined.
-  std::vector<Id128> quarantined(TimePoint now) const;
+  std::vector<Id128> quarantinedRequests(TimePoint now) const;
   /// Whether the request was answered a short while ago, here or elsewhere.
   bool wasCleared(const Id128 &request, TimePoint now) const;
 
@@ -105,23 +105,24 @@
 
   /// An attempt's connection broke before its answer was whole. So many
   /// occasions were known against the request when it was sent.
-  std::vector<Id128> onBroken(const Id128 &request, uint64_t server,
-                              uint32_t occasionsWhenSent, TimePoint now);
-  std::vector<Id128> onPeer(const CrashReports &reports, TimePoint now);
+  std::vector<Id128> onConnectionBroken(const Id128 &request, uint64_t server,
+                                        uint32_t occasionsWhenSent,
+                                        TimePoint now);
+  std::vector<Id128> onPeerReports(const CrashReports &reports, TimePoint now);
   /// The key-value service holds a record of its quarantine.
-  std::vector<Id128> onRecord(const Id128 &request, TimePoint now);
+  std::vector<Id128> onQuarantineRecord(const Id128 &request, TimePoint now);
 
   /// The request was answered. Its caller may leave out those that nobody sends
   /// alike, while nothing is known against any.
   void onAnswered(const Id128 &request, TimePoint now);
   /// An answer's head came from the server.
-  void onHeardFrom(uint64_t server, TimePoint now);
+  void onServerAlive(uint64_t server, TimePoint now);
   /// Forgets what is too old. Call a few times a second.
   void onTimer(TimePoint now);
   /// What the others are to be told now, a datagram's worth; the gravest first.
   /// Each piece is told to every entry several times; a call reaches this share
   /// of them.
-  CrashReports takeNews(double shareOfEntries, TimePoint now);
+  CrashReports takeReports(double shareOfEntries, TimePoint now);
 
 private:
   struct EndedServer {
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -242,8 +242,8 @@
 
 void Gateway::answerMetrics(net::HttpExchange &exchange) {
   State.Counts.PartsKnown.set(static_cast<int64_t>(State.Kept.partsKnown()));
-  State.Counts.Quarantined.set(
-      static_cast<int64_t>(State.Suspects.quarantined(monotonicNow()).size()));
+  State.Counts.Quarantined.set(static_cast<int64_t>(
+      State.Suspects.quarantinedRequests(monotonicNow()).size()));
   auto catalog = State.catalog();
   const auto &servers = catalog->AllServers;
   State.Counts.ServersKnown.set(static_cast<int64_t>(servers.size()));
--- a/src/gateway/gateway_options.cpp
+++ b/src/gateway/gateway_options.cpp
@@ -60,11 +60,12 @@
   out.Retries.Share = settings.number("retries.share", out.Retries.Share, 0, 1);
   out.Retries.Slack = static_cast<uint32_t>(
       settings.integer("retries.slack", out.Retries.Slack, 0, MostSlack));
-  out.Suspects.Servers = static_cast<size_t>(settings.integer(
-      "quarantine.servers", static_cast<int64_t>(out.Suspects.Servers), 0,
-      MostServersToEnd));
-  out.Suspects.Memory =
-      settings.duration("quarantine.time", out.Suspects.Memory, 10s, 24h);
+  out.Suspects.ServersToQuarantine = static_cast<size_t>(
+      settings.integer("quarantine.servers",
+                       static_cast<int64_t>(out.Suspects.ServersToQuarantine),
+                       0, MostServersToEnd));
+  out.Suspects.QuarantineDuration = settings.duration(
+      "quarantine.time", out.Suspects.QuarantineDuration, 10s, 24h);
   out.LoadExchange.MostAtOnce = static_cast<size_t>(settings.integer(
       "peers.loads_at_once", static_cast<int64_t>(out.LoadExchange.MostAtOnce),
       1, MostPeersAtOnce));
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -155,8 +155,9 @@
 
 void GatewayRequest::noteBroken(TimePoint now) {
   enforceQuarantine(State,
-                    State.Suspects.onBroken(identity(), Order.server().key(),
-                                            OccasionsWhenSent, now),
+                    State.Suspects.onConnectionBroken(identity(),
+                                                      Order.server().key(),
+                                                      OccasionsWhenSent, now),
                     now);
 }
 
@@ -173,7 +174,7 @@
   SentAt = now;
   FirstByteAt.reset();
   OccasionsWhenSent =
-      State.Suspects.isEmpty() ? 0 : State.Suspects.occasions(identity());
+      State.Suspects.isEmpty() ? 0 : State.Suspects.incidents(identity());
   State.Counts.Attempts.add();
   State.Loads.onSent(order.server(), order.QueuedTokens, now);
   uint64_t saves = 0;
@@ -253,7 +254,7 @@
   // Another instance may have answered, one that started after this one ended.
   if (head.Status == net::StatusMisdirected)
     return;
-  State.Suspects.onHeardFrom(Order.server().key(), now);
+  State.Suspects.onServerAlive(Order.server().key(), now);
   bool turnsAway = head.Status == net::StatusUnavailable ||
                    head.Status == net::StatusTooManyRequests;
   if (turnsAway && head.RetryAfter)
--- a/src/gateway/load_exchange.cpp
+++ b/src/gateway/load_exchange.cpp
@@ -66,7 +66,8 @@
   }
   TimePoint now = monotonicNow();
   if (const auto *reports = std::get_if<direct::CrashReports>(&*message))
-    return enforceQuarantine(State, State.Suspects.onPeer(*reports, now), now);
+    return enforceQuarantine(State, State.Suspects.onPeerReports(*reports, now),
+                             now);
   if (const auto *limits = std::get_if<direct::RequestLimitNews>(&*message))
     return State.Limits.onPeer(limits->Words, now);
   const auto *loads = std::get_if<direct::EntryLoads>(&*message);
@@ -103,7 +104,7 @@
                    State.Links.takeNews(), State.Loads.leavingNews(now)},
                   MaxDatagramBytes)};
   direct::CrashReports reports =
-      State.Suspects.takeNews(1.0 / static_cast<double>(rounds), now);
+      State.Suspects.takeReports(1.0 / static_cast<double>(rounds), now);
   if (!reports.isEmpty())
     messages.push_back(wire::encode(direct::PeerMessage(std::move(reports))));
   direct::RequestLimitNews limits{State.Limits.takeNews(now)};
--- a/src/gateway/quarantine.cpp
+++ b/src/gateway/quarantine.cpp
@@ -53,7 +53,8 @@
   for (const auto &[request, revision] : catalog->Quarantined) {
     bool isNews = std::exchange(Learned[request], revision) != revision;
     if (isNews)
-      enforceQuarantine(State, State.Suspects.onRecord(request, now), now);
+      enforceQuarantine(State, State.Suspects.onQuarantineRecord(request, now),
+                        now);
   }
   std::erase_if(Learned, [&](const auto &it) {
     return !catalog->Quarantined.contains(it.first);
@@ -74,7 +75,7 @@
 
 void QuarantineRecords::writeMissing(TimePoint now) {
   auto catalog = State.catalog();
-  std::vector<Id128> quarantined = State.Suspects.quarantined(now);
+  std::vector<Id128> quarantined = State.Suspects.quarantinedRequests(now);
   std::erase_if(MissingSince, [&](const auto &it) {
     bool isQuarantined = std::find(quarantined.begin(), quarantined.end(),
                                    it.first) != quarantined.end();
@@ -99,8 +100,8 @@
 
 void QuarantineRecords::write(const Id128 &request) {
   IsWriting = true;
-  Duration term =
-      std::min(State.Options.Suspects.Memory, Settings.LongestLease);
+  Duration term = std::min(State.Options.Suspects.QuarantineDuration,
+                           Settings.LongestLease);
   Store.GrantLease(
       term, Settings.CallTimeout,
       [self = shared_from_this(), request](const edge::KvLeaseResult &result) {
--- a/tests/direct/crash_suspects_model_test.cpp
+++ b/tests/direct/crash_suspects_model_test.cpp
@@ -156,7 +156,7 @@
     size_t index = up[draw(up.size())];
     uint64_t number = ++Sent;
     attempt.Entry = entry;
-    attempt.Occasions = knows.occasions(request);
+    attempt.Occasions = knows.incidents(request);
     --attempt.Left;
     Servers[index].Running[number] = attempt;
     uint64_t name = Servers[index].Name;
@@ -184,7 +184,7 @@
     }
     Servers[index].Running.erase(it);
     CrashSuspects &knows = *Entries[attempt.Entry];
-    knows.onHeardFrom(Servers[index].Name, Now);
+    knows.onServerAlive(Servers[index].Name, Now);
     knows.onAnswered(attempt.Request, Now);
   }
 
@@ -202,8 +202,8 @@
   }
 
   void lose(uint64_t server, const Attempt &attempt) {
-    note(Entries[attempt.Entry]->onBroken(attempt.Request, server,
-                                          attempt.Occasions, Now));
+    note(Entries[attempt.Entry]->onConnectionBroken(attempt.Request, server,
+                                                    attempt.Occasions, Now));
     send(attempt.Entry, attempt);
   }
 
@@ -241,7 +241,7 @@
     Entries[entry] = std::make_unique<CrashSuspects>(Settings);
     StartedAt[entry] = Now;
     for (const Id128 &request : Recorded)
-      Entries[entry]->onRecord(request, Now);
+      Entries[entry]->onQuarantineRecord(request, Now);
   }
 
   void note(const std::vector<Id128> &quarantined) {
@@ -268,12 +268,12 @@
     removeRecords();
     for (size_t from = 0; from < Entries.size(); ++from) {
       Entries[from]->onTimer(Now);
-      CrashReports news = Entries[from]->takeNews(1, Now);
+      CrashReports news = Entries[from]->takeReports(1, Now);
       for (size_t to = 0; !news.isEmpty() && to < Entries.size(); ++to) {
         bool isLost = draw(10) == 0;
         if (to != from && !isLost)
           at(Now + between(1ms, 30ms),
-             [this, to, news] { note(Entries[to]->onPeer(news, Now)); });
+             [this, to, news] { note(Entries[to]->onPeerReports(news, Now)); });
       }
     }
   }
--- a/tests/direct/crash_suspects_test.cpp
+++ b/tests/direct/crash_suspects_test.cpp
@@ -19,25 +19,26 @@
 void endInTurn(CrashSuspects &it, const Id128 &request, uint64_t firstServer,
                size_t servers, TimePoint now = Start) {
   for (size_t i = 0; i < servers; ++i)
-    it.onBroken(request, firstServer + i, it.occasions(request), now);
+    it.onConnectionBroken(request, firstServer + i, it.incidents(request), now);
 }
 
 TEST(CrashSuspects, QuarantinesARequestUnderWhichThreeServersEnded) {
   CrashSuspects it({});
   EXPECT_TRUE(it.isEmpty());
-  EXPECT_TRUE(it.onBroken(Poison, 1, 0, Start).empty());
-  EXPECT_TRUE(it.onBroken(Poison, 2, 1, Start + 1s).empty());
+  EXPECT_TRUE(it.onConnectionBroken(Poison, 1, 0, Start).empty());
+  EXPECT_TRUE(it.onConnectionBroken(Poison, 2, 1, Start + 1s).empty());
   EXPECT_FALSE(it.quarantineLeft(Poison, Start + 1s));
-  EXPECT_EQ(it.onBroken(Poison, 3, 2, Start + 2s), std::vector{Poison});
+  EXPECT_EQ(it.onConnectionBroken(Poison, 3, 2, Start + 2s),
+            std::vector{Poison});
   EXPECT_EQ(it.quarantineLeft(Poison, Start + 3s),
-            CrashSuspectSettings().Memory - 1s);
+            CrashSuspectSettings().QuarantineDuration - 1s);
   EXPECT_FALSE(it.quarantineLeft(Other, Start + 3s));
 }
 
 TEST(CrashSuspects, CountsEachServerOnce) {
   CrashSuspects it({});
   for (uint32_t i = 0; i < 5; ++i)
-    EXPECT_TRUE(it.onBroken(Poison, 1, i, Start).empty());
+    EXPECT_TRUE(it.onConnectionBroken(Poison, 1, i, Start).empty());
 }
 
 /// A failure domain goes dark: many callers send alike, and several servers end
@@ -45,7 +46,7 @@
 TEST(CrashSuspects, DoesNotAccuseForServersThatEndTogether) {
   CrashSuspects it({});
   for (uint64_t server = 1; server <= 6; ++server)
-    it.onBroken(Poison, server, 0, Start);
+    it.onConnectionBroken(Poison, server, 0, Start);
   EXPECT_FALSE(it.quarantineLeft(Poison, Start));
 }
 
@@ -53,12 +54,12 @@
 /// after that was cleared.
 TEST(CrashSuspects, TakesNoAttemptForASecondOccasionAfterAClearing) {
   CrashSuspects it({});
-  it.onBroken(Poison, 1, 0, Start);
+  it.onConnectionBroken(Poison, 1, 0, Start);
   CrashReports answered;
   answered.Cleared = {{Poison, 0}};
-  it.onPeer(answered, Start + 1s);
-  it.onBroken(Poison, 2, 1, Start + 2s);
-  EXPECT_EQ(it.occasions(Poison), 1);
+  it.onPeerReports(answered, Start + 1s);
+  it.onConnectionBroken(Poison, 2, 1, Start + 2s);
+  EXPECT_EQ(it.incidents(Poison), 1);
 }
 
 /// Servers flap: they end again and again under a request that is answered in
@@ -68,13 +69,14 @@
   CrashSuspects two({});
   for (uint64_t round = 0; round < 5; ++round) {
     TimePoint now = Start + round * 1s;
-    one.onBroken(Poison, 10 * round, one.occasions(Poison), now);
-    two.onPeer(one.takeNews(All, now + 200ms), now + 200ms);
-    two.onBroken(Poison, 10 * round + 1, two.occasions(Poison), now + 300ms);
-    one.onPeer(two.takeNews(All, now + 500ms), now + 500ms);
+    one.onConnectionBroken(Poison, 10 * round, one.incidents(Poison), now);
+    two.onPeerReports(one.takeReports(All, now + 200ms), now + 200ms);
+    two.onConnectionBroken(Poison, 10 * round + 1, two.incidents(Poison),
+                           now + 300ms);
+    one.onPeerReports(two.takeReports(All, now + 500ms), now + 500ms);
     one.onAnswered(Poison, now + 600ms);
-    two.onPeer(one.takeNews(All, now + 700ms), now + 700ms);
-    EXPECT_EQ(two.occasions(Poison), 0);
+    two.onPeerReports(one.takeReports(All, now + 700ms), now + 700ms);
+    EXPECT_EQ(two.incidents(Poison), 0);
   }
   EXPECT_FALSE(one.quarantineLeft(Poison, Start + 6s));
   EXPECT_FALSE(two.quarantineLeft(Poison, Start + 6s));
@@ -83,32 +85,34 @@
 /// A server that resets connections, or fails to send an answer, lives on.
 TEST(CrashSuspects, DropsWhatALivingServerSpeaksAgainst) {
   CrashSuspects it({});
-  it.onBroken(Poison, 1, 0, Start);
-  it.onBroken(Poison, 2, 1, Start + 1s);
-  it.onHeardFrom(1, Start + 1200ms);
-  EXPECT_TRUE(it.onBroken(Poison, 3, 2, Start + 2s).empty());
-  EXPECT_EQ(it.onBroken(Poison, 4, 3, Start + 3s), std::vector{Poison});
+  it.onConnectionBroken(Poison, 1, 0, Start);
+  it.onConnectionBroken(Poison, 2, 1, Start + 1s);
+  it.onServerAlive(1, Start + 1200ms);
+  EXPECT_TRUE(it.onConnectionBroken(Poison, 3, 2, Start + 2s).empty());
+  EXPECT_EQ(it.onConnectionBroken(Poison, 4, 3, Start + 3s),
+            std::vector{Poison});
 }
 
 /// What it sent before its end may be read a moment later.
 TEST(CrashSuspects, TakesNoByteOfTheSameMomentForASignOfLife) {
   CrashSuspects it({});
-  it.onBroken(Poison, 1, 0, Start);
-  it.onBroken(Poison, 2, 1, Start + 200ms);
-  it.onHeardFrom(2, Start + 210ms);
-  EXPECT_EQ(it.onBroken(Poison, 3, 2, Start + 400ms), std::vector{Poison});
+  it.onConnectionBroken(Poison, 1, 0, Start);
+  it.onConnectionBroken(Poison, 2, 1, Start + 200ms);
+  it.onServerAlive(2, Start + 210ms);
+  EXPECT_EQ(it.onConnectionBroken(Poison, 3, 2, Start + 400ms),
+            std::vector{Poison});
 }
 
 TEST(CrashSuspects, LiftsAQuarantineWhoseServersLive) {
   CrashSuspects one({});
   CrashSuspects two({});
   endInTurn(one, Poison, 1, 3);
-  two.onPeer(one.takeNews(All, Start), Start);
+  two.onPeerReports(one.takeReports(All, Start), Start);
   ASSERT_TRUE(two.quarantineLeft(Poison, Start));
-  one.onHeardFrom(2, Start + 200ms);
+  one.onServerAlive(2, Start + 200ms);
   EXPECT_FALSE(one.quarantineLeft(Poison, Start + 200ms));
   EXPECT_TRUE(one.wasCleared(Poison, Start + 200ms));
-  two.onPeer(one.takeNews(All, Start + 200ms), Start + 200ms);
+  two.onPeerReports(one.takeReports(All, Start + 200ms), Start + 200ms);
   EXPECT_FALSE(two.quarantineLeft(Poison, Start + 200ms));
 }
 
@@ -116,13 +120,14 @@
 TEST(CrashSuspects, AcquitsWhatRanBesideTheGuiltyOne) {
   CrashSuspects it({});
   for (uint64_t server = 1; server <= 3; ++server) {
-    it.onBroken(Other, server, it.occasions(Other), Start + server * 1ms);
+    it.onConnectionBroken(Other, server, it.incidents(Other),
+                          Start + server * 1ms);
     if (server == 2) // The guilty one is known before the third ends.
       endInTurn(it, Poison, 1, 3, Start + 2ms);
   }
   EXPECT_TRUE(it.quarantineLeft(Poison, Start + 4ms));
   EXPECT_FALSE(it.quarantineLeft(Other, Start + 4ms));
-  EXPECT_EQ(it.occasions(Other), 0);
+  EXPECT_EQ(it.incidents(Other), 0);
 }
 
 /// Many callers send it alike, some of them in vain while all servers end.
@@ -133,10 +138,11 @@
   endInTurn(accuses, Poison, 1, 3, Start + 20s);
   TimePoint now = Start + 20s;
   ASSERT_TRUE(accuses.quarantineLeft(Poison, now));
-  EXPECT_TRUE(answers.onPeer(accuses.takeNews(All, now), now).empty());
-  EXPECT_TRUE(answers.onRecord(Poison, now).empty());
+  EXPECT_TRUE(
+      answers.onPeerReports(accuses.takeReports(All, now), now).empty());
+  EXPECT_TRUE(answers.onQuarantineRecord(Poison, now).empty());
   EXPECT_FALSE(answers.isEmpty()); // It has something to tell.
-  accuses.onPeer(answers.takeNews(All, now), now);
+  accuses.onPeerReports(answers.takeReports(All, now), now);
   EXPECT_FALSE(accuses.quarantineLeft(Poison, now));
 }
 
@@ -152,23 +158,24 @@
 TEST(CrashSuspects, SumsUpWhatEntriesSaw) {
   CrashSuspects one({});
   CrashSuspects two({});
-  one.onBroken(Poison, 1, 0, Start);
-  EXPECT_TRUE(one.takeNews(All, Start).isEmpty()); // It may live.
+  one.onConnectionBroken(Poison, 1, 0, Start);
+  EXPECT_TRUE(one.takeReports(All, Start).isEmpty()); // It may live.
   TimePoint now = Start + 150ms;
-  two.onPeer(one.takeNews(All, now), now);
-  EXPECT_EQ(two.occasions(Poison), 1);
-  two.onBroken(Poison, 2, two.occasions(Poison), now);
+  two.onPeerReports(one.takeReports(All, now), now);
+  EXPECT_EQ(two.incidents(Poison), 1);
+  two.onConnectionBroken(Poison, 2, two.incidents(Poison), now);
   now += 150ms;
-  EXPECT_EQ(two.onBroken(Poison, 3, two.occasions(Poison), now),
+  EXPECT_EQ(two.onConnectionBroken(Poison, 3, two.incidents(Poison), now),
+            std::vector{Poison});
+  EXPECT_EQ(one.onPeerReports(two.takeReports(All, now), now),
             std::vector{Poison});
-  EXPECT_EQ(one.onPeer(two.takeNews(All, now), now), std::vector{Poison});
 }
 
 TEST(CrashSuspects, TellsEachEntrySeveralTimesAndThenNoMore) {
   CrashSuspects it({});
   endInTurn(it, Poison, 1, 3);
   int told = 0;
-  while (!it.takeNews(0.5, Start + 1s).isEmpty())
+  while (!it.takeReports(0.5, Start + 1s).isEmpty())
     ++told;
   EXPECT_EQ(told, 6);
 }
@@ -177,39 +184,40 @@
 TEST(CrashSuspects, AnswersASuspicionOfWhatIsQuarantined) {
   CrashSuspects knows({});
   endInTurn(knows, Poison, 1, 3);
-  while (!knows.takeNews(All, Start + 1s).isEmpty())
+  while (!knows.takeReports(All, Start + 1s).isEmpty())
     ;
   CrashSuspects fresh({});
-  fresh.onBroken(Poison, 9, 0, Start + 1s);
+  fresh.onConnectionBroken(Poison, 9, 0, Start + 1s);
   TimePoint now = Start + 1200ms;
-  knows.onPeer(fresh.takeNews(All, now), now);
-  EXPECT_EQ(fresh.onPeer(knows.takeNews(All, now), now), std::vector{Poison});
+  knows.onPeerReports(fresh.takeReports(All, now), now);
+  EXPECT_EQ(fresh.onPeerReports(knows.takeReports(All, now), now),
+            std::vector{Poison});
 }
 
 TEST(CrashSuspects, LearnsFromARecordUnlessTheRequestWasJustCleared) {
   CrashSuspects it({});
-  EXPECT_EQ(it.onRecord(Poison, Start), std::vector{Poison});
-  EXPECT_TRUE(it.onRecord(Poison, Start).empty());
-  EXPECT_EQ(it.quarantined(Start), std::vector{Poison});
+  EXPECT_EQ(it.onQuarantineRecord(Poison, Start), std::vector{Poison});
+  EXPECT_TRUE(it.onQuarantineRecord(Poison, Start).empty());
+  EXPECT_EQ(it.quarantinedRequests(Start), std::vector{Poison});
   it.onAnswered(Poison, Start);
-  EXPECT_TRUE(it.onRecord(Poison, Start).empty());
-  EXPECT_TRUE(it.quarantined(Start).empty());
+  EXPECT_TRUE(it.onQuarantineRecord(Poison, Start).empty());
+  EXPECT_TRUE(it.quarantinedRequests(Start).empty());
 }
 
 TEST(CrashSuspects, QuarantinesAgainAfterOneMoreServer) {
   CrashSuspects it({});
   endInTurn(it, Poison, 1, 5);
-  TimePoint later = Start + CrashSuspectSettings().Memory;
+  TimePoint later = Start + CrashSuspectSettings().QuarantineDuration;
   it.onTimer(later);
   EXPECT_FALSE(it.quarantineLeft(Poison, later));
-  EXPECT_EQ(it.onBroken(Poison, 9, it.occasions(Poison), later),
+  EXPECT_EQ(it.onConnectionBroken(Poison, 9, it.incidents(Poison), later),
             std::vector{Poison});
 }
 
 TEST(CrashSuspects, ForgetsASuspicionInTime) {
   CrashSuspects it({});
   endInTurn(it, Poison, 1, 2);
-  it.onTimer(Start + CrashSuspectSettings().Memory);
+  it.onTimer(Start + CrashSuspectSettings().QuarantineDuration);
   EXPECT_TRUE(it.isEmpty());
 }
 
@@ -219,31 +227,32 @@
   CrashSuspects it(settings);
   endInTurn(it, Poison, 1, 3);
   for (uint64_t i = 0; i < 100; ++i)
-    it.onBroken({7, i}, 100 + i, 0, Start + i * 1ms);
+    it.onConnectionBroken({7, i}, 100 + i, 0, Start + i * 1ms);
   EXPECT_TRUE(it.quarantineLeft(Poison, Start));
-  EXPECT_EQ(it.occasions({7, 99}), 1);
-  EXPECT_EQ(it.occasions({7, 80}), 0);
+  EXPECT_EQ(it.incidents({7, 99}), 1);
+  EXPECT_EQ(it.incidents({7, 80}), 0);
 }
 
 TEST(CrashSuspects, NeverQuarantinesWhenSwitchedOff) {
   CrashSuspectSettings settings;
-  settings.Servers = 0;
+  settings.ServersToQuarantine = 0;
   CrashSuspects it(settings);
   endInTurn(it, Poison, 1, 9);
   EXPECT_TRUE(it.isEmpty());
-  EXPECT_TRUE(it.onRecord(Poison, Start).empty());
+  EXPECT_TRUE(it.onQuarantineRecord(Poison, Start).empty());
 }
 
 TEST(CrashSuspects, FitsIntoOneDatagram) {
   CrashSuspects it({});
   for (uint64_t request = 1; request <= 50; ++request) {
     endInTurn(it, {request, 0}, 100 * request, 9);
-    it.onBroken({request, 1}, request, 0, Start);
-    it.onBroken({request, 2}, 50 + request, 0, Start);
+    it.onConnectionBroken({request, 1}, request, 0, Start);
+    it.onConnectionBroken({request, 2}, 50 + request, 0, Start);
     it.onAnswered({request, 1}, Start);
-    it.onHeardFrom(50 + request, Start + 200ms);
+    it.onServerAlive(50 + request, Start + 200ms);
   }
-  std::string bytes = wire::encode(PeerMessage(it.takeNews(All, Start + 1s)));
+  std::string bytes =
+      wire::encode(PeerMessage(it.takeReports(All, Start + 1s)));
   EXPECT_LE(bytes.size(), MaxDatagramBytes);
 }
 
