--- a/src/direct/drain_plan.cpp
+++ b/src/direct/drain_plan.cpp
@@ -22,10 +22,11 @@
 DrainPlan::DrainPlan(DrainSettings settings, TimePoint sent, TimePoint seen,
                      TimePoint end)
     : Seen(seen), End(endOf(sent, seen, end)),
-      LastWordAt(std::max(before(End, settings.LastWord), seen)),
+      LastWordAt(std::max(before(End, settings.FinalAnswerLead), seen)),
       AttemptsUntil(std::max(before(LastWordAt, settings.LeastAttempt), seen)),
-      TakesUntil(std::min(seen + settings.Notice + settings.LastRequests,
-                          AttemptsUntil)),
-      CloseAt(std::max(TakesUntil - settings.LastRequests, seen)) {}
+      TakesUntil(
+          std::min(seen + settings.NoticePeriod + settings.LateRequestGrace,
+                   AttemptsUntil)),
+      CloseAt(std::max(TakesUntil - settings.LateRequestGrace, seen)) {}
 
 } // namespace daisytack::direct
--- a/src/direct/drain_plan.h
+++ b/src/direct/drain_plan.h
@@ -12,14 +12,14 @@
 struct DrainSettings {
   /// New connections are accepted for so long, until the balancer has noticed:
   /// it asks once a second and believes the second miss.
-  Duration Notice{2'500'000};
+  Duration NoticePeriod{2'500'000};
   /// Before the end every request whose answer has not begun gets a final one:
   /// the entry's processor and the way to the caller take tens of
   /// milliseconds, with hundreds of answers at once a few hundred.
-  Duration LastWord{500'000};
+  Duration FinalAnswerLead{500'000};
   /// After the listener is closed, requests that were on their way are still
   /// taken for so long: some round trips to callers.
-  Duration LastRequests{250'000};
+  Duration LateRequestGrace{250'000};
   /// No attempt begins with less time than this before the last word: without
   /// one a caller is told truly that its request has not run. A short answer
   /// takes 10 to 200 ms.
@@ -37,16 +37,16 @@
             TimePoint end);
 
   /// Since the signal was seen.
-  Duration age(TimePoint now) const { return now - Seen; }
+  Duration elapsed(TimePoint now) const { return now - Seen; }
   /// Whether new connections are still taken.
   bool isListening(TimePoint now) const { return now < CloseAt; }
   /// Requests that are whole later are refused.
-  TimePoint takesUntil() const { return TakesUntil; }
+  TimePoint acceptsRequestsUntil() const { return TakesUntil; }
   /// Whether a request may still be passed on to a backend server.
   bool mayAttempt(TimePoint now) const { return now < AttemptsUntil; }
   /// Whether requests without an answer have to be told that there will be
   /// none.
-  bool isLastWord(TimePoint now) const { return now >= LastWordAt; }
+  bool isFinalAnswerDue(TimePoint now) const { return now >= LastWordAt; }
   /// Whether the process ends with what is left.
   bool isOver(TimePoint now) const { return now >= End; }
   TimePoint end() const { return End; }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -389,7 +389,7 @@
   // At once, whatever the strand is at: from here on nothing is ready.
   State.Drain = plan;
   Callers.endConnections();
-  Callers.refuseAfter(plan->takesUntil() - now);
+  Callers.refuseAfter(plan->acceptsRequestsUntil() - now);
   Drained = std::move(done);
   boost::asio::dispatch(Control, [this, now] { beginDrain(now); });
 }
@@ -410,7 +410,7 @@
   std::shared_ptr<const direct::DrainPlan> plan = State.Drain.load();
   if (!plan->isListening(now))
     closeListener(now);
-  if (plan->isLastWord(now))
+  if (plan->isFinalAnswerDue(now))
     sayLastWord(now);
   if (isBusy())
     BusyAt = now;
@@ -469,7 +469,7 @@
   PeerLoads->stop();
   Follower->stop();
   TimePoint now = monotonicNow();
-  Duration drained = State.Drain.load()->age(now);
+  Duration drained = State.Drain.load()->elapsed(now);
   Log.write(LogWeight::Notable, "stopped",
             {{"drained_ms", drained.count() / 1000},
              {"cut_off", State.Running.size()}},
--- a/src/gateway/gateway_http.cpp
+++ b/src/gateway/gateway_http.cpp
@@ -56,7 +56,7 @@
   net::HttpServerInit out;
   out.Listen = State.Options.Callers;
   out.MaxConnections = State.Options.MaxConnections;
-  out.LastRequests = State.Options.Drain.LastRequests;
+  out.LastRequests = State.Options.Drain.LateRequestGrace;
   out.RefuseLate = [this](const net::HttpRequest &request) {
     return refuseLate(request, monotonicNow());
   };
@@ -123,7 +123,7 @@
     return;
   State.Log.write(LogWeight::Notable, "request_while_draining",
                   {{"request", requestId},
-                   {"drained_ms", drain->age(now).count() / 1000},
+                   {"drained_ms", drain->elapsed(now).count() / 1000},
                    {"on_connection", request.OnConnection},
                    {"read_ms", request.ReadTime.count() / 1000}},
                   now);
--- a/src/gateway/gateway_options.cpp
+++ b/src/gateway/gateway_options.cpp
@@ -47,8 +47,8 @@
   out.MaxConnections = static_cast<size_t>(settings.integer(
       "callers.max_connections", static_cast<int64_t>(out.MaxConnections), 1,
       MostConnections));
-  out.Drain.Notice =
-      settings.duration("entry.drain_notice", out.Drain.Notice, 0s, 1min);
+  out.Drain.NoticePeriod =
+      settings.duration("entry.drain_notice", out.Drain.NoticePeriod, 0s, 1min);
   out.ConfirmedFor =
       settings.duration("store.confirmed_for", out.ConfirmedFor, 100ms, 1min);
   out.LeaseTerm =
--- a/tests/direct/drain_plan_test.cpp
+++ b/tests/direct/drain_plan_test.cpp
@@ -12,9 +12,9 @@
 
 DrainSettings settings() {
   DrainSettings out;
-  out.Notice = 2500ms;
-  out.LastWord = 500ms;
-  out.LastRequests = 250ms;
+  out.NoticePeriod = 2500ms;
+  out.FinalAnswerLead = 500ms;
+  out.LateRequestGrace = 250ms;
   out.LeastAttempt = 200ms;
   return out;
 }
@@ -23,13 +23,13 @@
   DrainPlan plan(settings(), Seen, Seen, TimePoint::max());
   EXPECT_TRUE(plan.isListening(Seen + 2499ms));
   EXPECT_FALSE(plan.isListening(Seen + 2500ms));
-  EXPECT_FALSE(plan.isLastWord(Seen + 24h));
+  EXPECT_FALSE(plan.isFinalAnswerDue(Seen + 24h));
 }
 
 TEST(DrainPlan, SaysTheLastWordBeforeTheEnd) {
   DrainPlan plan(settings(), Seen, Seen, Seen + 8s);
-  EXPECT_FALSE(plan.isLastWord(Seen + 7499ms));
-  EXPECT_TRUE(plan.isLastWord(Seen + 7500ms));
+  EXPECT_FALSE(plan.isFinalAnswerDue(Seen + 7499ms));
+  EXPECT_TRUE(plan.isFinalAnswerDue(Seen + 7500ms));
 }
 
 TEST(DrainPlan, BeginsNoAttemptThatHasNoTime) {
@@ -41,13 +41,13 @@
 TEST(DrainPlan, CountsTheTimeInWhichTheProcessStoodStill) {
   DrainPlan plan(settings(), Seen - 2s, Seen, Seen + 8s);
   EXPECT_EQ(plan.end(), Seen + 6s);
-  EXPECT_EQ(plan.takesUntil(), Seen + 2750ms);
-  EXPECT_TRUE(plan.isLastWord(Seen + 5500ms));
+  EXPECT_EQ(plan.acceptsRequestsUntil(), Seen + 2750ms);
+  EXPECT_TRUE(plan.isFinalAnswerDue(Seen + 5500ms));
 }
 
 TEST(DrainPlan, TakesNothingThatItCannotPassOnAnyMore) {
   DrainPlan plan(settings(), Seen - 6s, Seen, Seen + 8s);
-  EXPECT_EQ(plan.takesUntil(), Seen + 1300ms);
+  EXPECT_EQ(plan.acceptsRequestsUntil(), Seen + 1300ms);
   EXPECT_FALSE(plan.mayAttempt(Seen + 1300ms));
   EXPECT_TRUE(plan.isListening(Seen + 1049ms));
   EXPECT_FALSE(plan.isListening(Seen + 1050ms));
@@ -58,12 +58,12 @@
 RC_GTEST_PROP(DrainPlan, KeepsItsMomentsInOrder, ()) {
   auto some = [](int most) { return Duration(*rc::gen::inRange(0, most)); };
   DrainSettings it;
-  it.Notice = some(5'000'000);
-  it.LastWord = some(2'000'000);
-  it.LastRequests = some(1'000'000);
+  it.NoticePeriod = some(5'000'000);
+  it.FinalAnswerLead = some(2'000'000);
+  it.LateRequestGrace = some(1'000'000);
   it.LeastAttempt = some(1'000'000);
   DrainPlan plan(it, Seen - some(10'000'000), Seen, Seen + some(12'000'000));
-  TimePoint taken = plan.takesUntil();
+  TimePoint taken = plan.acceptsRequestsUntil();
   RC_ASSERT(taken >= Seen);
   RC_ASSERT(!plan.isListening(taken) || taken == Seen);
   RC_ASSERT(plan.end() >= Seen);
@@ -71,16 +71,16 @@
   if (plan.isListening(now))
     RC_ASSERT(now < taken);
   if (plan.mayAttempt(now))
-    RC_ASSERT(!plan.isLastWord(now));
+    RC_ASSERT(!plan.isFinalAnswerDue(now));
   if (plan.isOver(now))
-    RC_ASSERT(plan.isLastWord(now));
+    RC_ASSERT(plan.isFinalAnswerDue(now));
 }
 
 TEST(DrainPlan, NeverEndsBeforeItBegan) {
   DrainPlan plan(settings(), Seen - 20s, Seen, Seen + 8s);
   EXPECT_EQ(plan.end(), Seen);
   EXPECT_FALSE(plan.isListening(Seen));
-  EXPECT_TRUE(plan.isLastWord(Seen));
+  EXPECT_TRUE(plan.isFinalAnswerDue(Seen));
 }
 
 } // namespace
--- a/tests/gateway/drain_test.cpp
+++ b/tests/gateway/drain_test.cpp
@@ -129,7 +129,7 @@
   net::RawClient caller(port());
   caller.send("GET /none HTTP/1.1\r\nHost: a.example\r\n\r\n");
   caller.readUntil("\r\n\r\n");
-  Stopping.Daemon.drain(monotonicNow() + Stopping.Options.Drain.LastWord,
+  Stopping.Daemon.drain(monotonicNow() + Stopping.Options.Drain.FinalAnswerLead,
                         [this](bool) { Drained = true; });
   caller.send(streamRequest("r1"));
   std::string got = caller.readAll();
@@ -147,7 +147,7 @@
   Stopping.Daemon.drain(TimePoint::max(), [this](bool) { Drained = true; });
   ASSERT_TRUE(eventually([&] { return ready(Stopping) == 503; }));
   const direct::DrainSettings &plan = Stopping.Options.Drain;
-  TimePoint over = monotonicNow() + plan.Notice + plan.LastRequests;
+  TimePoint over = monotonicNow() + plan.NoticePeriod + plan.LateRequestGrace;
   std::atomic<bool> release{false};
   for (size_t i = 0; i < net::IoThreads::Most; ++i)
     net::asio::post(Threads.Io,
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -87,7 +87,7 @@
     out.Peers = test::freeEndpoint();
     out.Store = store;
     out.Seeds = std::move(seeds);
-    out.Drain.Notice = 300ms;
+    out.Drain.NoticePeriod = 300ms;
     out.ConfirmedFor = 1500ms;
     out.SourceTrust = 3s;
     out.ServersCheckFence = true;
