--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -57,8 +57,8 @@
   ForwardRequest out;
   out.Head.RequestId = "r" + std::to_string(number);
   out.Service = hasPrompt ? "engines" : "plain";
-  out.Via.Kind = RouteKind::Stream;
-  out.Via.TargetLatency = 800ms;
+  out.MatchedRoute.Kind = RouteKind::Stream;
+  out.MatchedRoute.TargetLatency = 800ms;
   out.Arrived = Start;
   out.Deadline = Start + 15s;
   if (!hasPrompt)
--- a/src/direct/admission.cpp
+++ b/src/direct/admission.cpp
@@ -40,8 +40,8 @@
   if (most && Cost.readMs(request, static_cast<double>(load.Tokens)) > *most)
     return true;
   Duration patience = request.Deadline - now;
-  if (request.Via.FirstEventPatience > Duration::zero())
-    patience = std::min(patience, request.Via.FirstEventPatience);
+  if (request.MatchedRoute.FirstEventPatience > Duration::zero())
+    patience = std::min(patience, request.MatchedRoute.FirstEventPatience);
   if (patience <= Duration::zero())
     return false;
   double least = Cost.firstTokenMs(request, load, 0);
@@ -53,7 +53,7 @@
                                const Catalog &catalog,
                                const ServerLoadView &load) const {
   Duration soon =
-      scaled(request.Via.TargetLatency, Settings.OverloadRetryShare);
+      scaled(request.MatchedRoute.TargetLatency, Settings.OverloadRetryShare);
   std::optional<double> most = mostQueueMs(request, catalog);
   if (!most)
     return soon;
--- a/src/direct/context_planner.cpp
+++ b/src/direct/context_planner.cpp
@@ -22,7 +22,7 @@
 }
 
 double ContextPlanner::fetchBudgetMs(const ForwardRequest &request) const {
-  double target = millisecondsOf(request.Via.TargetLatency);
+  double target = millisecondsOf(request.MatchedRoute.TargetLatency);
   // The queue's wait is left out: reading what could be fetched would only
   // lengthen it.
   double left = target * Settings.FetchShare - Settings.LeastFirstTokenMs -
@@ -76,7 +76,7 @@
     }
   }
   if (unread > 0)
-    order.UnreadTokens = unread + head.Parts.back().Tokens;
+    order.PrefillTokens = unread + head.Parts.back().Tokens;
   order.QueuedTokens -= static_cast<uint64_t>(static_cast<double>(sourced) *
                                               (1 - Settings.FetchedWeight));
   if (order.SlowestSource && serversClockMs)
--- a/src/direct/exchange.h
+++ b/src/direct/exchange.h
@@ -29,15 +29,15 @@
   std::string Target; ///< Path and query as received.
   std::string Path;
   std::string ApiKey;
-  std::optional<Duration> Patience; ///< How long the caller will wait.
-  std::string Model;                ///< Empty without a prompt.
+  std::optional<Duration> CallerTimeout; ///< How long the caller will wait.
+  std::string Model;                     ///< Empty without a prompt.
   uint32_t PromptTokens = 0;
   uint32_t MaxOutputTokens = 0;
   std::vector<PromptPart> Parts;
   /// The caller has the stream's events up to this id.
-  std::optional<std::string> SeenEvent;
+  std::optional<std::string> LastEventId;
   /// To be forwarded as they are.
-  std::vector<net::HttpHeader> Passed;
+  std::vector<net::HttpHeader> ForwardedHeaders;
   auto operator<=>(const CallerHead &) const = default;
 };
 
@@ -63,19 +63,20 @@
   PartAddress SlowestSource;
   /// A fetch that ends later, by the servers' clock, is thrown away.
   std::optional<int64_t> FetchUntilMs;
-  std::optional<std::string> SeenEvent; ///< Resume after this event.
+  std::optional<std::string> LastEventId; ///< Resume after this event.
   // What the choice was made on, for the view of loads and the log.
   /// That it counts for in the server's queue and memory: the whole prompt, but
   /// for a share of what is fetched.
   uint64_t QueuedTokens = 0;
-  uint64_t TokensBefore = 0; ///< Believed to wait at the server already.
-  uint64_t HeldBefore = 0; ///< Believed to fill its memory, of running prompts.
+  uint64_t TokensAhead = 0; ///< Believed to wait at the server already.
+  uint64_t RunningTokens =
+      0; ///< Believed to fill its memory, of running prompts.
   /// That no server has read yet as far as is known; 0 when parts may be in the
   /// server's memory.
-  uint64_t UnreadTokens = 0;
-  double TokensPerMs = 0;   ///< Believed of the server's reading.
-  double FirstTokenMs = 0;  ///< Predicted, without the fetch.
-  double FetchExcessMs = 0; ///< Believed of the links that are used.
+  uint64_t PrefillTokens = 0;
+  double PrefillTokensPerMs = 0;    ///< Believed of the server's reading.
+  double PredictedFirstTokenMs = 0; ///< Predicted, without the fetch.
+  double FetchExcessMs = 0;         ///< Believed of the links that are used.
 
   ServerRef server() const { return {ServerId, StartedMs}; }
   auto operator<=>(const AttemptOrder &) const = default;
@@ -93,7 +94,8 @@
   std::optional<double> RequestLimit;
   /// The answer names a limit that can't be read.
   bool IsLimitUnreadable = false;
-  std::vector<net::HttpHeader> Passed; ///< For the caller, as they are.
+  std::vector<net::HttpHeader>
+      ForwardedHeaders; ///< For the caller, as they are.
   auto operator<=>(const ServerHead &) const = default;
 };
 
--- a/src/direct/forward_flow.cpp
+++ b/src/direct/forward_flow.cpp
@@ -34,7 +34,7 @@
 ForwardFlow::ForwardFlow(ForwardRequest request, ForwardSettings settings,
                          ForwardHooks hooks)
     : Request(std::move(request)), Settings(settings), Hooks(std::move(hooks)),
-      LastEvent(Request.Head.SeenEvent) {}
+      LastEvent(Request.Head.LastEventId) {}
 
 void ForwardFlow::start(TimePoint now) { next(now, {}, false); }
 
@@ -47,7 +47,7 @@
                : Error{ErrorKind::DeadlinePassed, "the request's time is over"},
         now);
   Error none;
-  std::optional<AttemptChoice> choice = Hooks.Choose(Tried, now, none);
+  std::optional<AttemptChoice> choice = Hooks.ChooseServer(Tried, now, none);
   if (!choice) {
     Error told = reason ? reason : none;
     // When a server may be asked again is known best by who chooses; else by
@@ -66,16 +66,16 @@
   ++Number;
   Tried.push_back(order.ServerId);
   order.TimeLeft = Request.Deadline - now;
-  order.SeenEvent = LastEvent;
+  order.LastEventId = LastEvent;
   Current.emplace(Try{});
   Current->Order = std::move(order);
   Current->SentAt = now;
   arm(now);
-  Hooks.Send(Number, Current->Order);
+  Hooks.SendAttempt(Number, Current->Order);
 }
 
 void ForwardFlow::close(AttemptResult result, TimePoint now) {
-  Hooks.Note(Number, Current->Order, result, now);
+  Hooks.RecordResult(Number, Current->Order, result, now);
   Current.reset();
 }
 
@@ -93,8 +93,8 @@
   if (IsEnded || !Current || attempt != Number || !Current->HasHead)
     return;
   Try &current = *Current;
-  bool isStream =
-      Request.Via.Kind == RouteKind::Stream && isSuccess(current.Head.Status);
+  bool isStream = Request.MatchedRoute.Kind == RouteKind::Stream &&
+                  isSuccess(current.Head.Status);
   if (isStream)
     return passEvents(current.Events.feed(data));
   current.Held += data;
@@ -102,7 +102,7 @@
     return;
   if (!isSuccess(current.Head.Status)) {
     ++Runs;
-    Hooks.Cancel(attempt);
+    Hooks.CancelAttempt(attempt);
     return onFailed({ErrorKind::ServerFailed, "a failure too long to pass on"},
                     now);
   }
@@ -177,7 +177,7 @@
     if (!HasBegun)
       return answerServer(head, body + rest);
     if (!isSuccess(head.Status)) {
-      Hooks.BreakAnswer(); // A resumed stream whose second part failed.
+      Hooks.AbortAnswer(); // A resumed stream whose second part failed.
       return end();
     }
     if (!rest.empty())
@@ -196,13 +196,15 @@
 }
 
 bool ForwardFlow::mayRunAgain() const {
-  bool canContinue = !HasBegun || (Request.Via.Kind == RouteKind::Stream &&
-                                   LastEvent.has_value());
-  return Request.Via.mayRepeat() && canContinue && Runs < Request.Via.Attempts;
+  bool canContinue =
+      !HasBegun ||
+      (Request.MatchedRoute.Kind == RouteKind::Stream && LastEvent.has_value());
+  return Request.MatchedRoute.mayRepeat() && canContinue &&
+         Runs < Request.MatchedRoute.Attempts;
 }
 
 void ForwardFlow::answerServer(const ServerHead &head, std::string body) {
-  Hooks.AnswerWhole(head, std::move(body));
+  Hooks.SendAnswer(head, std::move(body));
   end();
 }
 
@@ -211,10 +213,10 @@
     uint32_t attempt = Number;
     ++Runs;
     close(AttemptResult::Abandoned, now);
-    Hooks.Cancel(attempt);
+    Hooks.CancelAttempt(attempt);
   }
   if (HasBegun) {
-    Hooks.BreakAnswer();
+    Hooks.AbortAnswer();
     return end();
   }
   bool hasRun = Runs > 0;
@@ -223,13 +225,13 @@
   Error told = reason;
   if (hasRun) {
     bool isLate = reason.Kind == ErrorKind::DeadlinePassed;
-    Hooks.AnswerError(
-        isLate ? net::StatusGatewayTimeout : net::StatusBadGateway, told);
+    Hooks.SendError(isLate ? net::StatusGatewayTimeout : net::StatusBadGateway,
+                    told);
     return end();
   }
   if (told.RetryAfter <= Duration::zero())
     told.RetryAfter = Settings.RetryAfter;
-  Hooks.AnswerError(net::StatusUnavailable, told);
+  Hooks.SendError(net::StatusUnavailable, told);
   end();
 }
 
@@ -246,20 +248,22 @@
                   now);
   if (!Current)
     return;
-  Duration silence = scaled(Request.Via.TargetLatency, Settings.SilenceFactor);
+  Duration silence =
+      scaled(Request.MatchedRoute.TargetLatency, Settings.SilenceFactor);
   bool isSilent = !Current->HasHead && silence > Duration::zero() &&
                   now >= Current->SentAt + silence;
   // Another server is asked only while there is one left to ask.
-  bool canMove = Request.Via.mayRepeat() && Runs + 1 < Request.Via.Attempts;
+  bool canMove = Request.MatchedRoute.mayRepeat() &&
+                 Runs + 1 < Request.MatchedRoute.Attempts;
   if (!isSilent || !canMove)
     return arm(now);
-  if (!Hooks.CanChoose(Tried, now))
+  if (!Hooks.CanChooseServer(Tried, now))
     return arm(now);
   ++Runs;
   uint32_t attempt = Number;
   // First, so that the next attempt may save what this one was to save.
   close(AttemptResult::Failed, now);
-  Hooks.Cancel(attempt);
+  Hooks.CancelAttempt(attempt);
   next(now, {ErrorKind::ServerLost, "the server was silent for too long"},
        true);
 }
@@ -270,16 +274,16 @@
   if (Current) {
     uint32_t attempt = Number;
     close(AttemptResult::Abandoned, now);
-    Hooks.Cancel(attempt);
+    Hooks.CancelAttempt(attempt);
   }
   end();
 }
 
 void ForwardFlow::onProcessEnd(TimePoint now) {
-  onBarred({ErrorKind::Draining, "the entry ends before the answer"}, now);
+  onBlocked({ErrorKind::Draining, "the entry ends before the answer"}, now);
 }
 
-void ForwardFlow::onBarred(const Error &reason, TimePoint now) {
+void ForwardFlow::onBlocked(const Error &reason, TimePoint now) {
   if (IsEnded || HasBegun)
     return;
   giveUp(reason, now);
@@ -287,8 +291,10 @@
 
 void ForwardFlow::arm(TimePoint now) {
   TimePoint at = Request.Deadline;
-  Duration silence = scaled(Request.Via.TargetLatency, Settings.SilenceFactor);
-  bool mayMove = Request.Via.mayRepeat() && Runs + 1 < Request.Via.Attempts;
+  Duration silence =
+      scaled(Request.MatchedRoute.TargetLatency, Settings.SilenceFactor);
+  bool mayMove = Request.MatchedRoute.mayRepeat() &&
+                 Runs + 1 < Request.MatchedRoute.Attempts;
   if (Current && !Current->HasHead && mayMove && silence > Duration::zero()) {
     TimePoint late = Current->SentAt + silence;
     if (late > now)
--- a/src/direct/forward_flow.h
+++ b/src/direct/forward_flow.h
@@ -43,7 +43,7 @@
 /// The request, checked and authenticated. Immutable.
 struct ForwardRequest {
   CallerHead Head;
-  Route Via;
+  Route MatchedRoute;
   std::string Service; ///< The route's share that the request fell to.
   std::string Organisation;
   bool IsIsolated = false;
@@ -79,23 +79,23 @@
   /// against what the server takes, and plans what the attempt saves.
   std::function<std::optional<AttemptChoice>(
       const std::vector<std::string> &tried, TimePoint now, Error &reason)>
-      Choose;
+      ChooseServer;
   /// Whether there is such a server; without effect.
   std::function<bool(const std::vector<std::string> &tried, TimePoint now)>
-      CanChoose;
+      CanChooseServer;
   /// Draws one repeat from the budget that all entries share.
   std::function<bool()> TakeRetry;
-  std::function<void(uint32_t attempt, const AttemptOrder &)> Send;
-  std::function<void(uint32_t attempt)> Cancel;
+  std::function<void(uint32_t attempt, const AttemptOrder &)> SendAttempt;
+  std::function<void(uint32_t attempt)> CancelAttempt;
   std::function<void(uint32_t attempt, const AttemptOrder &, AttemptResult,
                      TimePoint now)>
-      Note;
+      RecordResult;
   std::function<void(const ServerHead &)> BeginAnswer;
   std::function<void(std::string)> WriteAnswer;
   std::function<void()> EndAnswer;
-  std::function<void()> BreakAnswer;
-  std::function<void(const ServerHead &, std::string body)> AnswerWhole;
-  std::function<void(unsigned status, const Error &)> AnswerError;
+  std::function<void()> AbortAnswer;
+  std::function<void(const ServerHead &, std::string body)> SendAnswer;
+  std::function<void(unsigned status, const Error &)> SendError;
   std::function<void(TimePoint)> ArmTimer;
   /// The final answer was given, or the caller is gone.
   std::function<void()> Ended;
@@ -119,7 +119,7 @@
   /// be none, and the caller is told what is known. One that has begun goes on.
   void onProcessEnd(TimePoint now);
   /// The request is not to run any more: the same, with this reason.
-  void onBarred(const Error &reason, TimePoint now);
+  void onBlocked(const Error &reason, TimePoint now);
 
   const ForwardRequest &request() const { return Request; }
   bool isEnded() const { return IsEnded; }
--- a/src/direct/placement.cpp
+++ b/src/direct/placement.cpp
@@ -174,12 +174,12 @@
   out.CacheScope =
       cacheScope(request.Organisation, request.IsIsolated, out.WeightVersion);
   out.QueuedTokens = head.PromptTokens;
-  out.TokensBefore = candidate.Load.Tokens;
-  out.HeldBefore = candidate.Load.HeldTokens;
-  out.TokensPerMs = Rates.of(request.Service);
+  out.TokensAhead = candidate.Load.Tokens;
+  out.RunningTokens = candidate.Load.HeldTokens;
+  out.PrefillTokensPerMs = Rates.of(request.Service);
   if (service->Engine->HasManagedContext && head.Parts.size() >= 2)
     Contexts.plan(request, candidate, *home, serversClockMs, now, out);
-  out.FirstTokenMs =
+  out.PredictedFirstTokenMs =
       Cost.firstTokenMs(request, candidate.Load, out.QueuedTokens);
   return out;
 }
--- a/src/direct/protocol.h
+++ b/src/direct/protocol.h
@@ -19,18 +19,18 @@
   // Requests.
   std::function<std::optional<CallerHead>(const net::HttpRequest &,
                                           Error &reason)>
-      ReadCaller;
+      ReadCallerHead;
   std::function<net::HttpRequest(const CallerHead &, const AttemptOrder &,
                                  std::string body)>
       WriteAttempt;
   std::function<ServerHead(unsigned status,
                            const std::vector<net::HttpHeader> &)>
-      ReadServer;
+      ReadServerHead;
   std::function<bool(const CallerHead &, const std::vector<net::HttpHeader> &)>
       IsAnswerTo;
   std::function<net::HttpResponse(unsigned status, const std::string &requestId,
                                   const Error &)>
-      OwnAnswer;
+      WriteErrorAnswer;
 
   // The key-value service.
   std::function<FactSubject(std::string_view key)> SubjectOf;
--- a/src/direct/request_identity.cpp
+++ b/src/direct/request_identity.cpp
@@ -22,7 +22,7 @@
   std::string text;
   append(text, request.Organisation);
   append(text, request.Head.Method);
-  append(text, request.Via.Host);
+  append(text, request.MatchedRoute.Host);
   append(text, request.Head.Target);
   append(text, body);
   Digest256 digest = sha256(text);
--- a/src/gateway/gateway_http.cpp
+++ b/src/gateway/gateway_http.cpp
@@ -36,7 +36,7 @@
 
 TimePoint deadlineOf(const direct::CallerHead &head, const direct::Route &route,
                      TimePoint now) {
-  Duration limit = head.Patience.value_or(LongestRequest);
+  Duration limit = head.CallerTimeout.value_or(LongestRequest);
   if (route.Timeout > Duration::zero())
     limit = std::min(limit, route.Timeout);
   return now + limit;
@@ -84,7 +84,7 @@
   State.Counts.Requests.add();
   Error unread;
   std::optional<direct::CallerHead> head =
-      State.Speak.ReadCaller(request, unread);
+      State.Speak.ReadCallerHead(request, unread);
   if (!head)
     return refusal({}, unread, now);
   noteWhileDraining(request, head->RequestId, now);
@@ -112,7 +112,7 @@
                    {"config_revision", catalog->ConfigRevision},
                    {"confirmed", State.isConfirmed(now)}},
                   now);
-  return State.Speak.OwnAnswer(status, head.RequestId, reason);
+  return State.Speak.WriteErrorAnswer(status, head.RequestId, reason);
 }
 
 void GatewayHttp::noteWhileDraining(const net::HttpRequest &request,
@@ -135,7 +135,7 @@
   State.Counts.Requests.add();
   Error reason;
   std::optional<direct::CallerHead> head =
-      State.Speak.ReadCaller(request, reason);
+      State.Speak.ReadCallerHead(request, reason);
   if (!head)
     return refuse(*exchange, {}, reason, now);
   noteWhileDraining(request, head->RequestId, now);
@@ -162,7 +162,7 @@
                     now);
   }
   direct::ForwardRequest forward;
-  forward.Via = *route;
+  forward.MatchedRoute = *route;
   forward.Service = serviceOf(*route, head->RequestId);
   forward.Organisation = access ? access->Organisation : std::string();
   forward.IsIsolated = access && access->IsIsolated;
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -58,26 +58,27 @@
 
 direct::ForwardHooks GatewayRequest::hooks() {
   direct::ForwardHooks out;
-  out.Choose = [this](const auto &tried, TimePoint now, Error &reason) {
+  out.ChooseServer = [this](const auto &tried, TimePoint now, Error &reason) {
     return choose(tried, now, reason);
   };
-  out.CanChoose = [this](const auto &tried, TimePoint now) {
+  out.CanChooseServer = [this](const auto &tried, TimePoint now) {
     Error unused;
     return !mustNotAttempt(now, unused) &&
            State.Place.canChoose(Flow.request(), *State.catalog(), tried, now);
   };
   out.TakeRetry = [this] { return takeRetry(); };
-  out.Send = [this](uint32_t attempt, const AttemptOrder &order) {
+  out.SendAttempt = [this](uint32_t attempt, const AttemptOrder &order) {
     send(attempt, order);
   };
-  out.Cancel = [this](uint32_t) { std::exchange(Call, {}).cancel(); };
-  out.Note = [this](uint32_t attempt, const AttemptOrder &order,
-                    AttemptResult result,
-                    TimePoint now) { note(attempt, order, result, now); };
+  out.CancelAttempt = [this](uint32_t) { std::exchange(Call, {}).cancel(); };
+  out.RecordResult = [this](uint32_t attempt, const AttemptOrder &order,
+                            AttemptResult result, TimePoint now) {
+    note(attempt, order, result, now);
+  };
   out.BeginAnswer = [this](const direct::ServerHead &head) {
     IsAnswered = true;
     State.Counts.FirstByte.observe(monotonicNow() - Flow.request().Arrived);
-    Exchange->beginStream(head.Status, head.Passed);
+    Exchange->beginStream(head.Status, head.ForwardedHeaders);
   };
   out.WriteAnswer = [this](std::string data) {
     Exchange->write(std::move(data));
@@ -86,17 +87,17 @@
     Exchange->endStream();
     logEnd(200, "answered", {});
   };
-  out.BreakAnswer = [this] {
+  out.AbortAnswer = [this] {
     State.Counts.Broken.add();
     Exchange->abort();
     logEnd(0, "broken_off", {});
   };
-  out.AnswerWhole = [this](const direct::ServerHead &head, std::string body) {
+  out.SendAnswer = [this](const direct::ServerHead &head, std::string body) {
     State.Counts.FirstByte.observe(monotonicNow() - Flow.request().Arrived);
-    Exchange->respond({head.Status, head.Passed, std::move(body)});
+    Exchange->respond({head.Status, head.ForwardedHeaders, std::move(body)});
     logEnd(head.Status, "answered", {});
   };
-  out.AnswerError = [this](unsigned status, const Error &reason) {
+  out.SendError = [this](unsigned status, const Error &reason) {
     answerError(status, reason);
   };
   out.ArmTimer = [this](TimePoint at) { armTimer(at); };
@@ -196,10 +197,10 @@
       {"saves", saves},
       {"prompt_tokens", request.Head.PromptTokens},
       {"sourced_tokens", sourced},
-      {"tokens_before", order.TokensBefore},
-      {"held_before", order.HeldBefore},
-      {"tokens_per_ms", order.TokensPerMs},
-      {"predicted_first_byte_ms", order.FirstTokenMs},
+      {"tokens_before", order.TokensAhead},
+      {"held_before", order.RunningTokens},
+      {"tokens_per_ms", order.PrefillTokensPerMs},
+      {"predicted_first_byte_ms", order.PredictedFirstTokenMs},
       {"fetch_excess_ms", order.FetchExcessMs},
       {"time_left_ms", millisecondsOf(order.TimeLeft)},
       {"config_version", State.catalog()->Config->config().Version}};
@@ -237,14 +238,14 @@
   if (Flow.isEnded() || attempt != Flow.attempts())
     return;
   TimePoint now = monotonicNow();
-  direct::ServerHead head = State.Speak.ReadServer(status, headers);
+  direct::ServerHead head = State.Speak.ReadServerHead(status, headers);
   noteServerWord(head, now);
   if (!head.WasNotRun) {
     FirstByteAt = now;
     State.Loads.onFirstByte(Order.server(), Order.QueuedTokens, now);
     learnLink(now);
-    State.Rates.observe(Flow.request().Service, Order.UnreadTokens,
-                        Order.TokensBefore, now - SentAt);
+    State.Rates.observe(Flow.request().Service, Order.PrefillTokens,
+                        Order.TokensAhead, now - SentAt);
   }
   Flow.onHead(attempt, head, now);
 }
@@ -344,8 +345,9 @@
 void GatewayRequest::learnLink(TimePoint now) {
   if (Order.Sources.empty())
     return;
-  State.Links.observe(Order.SlowestSource,
-                      millisecondsOf(now - SentAt) - Order.FirstTokenMs, now);
+  State.Links.observe(
+      Order.SlowestSource,
+      millisecondsOf(now - SentAt) - Order.PredictedFirstTokenMs, now);
 }
 
 void GatewayRequest::noteEjection(const AttemptOrder &order,
@@ -373,8 +375,8 @@
 void GatewayRequest::answerError(unsigned status, const Error &reason) {
   bool isRefusal = direct::promisesNotRun(status);
   (isRefusal ? State.Counts.Refused : State.Counts.Failed).add();
-  Exchange->respond(
-      State.Speak.OwnAnswer(status, Flow.request().Head.RequestId, reason));
+  Exchange->respond(State.Speak.WriteErrorAnswer(
+      status, Flow.request().Head.RequestId, reason));
   logEnd(status, isRefusal ? "refused" : "failed", reason);
 }
 
@@ -388,7 +390,7 @@
     if (self->Flow.isEnded())
       return;
     if (std::optional<Error> barred = self->barredBy(now))
-      self->Flow.onBarred(*barred, now);
+      self->Flow.onBlocked(*barred, now);
   });
 }
 
@@ -410,13 +412,13 @@
   bool isGood = outcome == "answered" && status < 500;
   DecisionLog::Fields fields{
       {"request", request.Head.RequestId},
-      {"route", request.Via.Name},
+      {"route", request.MatchedRoute.Name},
       {"organisation", request.Organisation},
       {"outcome", outcome},
       {"status", status},
       {"attempts", Flow.attempts()},
       {"took_ms", millisecondsOf(now - request.Arrived)},
-      {"target_ms", millisecondsOf(request.Via.TargetLatency)}};
+      {"target_ms", millisecondsOf(request.MatchedRoute.TargetLatency)}};
   if (FirstByteAt)
     fields["first_byte_ms"] = millisecondsOf(*FirstByteAt - request.Arrived);
   if (reason) {
--- a/src/gateway/order_driver.cpp
+++ b/src/gateway/order_driver.cpp
@@ -184,7 +184,7 @@
 void OrderDriver::noteWord(direct::ServerRef server,
                            const net::HttpResponse &answer) {
   noteRequestLimit(State, server,
-                   State.Speak.ReadServer(answer.Status, answer.Headers),
+                   State.Speak.ReadServerHead(answer.Status, answer.Headers),
                    AnswerTo::Control, monotonicNow());
 }
 
--- a/tests/direct/flow_harness.h
+++ b/tests/direct/flow_harness.h
@@ -46,7 +46,7 @@
     out.Arrived = FlowStart;
     out.Deadline = FlowStart + route.Timeout;
     out.Service = "service";
-    out.Via = std::move(route);
+    out.MatchedRoute = std::move(route);
     return out;
   }
 
@@ -86,8 +86,8 @@
 
   ForwardHooks hooks() {
     ForwardHooks out;
-    out.Choose = [this](const std::vector<std::string> &tried, TimePoint,
-                        Error &reason) -> std::optional<AttemptChoice> {
+    out.ChooseServer = [this](const std::vector<std::string> &tried, TimePoint,
+                              Error &reason) -> std::optional<AttemptChoice> {
       ++Choices;
       for (size_t i = 1; i <= Servers; ++i) {
         std::string name = "s" + std::to_string(i);
@@ -100,17 +100,18 @@
       reason = NoneLeft;
       return std::nullopt;
     };
-    out.CanChoose = [this](const std::vector<std::string> &tried, TimePoint) {
-      return tried.size() < Servers;
-    };
+    out.CanChooseServer = [this](const std::vector<std::string> &tried,
+                                 TimePoint) { return tried.size() < Servers; };
     out.TakeRetry = [this] { return HasBudget; };
-    out.Send = [this](uint32_t, const AttemptOrder &order) {
+    out.SendAttempt = [this](uint32_t, const AttemptOrder &order) {
       Sent.push_back(order);
       add("send " + order.ServerId);
     };
-    out.Cancel = [this](uint32_t n) { add("cancel " + std::to_string(n)); };
-    out.Note = [this](uint32_t, const AttemptOrder &, AttemptResult result,
-                      TimePoint) {
+    out.CancelAttempt = [this](uint32_t n) {
+      add("cancel " + std::to_string(n));
+    };
+    out.RecordResult = [this](uint32_t, const AttemptOrder &,
+                              AttemptResult result, TimePoint) {
       Results.push_back(result);
       ChoicesWhenEnded.push_back(Choices);
     };
@@ -122,16 +123,16 @@
       ++Finals;
       add("end");
     };
-    out.BreakAnswer = [this] {
+    out.AbortAnswer = [this] {
       ++Finals;
       add("break");
     };
-    out.AnswerWhole = [this](const ServerHead &head, const std::string &body) {
+    out.SendAnswer = [this](const ServerHead &head, const std::string &body) {
       ++Finals;
       FinalStatus = head.Status;
       add("answer " + std::to_string(head.Status) + " " + body);
     };
-    out.AnswerError = [this](unsigned status, const Error &error) {
+    out.SendError = [this](unsigned status, const Error &error) {
       ++Finals;
       FinalStatus = status;
       LastError = error;
--- a/tests/direct/forward_flow_test.cpp
+++ b/tests/direct/forward_flow_test.cpp
@@ -183,7 +183,7 @@
   it.Flow.onData(1, "id: 1\n\nid: 2\n\nid: 3", FlowStart);
   it.lose(1);
   ASSERT_EQ(it.Sent.size(), 2);
-  EXPECT_EQ(it.Sent[1].SeenEvent, "2");
+  EXPECT_EQ(it.Sent[1].LastEventId, "2");
   it.answer(2, headOf(200), "id: 3\n\n");
   EXPECT_EQ(it.Log, (Words{"send s1", "begin 200", "write id: 1\n\nid: 2\n\n",
                            "send s2", "write id: 3\n\n", "end", "ended"}));
@@ -194,14 +194,14 @@
   route.IsResumable = true;
   ForwardRequest request = FlowHarness::requestFor(route);
   FlowHarness it(route);
-  request.Head.SeenEvent = "9";
+  request.Head.LastEventId = "9";
   std::optional<std::string> seen;
   ForwardHooks hooks;
-  hooks.Choose = [](const auto &, TimePoint, Error &) {
+  hooks.ChooseServer = [](const auto &, TimePoint, Error &) {
     return std::optional<AttemptChoice>(AttemptChoice{});
   };
-  hooks.Send = [&](uint32_t, const AttemptOrder &order) {
-    seen = order.SeenEvent;
+  hooks.SendAttempt = [&](uint32_t, const AttemptOrder &order) {
+    seen = order.LastEventId;
   };
   hooks.ArmTimer = [](TimePoint) {};
   ForwardFlow flow(request, {}, hooks);
--- a/tests/direct/placement_fixture.h
+++ b/tests/direct/placement_fixture.h
@@ -78,8 +78,8 @@
     out.Head.Parts = {{"system", 500}, {session, 2000}, {"own", 500}};
     out.Service = "engines";
     out.Organisation = "org";
-    out.Via.Kind = RouteKind::Stream;
-    out.Via.TargetLatency = 800ms;
+    out.MatchedRoute.Kind = RouteKind::Stream;
+    out.MatchedRoute.TargetLatency = 800ms;
     out.Arrived = Start;
     out.Deadline = Start + 15s;
     return out;
--- a/tests/direct/placement_test.cpp
+++ b/tests/direct/placement_test.cpp
@@ -68,9 +68,9 @@
 TEST_F(PlacementTest, KnowsWhatCertainlyHasToBeRead) {
   Loads.onPeer("other", {}, 100ms, Start);
   AttemptOrder first = choose(prompt("s"));
-  EXPECT_EQ(first.UnreadTokens, 3000);
+  EXPECT_EQ(first.PrefillTokens, 3000);
   // Asked to be saved just now: the server's memory may have the shared parts.
-  EXPECT_EQ(choose(prompt("s")).UnreadTokens, 0);
+  EXPECT_EQ(choose(prompt("s")).PrefillTokens, 0);
 }
 
 /// Room comes free within the target: who comes back in time is served in time.
@@ -217,7 +217,7 @@
 
 TEST_F(PlacementTest, RefusesAPromptThatCouldOnlyBeginTooLate) {
   ForwardRequest request = prompt("s");
-  request.Via.FirstEventPatience = 3200ms;
+  request.MatchedRoute.FirstEventPatience = 3200ms;
   for (const BackendServer &it : Catalog.Servers["engines"])
     Loads.onSent(it.Id, 250'000, Start);
   Error reason;
--- a/tests/direct/request_identity_test.cpp
+++ b/tests/direct/request_identity_test.cpp
@@ -13,14 +13,14 @@
   out.Head.Method = "POST";
   out.Head.Target = "/a/b?c=d";
   out.Head.RequestId = "r1";
-  out.Via.Host = "h.example";
+  out.MatchedRoute.Host = "h.example";
   return out;
 }
 
 TEST(RequestIdentity, IsTheSameUnderAnotherRequestId) {
   ForwardRequest again = sample();
   again.Head.RequestId = "r2";
-  again.Head.Patience = Duration(1);
+  again.Head.CallerTimeout = Duration(1);
   EXPECT_EQ(requestIdentity(sample(), "body"), requestIdentity(again, "body"));
 }
 
@@ -34,7 +34,7 @@
   };
   add([](ForwardRequest &it) { it.Organisation = "other"; });
   add([](ForwardRequest &it) { it.Head.Method = "PUT"; });
-  add([](ForwardRequest &it) { it.Via.Host = "i.example"; });
+  add([](ForwardRequest &it) { it.MatchedRoute.Host = "i.example"; });
   add([](ForwardRequest &it) { it.Head.Target = "/a/b"; });
   EXPECT_EQ(all.size(), 6);
 }
@@ -43,7 +43,7 @@
 TEST(RequestIdentity, TellsWhereOneFieldEnds) {
   ForwardRequest one = sample();
   one.Head.Method = "POS";
-  one.Via.Host = "Th.example";
+  one.MatchedRoute.Host = "Th.example";
   EXPECT_NE(requestIdentity(sample(), "body"), requestIdentity(one, "body"));
 }
 
--- a/tests/direct/restart_test.cpp
+++ b/tests/direct/restart_test.cpp
@@ -66,7 +66,7 @@
   AttemptOrder order = choose(prompt("s"));
   EXPECT_EQ(order.ServerId, "e0");
   EXPECT_EQ(order.StartedMs, Second.StartedMs);
-  EXPECT_EQ(order.TokensBefore, 0);
+  EXPECT_EQ(order.TokensAhead, 0);
 }
 
 uint64_t versionOfA(const CatalogKeeper &keeper) {
--- a/tests/platform/entry_fixture.h
+++ b/tests/platform/entry_fixture.h
@@ -99,8 +99,8 @@
     out.Head.PromptTokens = 300;
     out.Head.Parts = {{"system", 100}, {session, 100}, {"own", 100}};
     out.Service = "engines";
-    out.Via.Kind = direct::RouteKind::Stream;
-    out.Via.TargetLatency = 800ms;
+    out.MatchedRoute.Kind = direct::RouteKind::Stream;
+    out.MatchedRoute.TargetLatency = 800ms;
     return out;
   }
 
@@ -108,8 +108,8 @@
     direct::ForwardRequest out;
     out.Head.RequestId = id;
     out.Service = "plain";
-    out.Via.Kind = direct::RouteKind::Idempotent;
-    out.Via.TargetLatency = 120ms;
+    out.MatchedRoute.Kind = direct::RouteKind::Idempotent;
+    out.MatchedRoute.TargetLatency = 120ms;
     return out;
   }
 
--- a/tests/platform/request_head_test.cpp
+++ b/tests/platform/request_head_test.cpp
@@ -54,7 +54,7 @@
 TEST(ReadCaller, DecodesThePrompt) {
   direct::CallerHead head = readSample(sample());
   EXPECT_EQ(head.RequestId, "abc");
-  EXPECT_EQ(head.Patience, 1500ms);
+  EXPECT_EQ(head.CallerTimeout, 1500ms);
   EXPECT_EQ(head.ApiKey, "secret");
   EXPECT_EQ(head.PromptTokens, 1460);
   EXPECT_EQ(head.MaxOutputTokens, 80);
@@ -210,8 +210,9 @@
                        {"Content-Length", "3"},
                        {"Content-Type", "text/event-stream; charset=utf-8"}});
   EXPECT_TRUE(head.IsEventStream);
-  EXPECT_EQ(head.Passed.size(), 2);
-  EXPECT_EQ(valueOf(head.Passed, "X-Daisytack-Server-Signature"), "s");
+  EXPECT_EQ(head.ForwardedHeaders.size(), 2);
+  EXPECT_EQ(valueOf(head.ForwardedHeaders, "X-Daisytack-Server-Signature"),
+            "s");
 }
 
 TEST(IsAnswerTo, TellsACrossedAnswerByItsId) {
