--- a/src/direct/admission.cpp
+++ b/src/direct/admission.cpp
@@ -41,8 +41,8 @@
       Cost.prefillMs(request, static_cast<double>(load.WaitingTokens)) > *most)
     return true;
   Duration patience = request.Deadline - now;
-  if (request.Via.MaxFirstEventWait > Duration::zero())
-    patience = std::min(patience, request.Via.MaxFirstEventWait);
+  if (request.MatchedRoute.MaxFirstEventWait > Duration::zero())
+    patience = std::min(patience, request.MatchedRoute.MaxFirstEventWait);
   if (patience <= Duration::zero())
     return false;
   double least = Cost.firstTokenMs(request, load, 0);
@@ -54,7 +54,7 @@
                                const Catalog &catalog,
                                const ServerLoadView &load) const {
   Duration soon =
-      scaled(request.Via.TargetLatency, Settings.OverloadRetryShare);
+      scaled(request.MatchedRoute.TargetLatency, Settings.OverloadRetryShare);
   std::optional<double> most = mostQueueMs(request, catalog);
   if (!most)
     return soon;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -246,8 +246,8 @@
 void Gateway::answerMetrics(net::HttpExchange &exchange) {
   State.Stats.PartsKnown.set(
       static_cast<int64_t>(State.StoredParts.partsKnown()));
-  State.Stats.Quarantined.set(
-      static_cast<int64_t>(State.Suspects.quarantined(monotonicNow()).size()));
+  State.Stats.Quarantined.set(static_cast<int64_t>(
+      State.Suspects.quarantinedRequests(monotonicNow()).size()));
   auto catalog = State.catalog();
   const auto &servers = catalog->AllServers;
   State.Stats.ServersKnown.set(static_cast<int64_t>(servers.size()));
@@ -396,7 +396,7 @@
   // At once, whatever the strand is at: from here on nothing is ready.
   State.Drain = plan;
   CallerServer.endConnections();
-  CallerServer.refuseAfter(plan->takesUntil() - now);
+  CallerServer.refuseAfter(plan->acceptsRequestsUntil() - now);
   OnDrained = std::move(done);
   boost::asio::dispatch(ControlStrand, [this, now] { beginDrain(now); });
 }
@@ -417,7 +417,7 @@
   std::shared_ptr<const direct::DrainPlan> plan = State.Drain.load();
   if (!plan->isListening(now))
     closeListener(now);
-  if (plan->isLastWord(now))
+  if (plan->isFinalAnswerDue(now))
     failUnanswered(now);
   if (isBusy())
     LastBusyAt = now;
@@ -477,7 +477,7 @@
   PeerLoads->stop();
   Follower->stop();
   TimePoint now = monotonicNow();
-  Duration drained = State.Drain.load()->age(now);
+  Duration drained = State.Drain.load()->elapsed(now);
   Log.write(LogWeight::Notable, "stopped",
             {{"drained_ms", drained.count() / 1000},
              {"cut_off", State.Running.size()}},
--- a/src/gateway/gateway_http.cpp
+++ b/src/gateway/gateway_http.cpp
@@ -37,7 +37,7 @@
 
 TimePoint deadlineOf(const direct::CallerHead &head, const direct::Route &route,
                      TimePoint now) {
-  Duration limit = head.Patience.value_or(DefaultRequestTimeout);
+  Duration limit = head.CallerTimeout.value_or(DefaultRequestTimeout);
   if (route.Timeout > Duration::zero())
     limit = std::min(limit, route.Timeout);
   return now + limit;
@@ -57,7 +57,7 @@
   net::HttpServerInit out;
   out.Listen = State.Options.Callers;
   out.MaxConnections = State.Options.MaxConnections;
-  out.LastRequests = State.Options.Drain.LastRequests;
+  out.LastRequests = State.Options.Drain.LateRequestGrace;
   out.RefuseLate = [this](const net::HttpRequest &request) {
     return refuseLate(request, monotonicNow());
   };
@@ -86,7 +86,7 @@
   State.Stats.Requests.add();
   Error parseError;
   std::optional<direct::CallerHead> head =
-      State.WireProtocol.ReadCaller(request, parseError);
+      State.WireProtocol.ReadCallerHead(request, parseError);
   if (!head)
     return buildRefusal({}, parseError, now);
   logWhileDraining(request, head->RequestId, now);
@@ -115,7 +115,7 @@
                    {"config_revision", catalog->ConfigRevision},
                    {"confirmed", State.isConfirmed(now)}},
                   now);
-  return State.WireProtocol.OwnAnswer(status, head.RequestId, reason);
+  return State.WireProtocol.WriteErrorAnswer(status, head.RequestId, reason);
 }
 
 void GatewayHttp::logWhileDraining(const net::HttpRequest &request,
@@ -126,7 +126,7 @@
     return;
   State.Log.write(LogWeight::Notable, "request_while_draining",
                   {{"request", requestId},
-                   {"drained_ms", drain->age(now).count() / 1000},
+                   {"drained_ms", drain->elapsed(now).count() / 1000},
                    {"on_connection", request.OnConnection},
                    {"read_ms", request.ReadTime.count() / 1000}},
                   now);
@@ -138,7 +138,7 @@
   State.Stats.Requests.add();
   Error reason;
   std::optional<direct::CallerHead> head =
-      State.WireProtocol.ReadCaller(request, reason);
+      State.WireProtocol.ReadCallerHead(request, reason);
   if (!head)
     return refuse(*exchange, {}, reason, now);
   logWhileDraining(request, head->RequestId, now);
@@ -165,7 +165,7 @@
                     now);
   }
   direct::ForwardRequest forward;
-  forward.Via = *route;
+  forward.MatchedRoute = *route;
   forward.Service = pickService(*route, head->RequestId);
   forward.Organisation = access ? access->Organisation : std::string();
   forward.IsIsolated = access && access->IsIsolated;
--- a/src/gateway/gateway_options.cpp
+++ b/src/gateway/gateway_options.cpp
@@ -48,8 +48,8 @@
   out.MaxConnections = static_cast<size_t>(settings.integer(
       "callers.max_connections", static_cast<int64_t>(out.MaxConnections), 1,
       ConnectionsUpperBound));
-  out.Drain.Notice =
-      settings.duration("entry.drain_notice", out.Drain.Notice, 0s, 1min);
+  out.Drain.NoticePeriod =
+      settings.duration("entry.drain_notice", out.Drain.NoticePeriod, 0s, 1min);
   out.ConfirmedFor =
       settings.duration("store.confirmed_for", out.ConfirmedFor, 100ms, 1min);
   out.LeaseTerm =
@@ -61,11 +61,12 @@
   out.Retries.Share = settings.number("retries.share", out.Retries.Share, 0, 1);
   out.Retries.Slack = static_cast<uint32_t>(
       settings.integer("retries.slack", out.Retries.Slack, 0, SlackUpperBound));
-  out.Suspects.Servers = static_cast<size_t>(settings.integer(
-      "quarantine.servers", static_cast<int64_t>(out.Suspects.Servers), 0,
-      QuarantineServersUpperBound));
-  out.Suspects.Memory =
-      settings.duration("quarantine.time", out.Suspects.Memory, 10s, 24h);
+  out.Suspects.ServersToQuarantine = static_cast<size_t>(
+      settings.integer("quarantine.servers",
+                       static_cast<int64_t>(out.Suspects.ServersToQuarantine),
+                       0, QuarantineServersUpperBound));
+  out.Suspects.QuarantineDuration = settings.duration(
+      "quarantine.time", out.Suspects.QuarantineDuration, 10s, 24h);
   out.LoadExchange.MaxPeersPerInterval = static_cast<size_t>(settings.integer(
       "peers.loads_at_once",
       static_cast<int64_t>(out.LoadExchange.MaxPeersPerInterval), 1,
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -59,27 +59,27 @@
 
 direct::ForwardHooks GatewayRequest::hooks() {
   direct::ForwardHooks out;
-  out.Choose = [this](const auto &tried, TimePoint now, Error &reason) {
+  out.ChooseServer = [this](const auto &tried, TimePoint now, Error &reason) {
     return choose(tried, now, reason);
   };
-  out.CanChoose = [this](const auto &tried, TimePoint now) {
+  out.CanChooseServer = [this](const auto &tried, TimePoint now) {
     Error unused;
     return !mustNotAttempt(now, unused) &&
            State.Placer.canChoose(Flow.request(), *State.catalog(), tried, now);
   };
   out.TakeRetry = [this] { return takeRetry(); };
-  out.Send = [this](uint32_t attempt, const AttemptOrder &order) {
+  out.SendAttempt = [this](uint32_t attempt, const AttemptOrder &order) {
     send(attempt, order);
   };
-  out.Cancel = [this](uint32_t) { std::exchange(Call, {}).cancel(); };
-  out.Note = [this](uint32_t attempt, const AttemptOrder &order,
-                    AttemptResult result, TimePoint now) {
+  out.CancelAttempt = [this](uint32_t) { std::exchange(Call, {}).cancel(); };
+  out.RecordResult = [this](uint32_t attempt, const AttemptOrder &order,
+                            AttemptResult result, TimePoint now) {
     recordResult(attempt, order, result, now);
   };
   out.BeginAnswer = [this](const direct::ServerHead &head) {
     HasAnswerStarted = true;
     State.Stats.FirstByteTime.observe(monotonicNow() - Flow.request().Arrived);
-    Exchange->beginStream(head.Status, head.Passed);
+    Exchange->beginStream(head.Status, head.ForwardedHeaders);
   };
   out.WriteAnswer = [this](std::string data) {
     Exchange->write(std::move(data));
@@ -88,17 +88,17 @@
     Exchange->endStream();
     logEnd(200, "answered", {});
   };
-  out.BreakAnswer = [this] {
+  out.AbortAnswer = [this] {
     State.Stats.AnswersBroken.add();
     Exchange->abort();
     logEnd(0, "broken_off", {});
   };
-  out.AnswerWhole = [this](const direct::ServerHead &head, std::string body) {
+  out.SendAnswer = [this](const direct::ServerHead &head, std::string body) {
     State.Stats.FirstByteTime.observe(monotonicNow() - Flow.request().Arrived);
-    Exchange->respond({head.Status, head.Passed, std::move(body)});
+    Exchange->respond({head.Status, head.ForwardedHeaders, std::move(body)});
     logEnd(head.Status, "answered", {});
   };
-  out.AnswerError = [this](unsigned status, const Error &reason) {
+  out.SendError = [this](unsigned status, const Error &reason) {
     answerError(status, reason);
   };
   out.ArmTimer = [this](TimePoint at) { armTimer(at); };
@@ -157,8 +157,8 @@
 
 void GatewayRequest::recordConnectionLoss(TimePoint now) {
   enforceQuarantine(State,
-                    State.Suspects.onBroken(identity(), Order.server().key(),
-                                            OccasionsAtSend, now),
+                    State.Suspects.onConnectionBroken(
+                        identity(), Order.server().key(), OccasionsAtSend, now),
                     now);
 }
 
@@ -175,7 +175,7 @@
   SentAt = now;
   FirstByteAt.reset();
   OccasionsAtSend =
-      State.Suspects.isEmpty() ? 0 : State.Suspects.occasions(identity());
+      State.Suspects.isEmpty() ? 0 : State.Suspects.incidents(identity());
   State.Stats.Attempts.add();
   State.Loads.onSent(order.server(), order.QueuedTokens, now);
   uint64_t saves = 0;
@@ -197,10 +197,10 @@
       {"saves", saves},
       {"prompt_tokens", request.Head.PromptTokens},
       {"sourced_tokens", sourced},
-      {"tokens_before", order.TokensBefore},
-      {"held_before", order.HeldBefore},
-      {"tokens_per_ms", order.TokensPerMs},
-      {"predicted_first_byte_ms", order.FirstTokenMs},
+      {"tokens_before", order.TokensAhead},
+      {"held_before", order.RunningTokens},
+      {"tokens_per_ms", order.PrefillTokensPerMs},
+      {"predicted_first_byte_ms", order.PredictedFirstTokenMs},
       {"fetch_excess_ms", order.FetchExcessMs},
       {"time_left_ms", millisecondsOf(order.TimeLeft)},
       {"config_version", State.catalog()->Config->config().Version}};
@@ -239,14 +239,14 @@
   if (Flow.isEnded() || attempt != Flow.attempts())
     return;
   TimePoint now = monotonicNow();
-  direct::ServerHead head = State.WireProtocol.ReadServer(status, headers);
+  direct::ServerHead head = State.WireProtocol.ReadServerHead(status, headers);
   applyServerSignals(head, now);
   if (!head.WasNotRun) {
     FirstByteAt = now;
     State.Loads.onFirstByte(Order.server(), Order.QueuedTokens, now);
     observeLink(now);
-    State.PrefillRates.observe(Flow.request().Service, Order.UnreadTokens,
-                               Order.TokensBefore, now - SentAt);
+    State.PrefillRates.observe(Flow.request().Service, Order.PrefillTokens,
+                               Order.TokensAhead, now - SentAt);
   }
   Flow.onHead(attempt, head, now);
 }
@@ -256,7 +256,7 @@
   // Another instance may have answered, one that started after this one ended.
   if (head.Status == net::StatusMisdirected)
     return;
-  State.Suspects.onHeardFrom(Order.server().key(), now);
+  State.Suspects.onServerAlive(Order.server().key(), now);
   bool isRejection = head.Status == net::StatusUnavailable ||
                      head.Status == net::StatusTooManyRequests;
   if (isRejection && head.RetryAfter)
@@ -348,8 +348,9 @@
 void GatewayRequest::observeLink(TimePoint now) {
   if (Order.Sources.empty())
     return;
-  State.Links.observe(Order.SlowestSource,
-                      millisecondsOf(now - SentAt) - Order.FirstTokenMs, now);
+  State.Links.observe(
+      Order.SlowestSource,
+      millisecondsOf(now - SentAt) - Order.PredictedFirstTokenMs, now);
 }
 
 void GatewayRequest::updateEjection(const AttemptOrder &order,
@@ -378,7 +379,7 @@
 void GatewayRequest::answerError(unsigned status, const Error &reason) {
   bool isRefusal = direct::promisesNotRun(status);
   (isRefusal ? State.Stats.Refused : State.Stats.Failed).add();
-  Exchange->respond(State.WireProtocol.OwnAnswer(
+  Exchange->respond(State.WireProtocol.WriteErrorAnswer(
       status, Flow.request().Head.RequestId, reason));
   logEnd(status, isRefusal ? "refused" : "failed", reason);
 }
@@ -393,7 +394,7 @@
     if (self->Flow.isEnded())
       return;
     if (std::optional<Error> refusal = self->quarantineError(now))
-      self->Flow.onBarred(*refusal, now);
+      self->Flow.onBlocked(*refusal, now);
   });
 }
 
@@ -415,13 +416,13 @@
   bool isSuccess = outcome == "answered" && status < 500;
   DecisionLog::Fields fields{
       {"request", request.Head.RequestId},
-      {"route", request.Via.Name},
+      {"route", request.MatchedRoute.Name},
       {"organisation", request.Organisation},
       {"outcome", outcome},
       {"status", status},
       {"attempts", Flow.attempts()},
       {"took_ms", millisecondsOf(now - request.Arrived)},
-      {"target_ms", millisecondsOf(request.Via.TargetLatency)}};
+      {"target_ms", millisecondsOf(request.MatchedRoute.TargetLatency)}};
   if (FirstByteAt)
     fields["first_byte_ms"] = millisecondsOf(*FirstByteAt - request.Arrived);
   if (reason) {
--- a/src/gateway/order_driver.cpp
+++ b/src/gateway/order_driver.cpp
@@ -191,7 +191,7 @@
                              const net::HttpResponse &answer) {
   applyRequestLimit(
       State, server,
-      State.WireProtocol.ReadServer(answer.Status, answer.Headers),
+      State.WireProtocol.ReadServerHead(answer.Status, answer.Headers),
       ResponseKind::Control, monotonicNow());
 }
 
--- a/src/gateway/quarantine.cpp
+++ b/src/gateway/quarantine.cpp
@@ -54,7 +54,8 @@
     bool isNewlyKnown =
         std::exchange(AppliedRevisions[request], revision) != revision;
     if (isNewlyKnown)
-      enforceQuarantine(State, State.Suspects.onRecord(request, now), now);
+      enforceQuarantine(State, State.Suspects.onQuarantineRecord(request, now),
+                        now);
   }
   std::erase_if(AppliedRevisions, [&](const auto &it) {
     return !catalog->Quarantined.contains(it.first);
@@ -75,7 +76,7 @@
 
 void QuarantineRecords::writeMissing(TimePoint now) {
   auto catalog = State.catalog();
-  std::vector<Id128> quarantined = State.Suspects.quarantined(now);
+  std::vector<Id128> quarantined = State.Suspects.quarantinedRequests(now);
   std::erase_if(MissingSince, [&](const auto &it) {
     bool isQuarantined = std::find(quarantined.begin(), quarantined.end(),
                                    it.first) != quarantined.end();
@@ -100,8 +101,8 @@
 
 void QuarantineRecords::write(const Id128 &request) {
   IsCallPending = true;
-  Duration term =
-      std::min(State.Options.Suspects.Memory, Settings.MaxLeaseTerm);
+  Duration term = std::min(State.Options.Suspects.QuarantineDuration,
+                           Settings.MaxLeaseTerm);
   Store.GrantLease(
       term, Settings.CallTimeout,
       [self = shared_from_this(), request](const edge::KvLeaseResult &result) {
--- a/tests/direct/restart_test.cpp
+++ b/tests/direct/restart_test.cpp
@@ -70,7 +70,7 @@
   AttemptOrder order = choose(prompt("s"));
   EXPECT_EQ(order.ServerId, "e0");
   EXPECT_EQ(order.StartedMs, Second.StartedMs);
-  EXPECT_EQ(order.TokensBefore, 0);
+  EXPECT_EQ(order.TokensAhead, 0);
 }
 
 uint64_t versionOfA(const CatalogKeeper &keeper) {
