--- a/src/direct/catalog.cpp
+++ b/src/direct/catalog.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-/// Versions of one model whose naming times are kept: more than servers can be
-/// behind by, when each is in force everywhere within seconds.
+/// Desired versions that are kept per model. More than servers can lag behind,
+/// because each version is in force everywhere within seconds.
 constexpr size_t VersionsRemembered = 16;
 
-/// Deleted keys that are remembered: those of an outage of the service in a
-/// large deployment, at one server a second.
+/// Deleted keys that are kept. Covers an outage of the store in a large
+/// deployment where one server a second is replaced.
 constexpr size_t DeletionsRemembered = 2000;
 
+/// Whether both values describe servers, but different starts.
 bool isOtherStart(const RecordValue &before, const BackendServer &server) {
   const auto *known = std::get_if<BackendServer>(&before);
   return known && known->StartedMs != server.StartedMs;
@@ -118,8 +119,7 @@
   IsFirstRead = false;
   HasReadAll = true;
   HighestRevision = std::max(HighestRevision, revision);
-  // Keys that were deleted before, and that this process never knew, are not
-  // among what it passes on.
+  // This process can't pass on earlier deletions of keys that it never knew.
   DeletionsMissingTo = std::max(DeletionsMissingTo, revision);
   if (changed)
     publish(now);
@@ -135,8 +135,8 @@
   RestoredTo = upTo;
   RestoredAt = now;
   IsRestoreSettled = false;
-  // Servers that registered since the copy are absent from it like those that
-  // lapse with an outage.
+  // Servers that registered after the copy was made are missing from it. They
+  // get the same grace period as those whose records expire during an outage.
   IsStoreLost = true;
   onStoreRecovered(now);
 }
@@ -149,7 +149,7 @@
   if (eraOf(state.Record.Revision) == Era)
     return false;
   RecordKind kind = state.Subject.Kind;
-  // These are only ever replaced.
+  // Records of these kinds are only ever replaced, never deleted.
   bool isNeverDeleted =
       kind == RecordKind::Config || kind == RecordKind::Weights;
   return isNeverDeleted ||
@@ -170,7 +170,8 @@
   const auto *before = std::get_if<BackendServer>(&state.Value);
   if (!server || !before || server->StartedMs != before->StartedMs)
     return std::partial_ordering::unordered;
-  // One start neither comes back from draining nor goes back to older weights.
+  // Within one start, a server never leaves the draining state or returns to
+  // older weights.
   auto content = [](const BackendServer &it) {
     return std::tie(it.Sequence, it.IsDraining, it.Weights);
   };
@@ -199,8 +200,8 @@
         kind == RecordKind::Config || kind == RecordKind::Weights;
     return neverGoesBack || mayBeCopy;
   }
-  // Nothing tells the two apart. What the system wrote itself is taken as the
-  // service has it, as conditions on it name its revision.
+  // The values don't show which is newer. Records written by entries are taken
+  // as the store has them, because conditional writes must name their revision.
   bool isWrittenByOthers =
       kind == RecordKind::Server || kind == RecordKind::Evacuation;
   return isBefore || (mayBeCopy && isWrittenByOthers);
@@ -246,8 +247,8 @@
                 record.Revision, now);
   if (server && !isConfigured(*server))
     Hooks.Unreadable(record,
-                     {ErrorKind::BadValue, "its service or its weights are not "
-                                           "those of the configuration"},
+                     {ErrorKind::BadValue, "its service or weights do not "
+                                           "match the configuration"},
                      now);
   replaceState(record, subject, std::move(*value), now);
   return true;
@@ -296,14 +297,15 @@
 bool CatalogKeeper::mergeDeletion(KeyState &state, uint64_t revision,
                                   TimePoint now) {
   state.Record.Revision = revision;
-  // Also of an evacuation that this process never knew.
+  // The deletion of an evacuation matters even if this process never saw the
+  // evacuation itself.
   bool endsEvacuation = state.Subject.Kind == RecordKind::Evacuation;
   if (endsEvacuation)
     EvacuationEnds[state.Subject.Name] = {now, revision};
   if (std::exchange(state.Record.IsDeleted, true))
     return endsEvacuation;
   state.Record.Value.clear();
-  // The configuration is never deleted; a store that says so is not believed.
+  // The configuration is never deleted, so a deletion of it is ignored.
   if (state.Subject.Kind == RecordKind::Config)
     return false;
   const auto *server = std::get_if<BackendServer>(&state.Value);
--- a/src/direct/catalog.h
+++ b/src/direct/catalog.h
@@ -1,5 +1,6 @@
-/// What an entry believes of configuration and backend servers at one moment,
-/// and the one place that changes it.
+/// The catalog: an entry's view of the configuration, the backend servers and
+/// the other records of the key-value service ("the store" in the names below).
+/// CatalogKeeper merges records into it; readers use immutable snapshots.
 #pragma once
 
 #include "base/rcu.h"
@@ -17,240 +18,268 @@
 
 namespace daisytack::direct {
 
-/// Stands for whoever has the right to give orders under a record that can't be
-/// read: its key is taken all the same.
+/// Catalog::Holder when the record of the order lease exists but can't be
+/// decoded: the lease is taken, by an unknown entry.
 constexpr std::string_view UnknownHolder = "(unknown)";
 
-/// A desired version, and when this process first heard of it.
+/// A desired version of a model's weights, and when this process learned of it.
 struct DesiredVersion {
   uint64_t Version = 0;
   TimePoint Since;
 };
 
-/// Immutable; readers keep the one that they started with.
+/// One immutable snapshot.
 struct Catalog {
   std::shared_ptr<const ConfigIndex> Config; ///< Null until it is known.
-  uint64_t ConfigRevision = 0;
-  /// Servers that take new requests, sorted by id, by service. Only those of
-  /// services that the configuration names, in domains that are not evacuated.
+  uint64_t ConfigRevision = 0; ///< Revision of the configuration's record.
+  /// By service name: the servers that take new requests, sorted by id. Only
+  /// servers of configured services, in failure domains that are not evacuated.
   std::map<std::string, std::vector<BackendServer>, std::less<>> Servers;
-  /// All servers that are known, draining ones too, sorted by id.
+  /// All usable servers, including draining ones and those in evacuated
+  /// domains, sorted by id.
   std::vector<BackendServer> AllServers;
-  /// Weights of servers that were in use until their record was overwritten by
-  /// one that names none: they may run on, and other entries not know it yet.
+  /// Last known weights of servers whose current record can't be decoded or
+  /// doesn't match the configuration. Such a server may still be running, and
+  /// other entries may still send requests to it.
   std::vector<ModelVersion> LastKnownWeights;
-  /// By model, in the order in which they were named; each keeps its own time.
+  /// By model: the desired versions in increasing order, the newest last. Each
+  /// keeps the time at which it became known.
   std::map<std::string, std::vector<DesiredVersion>, std::less<>>
       DesiredVersions;
-  std::vector<EntryPeer> Entries; ///< This process too, once it is listed.
-  /// Addresses that are registered, with the revision of each record.
+  /// Announced entries, including this process once its record is known.
+  std::vector<EntryPeer> Entries;
+  /// Registered entry addresses, with the revision of each record.
   std::map<Endpoint, uint64_t> Registered;
-  /// Differs from that of the catalog before when other addresses are.
+  /// Incremented whenever the set of registered addresses changes.
   uint64_t RegisteredVersion = 0;
-  /// Entry that may give orders; empty when none may, UnknownHolder when the
-  /// record can't be read.
+  /// Name of the entry that holds the order lease; empty when nobody does,
+  /// UnknownHolder when the record can't be decoded.
   std::string Holder;
-  Endpoint HolderPeer;         ///< Port 0: not known.
-  uint64_t HolderRevision = 0; ///< Of that record; 0: there is none.
-  /// All that is retired: for good, also where the service came back from a
-  /// copy that says less.
+  Endpoint HolderPeer;         ///< The holder's address; port 0: not known.
+  uint64_t HolderRevision = 0; ///< Revision of the record; 0: no record.
+  /// Everything that was ever retired. A retirement is permanent: it stays in
+  /// force even if the store is restored from a copy that lacks it.
   std::vector<Retirement> Retired;
-  std::vector<Retirement> RetiredInRecord; ///< What the record says.
-  uint64_t RetiredRecordRevision = 0;      ///< Of it; 0: there is none.
-  bool IsRetiredRecordReadable = true;
-  /// Requests that are quarantined, with the revision of each record.
+  std::vector<Retirement> RetiredInRecord; ///< Contents of the store's record.
+  uint64_t RetiredRecordRevision = 0;      ///< Its revision; 0: no record.
+  bool IsRetiredRecordReadable = true;     ///< Whether the record was decoded.
+  /// Quarantined requests, with the revision of each record.
   std::map<Id128, uint64_t> Quarantined;
-  /// Failure domains whose servers get nothing.
+  /// Failure domains whose servers get no requests.
   std::set<std::string, std::less<>> Evacuated;
-  /// Neither the service nor another entry tells what servers write: any of
-  /// them may have become cold.
+  /// Neither the store nor another entry supplies updates at present. Any
+  /// server may have restarted and be cold without this entry knowing.
   bool AreRecordsStale = false;
-  /// Of the service (direct/revision.h), and since when this process has known
-  /// of it.
-  uint64_t Era = 0;
-  TimePoint EraSince;
-  /// When this process learned that the service came back from an older copy;
-  /// nothing where it has not seen that.
+  uint64_t Era = 0;   ///< Era of the store (direct/revision.h); 0: not known.
+  TimePoint EraSince; ///< When this process learned of the era.
+  /// When this process learned that the store was restored from an older copy;
+  /// empty if no restore was seen.
   std::optional<TimePoint> RestoredAt;
 
+  /// Servers of the service that take new requests; empty if it has none.
   const std::vector<BackendServer> &serversOf(std::string_view service) const;
-  /// The entry of that name is announced at that address.
+  /// Whether an entry with this name is announced at this address.
   bool isAnnounced(std::string_view name, const Endpoint &peer) const;
-  /// The oldest version of weights that a server may still run on; nothing when
-  /// no server has any.
+  /// The oldest version of weights that any server may still use; empty if no
+  /// server has weights.
   std::optional<uint64_t> oldestVersion() const;
-  /// The newest version that is wanted of the model; 0 when none was named.
+  /// The newest desired version of the model; 0 if none is known.
   uint64_t desiredVersion(std::string_view model) const;
-  /// Since when a newer version than this one has been wanted.
+  /// When the first version newer than this one became desired; empty if this
+  /// version is up to date.
   std::optional<TimePoint> behindSince(std::string_view model,
                                        uint64_t version) const;
 };
 
-/// Where servers have started that the earlier catalog did not know of, as far
-/// as they tell when they started. Connections that were kept to these
-/// addresses are to whatever was there before.
+/// Addresses of server starts that are in the second catalog but not in the
+/// first. Connections that are kept open to these addresses belong to an
+/// earlier process. Servers that report no start time are left out.
 std::vector<Endpoint> addressesOfNewStarts(const Catalog &before,
                                            const Catalog &after);
 
+/// Timing of CatalogKeeper.
 struct CatalogSettings {
-  /// After the store's return, a server whose entry lapsed meanwhile is kept so
-  /// long: the platform promises living ones back in about two seconds.
+  /// How long a server whose record expired during an outage of the store is
+  /// kept after the store's recovery. The platform promises that running
+  /// servers register again within about two seconds.
   Duration ExpiryGrace{2'000'000};
-  /// A desired version that is found at the first read may be as old as this:
-  /// a third of the time in which it must be in force. Counted from the start
-  /// of the process, a restart in the middle would double that time.
+  /// Assumed age of a desired version that is found at the first read: a third
+  /// of the time within which it must be in force. Counting from the start of
+  /// the process instead would let a restart double that time.
   Duration AgeAtFirstRead{5'000'000};
-  /// After the service came back from an older copy, what was known before
-  /// holds against the copy for so long: the operator and the servers write
-  /// anew what they wrote since. Then the service is believed.
+  /// After a restore of the store, how long the state known before takes
+  /// precedence over the restored copy, while the operator and the servers
+  /// write again what the copy lacks. After that the store is authoritative.
   Duration RestoreGrace{3'000'000};
   bool operator==(const CatalogSettings &) const = default;
 };
 
 /// Hooks to the store's format and to the log.
 struct CatalogHooks {
+  /// What a key of the store is about.
   std::function<RecordSubject(std::string_view key)> SubjectOf;
-  /// Nothing, with the reason, when the value can't be read.
+  /// Decodes a record. On failure returns nothing and sets the reason.
   std::function<std::optional<RecordValue>(const StoreRecord &, Error &reason)>
       Decode;
-  /// A belief changed: its subject, how, and the store's revision.
+  /// Called when a record is added, changed or removed. The change is "new",
+  /// "changed", "restarted", "lapsed" or "gone"; the revision is the store's.
   std::function<void(const RecordSubject &, std::string_view change,
                      uint64_t revision, TimePoint now)>
       Changed;
-  /// A record that can't be read, or names a service that isn't configured;
-  /// once for each revision.
+  /// Called once per revision of a record that can't be decoded, or of a server
+  /// that doesn't match the configuration.
   std::function<void(const StoreRecord &, const Error &, TimePoint now)>
       Unreadable;
 };
 
-/// Merges records into the catalog and publishes it. One thread at a time calls
-/// the commands; view() is thread-safe.
+/// Merges records into the catalog and publishes it. view() and published() are
+/// thread-safe; the other members are called by one thread at a time.
 class CatalogKeeper {
 public:
   CatalogKeeper(CatalogSettings settings, CatalogHooks hooks);
 
-  /// Records from the store or from another entry. Older ones than those known
-  /// have no effect.
+  /// Merges records from the store or from another entry. Records older than
+  /// the known ones have no effect.
   void apply(const std::vector<StoreRecord> &records, TimePoint now);
-  /// Everything that the store holds at the revision: keys that are not among
-  /// the records and not newer are gone.
+  /// Merges the complete contents of the store at the revision. Known keys that
+  /// are missing from the records and not newer than the revision are deleted.
   void applyAll(const std::vector<StoreRecord> &records, uint64_t revision,
                 TimePoint now);
-  /// The service has come back from an older copy, and what it holds up to the
-  /// revision may be the copy's. Has no effect for an era that is known.
+  /// The store was restored from an older copy; its records up to the revision
+  /// may come from that copy. Has no effect if the revision's era is known.
   void onRestored(uint64_t upTo, TimePoint now);
-  /// What the service holds up to this revision may be a copy's; 0 where it has
-  /// not come back from one.
+  /// Records of the store up to this revision may come from a restored copy; 0
+  /// if no restore was seen.
   uint64_t restoredTo() const { return RestoredTo; }
-  /// The grace after a restore is over, and all is to be read once more.
+  /// Whether the grace period after a restore is over, so that the whole store
+  /// must be read again.
   bool needsReread(TimePoint now) const;
-  /// A start of a server has a newer version of its weights than its record
-  /// says. Has no effect on any other start, which has what its record says.
+  /// A server has loaded newer weights than its record says. Applies to this
+  /// start of the server only.
   void noteLoaded(const ServerStart &server, const ModelVersion &loaded,
                   TimePoint now);
-  /// The store stopped answering, or answers again.
+  /// The store stopped answering.
   void onStoreLost();
+  /// The store answers again.
   void onStoreRecovered(TimePoint now);
-  /// Whether neither the store nor another entry tells what servers write.
-  /// Lost, the store counts as silent until this says otherwise.
+  /// Sets Catalog::AreRecordsStale. onStoreLost() sets it too, until this call
+  /// or the store's recovery clears it.
   void setStale(bool isStale);
-  /// How much longer servers that lapse with an outage are kept; 0 when none
-  /// do.
+  /// How much longer servers whose records expired during an outage are kept; 0
+  /// if no such grace period is running.
   Duration graceLeft(TimePoint now) const;
-  /// Another entry, which saw an outage that this one may not have seen, keeps
-  /// them for so much longer.
+  /// Another entry keeps such servers for this much longer. This entry may not
+  /// have seen the outage itself.
   void onPeerGrace(Duration left, TimePoint now);
-  /// Drops servers whose grace is over. Call a few times a second.
+  /// Drops servers whose grace period is over. Call a few times a second.
   void onTimer(TimePoint now);
 
   std::shared_ptr<const Catalog> view() const { return Published.load(); }
   const Rcu<Catalog> &published() const { return Published; }
   /// Highest revision merged so far.
   uint64_t revision() const { return HighestRevision; }
-  /// Records that are newer than the revision, for another entry.
+  /// Records newer than the revision, including deletions, for another entry.
   std::vector<StoreRecord> recordsSince(uint64_t revision) const;
-  /// Deletions up to this revision may be missing among them.
+  /// Deletions up to this revision may be missing from recordsSince().
   uint64_t deletionsMissingTo() const { return DeletionsMissingTo; }
 
 private:
+  /// The newest known record of a key, and what was derived from it.
   struct KeyState {
     StoreRecord Record;
     RecordSubject Subject;
-    RecordValue Value; ///< Nothing when the record can't be read.
-    /// Of the newest record that named a server in use, until it is deleted.
+    /// Decoded value. If the newest record can't be decoded: empty for a
+    /// server, the last value that could be decoded for any other kind. Always
+    /// empty for the configuration, which CatalogKeeper::Config holds.
+    RecordValue Value;
+    /// Weights in the newest record that described a usable server. Not carried
+    /// over across a deletion.
     std::vector<ModelVersion> LastUsableWeights;
-    /// Deleted while the store was away: still counts until then.
+    /// Set if the record expired during an outage: the server counts as present
+    /// until then.
     std::optional<TimePoint> KeptUntil;
     TimePoint ReadAt; ///< When this process read the record.
   };
-  /// The last end of a domain's evacuation.
+  /// The most recent end of a failure domain's evacuation.
   struct EvacuationEnd {
     TimePoint At;
     uint64_t Revision = 0;
   };
 
+  /// Merges one record and returns whether the catalog changed.
   bool merge(const StoreRecord &record, TimePoint now);
-  /// Whether what is known of the key is newer than the record.
+  /// Whether the known state of the key takes precedence over the record.
   bool isOutdated(const StoreRecord &record, const KeyState &state,
                   TimePoint now) const;
-  /// How the value compares by its own count of versions with what is known of
-  /// the key, whatever their revisions; unordered where it has none.
+  /// Compares the value with the known state of the key by the version numbers
+  /// inside the values, regardless of their revisions. Unordered if the values
+  /// have no comparable versions.
   std::partial_ordering compareContent(const KeyState &state,
                                        const RecordValue &value) const;
-  /// What is known of the key holds though the service, back from an older
-  /// copy, does not have it.
+  /// Whether the known state of the key stays in force although the store,
+  /// after a restore, lacks the key.
   bool outlastsRestore(const KeyState &state) const;
-  /// Holds the record, in place of the one before.
+  /// Replaces the known state of the record's key.
   void replaceState(const StoreRecord &record, const RecordSubject &subject,
                     RecordValue value, TimePoint now);
-  /// It names no server: the one that its key named before is out of use. All
-  /// else stays in force, as only its writer, or its end, can take it back: an
-  /// entry that is not listed would not be asked before context is freed.
+  /// Merges a record that can't be decoded. A server is taken out of use. For
+  /// any other kind the previous value stays in force until the record is
+  /// rewritten or deleted: dropping an entry, for example, would let context be
+  /// freed without its agreement.
   bool mergeUnreadable(const StoreRecord &record, const RecordSubject &subject,
                        const Error &reason, TimePoint now);
+  /// Marks the key as deleted and returns whether the catalog changed.
   bool mergeDeletion(KeyState &state, uint64_t revision, TimePoint now);
   void publish(TimePoint now);
   void noteDesiredVersion(const ModelVersion &desired, TimePoint since);
-  /// Whether the configuration names its service, and an engine its weights.
-  /// Without a configuration every server counts.
+  /// Whether the configuration has the server's service and, for an engine, the
+  /// server has weights of all configured models. True while no configuration
+  /// is known.
   bool isConfigured(const BackendServer &server) const;
-  /// Drops notes of versions that the server's record now says itself, so that
-  /// a later record with older weights is believed, and those of other starts.
+  /// Drops the server's noted version once its record has reached it, so that a
+  /// later record with older weights takes effect. After a restart also drops
+  /// notes of other starts.
   void dropOutdatedNotes(const BackendServer &server, bool isRestart);
-  /// The server with the versions that were noted ahead of its record.
+  /// A copy of the server, raised to the version noted ahead of its record.
   BackendServer withNotedVersions(const BackendServer &server) const;
-  /// Until when the server counts as cold: for as long as its record said, from
-  /// when it was read, as the time on its way is not known. After an evacuation
-  /// servers are cold, and a record says so up to a heartbeat later.
+  /// Until when the server counts as cold. The remaining time in its record is
+  /// counted from when the record was read, because the record's transit time
+  /// is unknown. Servers are also cold after an evacuation, which their records
+  /// reflect only up to one heartbeat later.
   TimePoint coldUntil(const KeyState &state, const BackendServer &server) const;
-  /// Adds the server to the lists that it belongs to.
+  /// Adds the server to AllServers and, if it takes requests, to Servers.
   void addToLists(BackendServer server, Catalog &to) const;
+  /// Whether servers whose records expire now are kept for ExpiryGrace.
   bool isInGrace(TimePoint now) const;
-  /// Deletions are kept only so that entries can pass them on.
+  /// Drops the oldest deletions when too many are kept. Deletions are kept only
+  /// to be passed on to other entries.
   void dropOldDeletions();
 
   CatalogSettings Settings;
   CatalogHooks Hooks;
-  std::map<std::string, KeyState> Known; ///< By key; deleted ones too.
+  std::map<std::string, KeyState> Known; ///< By key, including deleted keys.
   std::shared_ptr<const ConfigIndex> Config;
   uint64_t ConfigRevision = 0;
   std::map<std::string, std::vector<DesiredVersion>, std::less<>>
       DesiredVersions;
-  /// Noted ahead of records.
+  /// Versions that servers have loaded ahead of their records; see
+  /// noteLoaded().
   std::map<ServerStart, ModelVersion> NotedVersions;
   std::map<std::string, EvacuationEnd, std::less<>>
       EvacuationEnds; ///< By failure domain.
   uint64_t HighestRevision = 0;
   uint64_t DeletionsMissingTo = 0;
-  bool HasReadAll = false;
-  bool IsFirstRead = false; ///< While the first read is merged.
-  /// Everything that was retired in what this process has read.
+  bool HasReadAll = false;  ///< Whether applyAll() was ever called.
+  bool IsFirstRead = false; ///< Set while the first read is being merged.
+  /// Union of all retirements that this process has read.
   std::vector<Retirement> EverRetired;
   uint64_t Era = 0;
   TimePoint EraSince;
   uint64_t RestoredTo = 0;
   std::optional<TimePoint> RestoredAt;
-  bool IsRestoreSettled = true; ///< Nothing is held against a copy.
+  /// False from a restore until the store has been read again after the grace
+  /// period.
+  bool IsRestoreSettled = true;
   bool IsStoreLost = false;
   bool IsStale = false;
   std::optional<TimePoint> StoreRecoveredAt;
--- a/src/direct/records.h
+++ b/src/direct/records.h
@@ -1,6 +1,6 @@
-/// What the platform's store says, decoded: typed facts, each with the revision
-/// at which the store holds it. The revision orders two facts of the same
-/// subject, whoever tells them and however often.
+/// Records of the platform's key-value service ("the store"), raw and decoded.
+/// The revision of a record orders it among the records of the same key,
+/// regardless of which process passes it on and how often.
 #pragma once
 
 #include "direct/server_start.h"
@@ -13,34 +13,36 @@
 
 namespace daisytack::direct {
 
+/// A version of a model's weights.
 struct ModelVersion {
   std::string Model;
   uint64_t Version = 0;
   auto operator<=>(const ModelVersion &) const = default;
 };
 
-/// One start of a backend server, as its record describes it. A restart is
-/// another one, under the same id or another.
+/// One start of a backend server, as described by its record. A restarted
+/// server is another BackendServer, under the same id or a different one.
 struct BackendServer {
   std::string Id;
   std::string Service;
   Endpoint Address;
   std::string FailureDomain;
-  uint32_t Slots = 1;
+  uint32_t Slots = 1; ///< Requests that run at once.
   bool IsDraining = false;
-  std::vector<ModelVersion> Weights; ///< That it has loaded.
-  uint64_t StartedMs = 0;            ///< See ServerStart.
-  /// Rises with what this start writes of itself; may stay the same.
+  std::vector<ModelVersion> Weights; ///< Loaded weights; empty: none.
+  uint64_t StartedMs = 0;            ///< See ServerStart; 0: not reported.
+  /// Never decreases over the records that one start writes; successive records
+  /// may have the same number.
   uint64_t Sequence = 0;
-  /// How much longer it was cold when it wrote the record.
+  /// How much longer the server was going to be cold when it wrote the record.
   Duration ColdFor{0};
-  /// Until when it counts as cold; the catalog sets it.
+  /// Until when the server counts as cold. Set by the catalog, not stored.
   TimePoint ColdUntil{};
   auto operator<=>(const BackendServer &) const = default;
 
   ServerRef ref() const { return {Id, StartedMs}; }
 
-  /// 0 when the server does not have the model.
+  /// The loaded version of the model; 0 if the server does not have the model.
   uint64_t versionOf(std::string_view model) const {
     for (const ModelVersion &it : Weights)
       if (it.Model == model)
@@ -49,63 +51,68 @@
   }
 };
 
-/// An entry process of this system.
+/// The announcement of an entry process. The record expires with its lease.
 struct EntryPeer {
   std::string Name;
-  Endpoint Peer;               ///< Where it answers other entries.
-  std::string FailureDomain{}; ///< Empty in records that don't name it.
+  Endpoint Peer;               ///< Address for messages from other entries.
+  std::string FailureDomain{}; ///< Empty if the record doesn't name it.
   auto operator<=>(const EntryPeer &) const = default;
 };
 
-/// An address at which a process may name stores as sources. Written with each
-/// announcement of an entry, it outlasts the lease of that.
+/// The registration of an entry's address. A process at this address may name
+/// context stores as sources. Written with each announcement; has no lease, so
+/// it remains after the announcement has expired.
 struct EntryRegistration {
   Endpoint Peer;
   auto operator<=>(const EntryRegistration &) const = default;
 };
 
-/// The operator wants the model's servers on this version of the weights.
+/// The version of a model's weights that the operator wants on its servers.
 struct DesiredWeights {
   ModelVersion Wanted;
   auto operator<=>(const DesiredWeights &) const = default;
 };
 
-/// The one entry that may give orders to servers and free kept context, and
-/// its instance: another one may bear its name later.
+/// The holder of the order lease: the one entry that may send orders to backend
+/// servers and free kept context. The address identifies its instance, because
+/// the same name may later be used on another instance.
 struct OrderLeaseHolder {
-  std::string Entry;
-  Endpoint Peer{}; ///< Port 0 in records that don't name it.
+  std::string Entry; ///< Name of the entry.
+  Endpoint Peer{};   ///< Port 0 if the record doesn't name it.
   auto operator<=>(const OrderLeaseHolder &) const = default;
 };
 
-/// Kept context that is not named as a source any more: of weights before a
-/// version.
+/// Kept context that must not be named as a source any more, so that it can be
+/// freed: a share of the prompt parts computed with old weights.
 struct Retirement {
-  uint64_t BelowVersion = 0;
-  double Share = 0; ///< Of the parts, the same ones in every process.
+  uint64_t BelowVersion = 0; ///< Covers weights older than this version.
+  /// Fraction of the parts, from 0 to 1. Every process selects the same parts.
+  double Share = 0;
   auto operator<=>(const Retirement &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(BelowVersion, Share);
   }
 
+  /// Whether this part of the context scope is covered.
   bool covers(std::string_view scope, std::string_view part) const;
 };
 
-/// All that is retired, for good: each record covers those before it.
+/// All retired context. Retirement is permanent: each new record covers
+/// everything in the previous one.
 struct RetiredContext {
   std::vector<Retirement> Retirements;
   auto operator<=>(const RetiredContext &) const = default;
 };
 
-/// A request that is not passed on, as servers ended under it; the record goes
-/// with its lease.
+/// A request that is not forwarded because backend servers crashed while
+/// running it. The record expires with its lease.
 struct QuarantinedRequest {
-  Id128 Request; ///< requestIdentity
+  Id128 Request; ///< From requestIdentity().
   auto operator<=>(const QuarantinedRequest &) const = default;
 };
 
-/// Nothing is to be sent to the servers of a failure domain, for as long as the
-/// operator's record stands. The key names the domain, the value says nothing.
+/// A failure domain whose servers get no requests while the operator's record
+/// exists. The key names the domain; the value carries no data.
 struct EvacuatedDomain {
   std::string FailureDomain;
   auto operator<=>(const EvacuatedDomain &) const = default;
@@ -115,33 +122,37 @@
 enum class RecordKind : uint8_t {
   Config,
   Server,
-  Weights,
-  Entry,
-  Registration, ///< Of an entry's address.
-  Holder,       ///< Of the right to give orders.
-  Retired,
-  Quarantine, ///< Of a request.
-  Evacuation, ///< Of a failure domain.
-  Other
+  Weights,      ///< Desired weights of a model.
+  Entry,        ///< Announcement of an entry.
+  Registration, ///< Registration of an entry's address.
+  Holder,       ///< Holder of the order lease.
+  Retired,      ///< Retired context.
+  Quarantine,   ///< Quarantine of a request.
+  Evacuation,   ///< Evacuation of a failure domain.
+  Other         ///< Anything else, which the catalog ignores.
 };
 
+/// What a key of the store is about.
 struct RecordSubject {
   RecordKind Kind = RecordKind::Other;
-  std::string Name; ///< Server id, model, entry, failure domain; else empty.
+  /// The rest of the key: server id, model, entry name, address, request or
+  /// failure domain. Empty for kinds with a single key.
+  std::string Name;
   auto operator<=>(const RecordSubject &) const = default;
 };
 
+/// The decoded value of a record; std::monostate if it could not be decoded.
 using RecordValue =
     std::variant<std::monostate, ServingConfig, BackendServer, DesiredWeights,
                  EntryPeer, OrderLeaseHolder, RetiredContext, EntryRegistration,
                  QuarantinedRequest, EvacuatedDomain>;
 
-/// One key of the store as it was read: opaque to all but the decoder, so that
-/// entries can pass it on as it is.
+/// One key of the store with its raw value. Only the decoder interprets the
+/// value, so entries can pass records on unchanged.
 struct StoreRecord {
   std::string Key;
-  std::string Value;
-  uint64_t Revision = 0;
+  std::string Value;     ///< Empty for a deletion.
+  uint64_t Revision = 0; ///< Monotonic revision (direct/revision.h).
   bool IsDeleted = false;
   auto operator<=>(const StoreRecord &) const = default;
   template <class Archive> void serialize(Archive &ar) {
--- a/src/direct/revision.h
+++ b/src/direct/revision.h
@@ -1,29 +1,32 @@
-/// Revisions of the key-value service that rise for good.
+/// Revisions of the key-value service that stay monotonic across restores.
 ///
-/// When the service comes back from an older copy of itself, it counts on from
-/// the copy and gives revisions out again, in a later era. A lasting revision
-/// holds the era above the service's own count, so that whatever was written in
-/// a later era is above all of an earlier one, and whoever compares two of them
-/// need not know of eras.
+/// When the service is restored from an older copy, it continues counting from
+/// the copy's revision and so issues the same numbers again. Each restore
+/// begins a new era. A monotonic revision has the era in its high bits and the
+/// service's own count in the low bits: every revision of a later era is
+/// greater than all earlier ones, so comparisons need not consider eras.
 #pragma once
 
 #include <cstdint>
 
 namespace daisytack::direct {
 
-/// Bits of the service's own count: at 1,000 writes a second, 34 years.
+/// Bits for the service's own count: enough for 34 years at 1,000 writes a
+/// second.
 constexpr unsigned RevisionBits = 40;
 
-/// 0, which stands for no revision, stays 0.
+/// Combines an era with the service's own count. Count 0 means "no revision"
+/// and gives 0 in every era.
 constexpr uint64_t monotonicRevision(uint64_t era, uint64_t revision) {
   return revision == 0 ? 0 : (era << RevisionBits) | revision;
 }
 
+/// The era in a monotonic revision.
 constexpr uint64_t eraOf(uint64_t monotonic) {
   return monotonic >> RevisionBits;
 }
 
-/// The service's own count.
+/// The service's own count in a monotonic revision.
 constexpr uint64_t countInEra(uint64_t monotonic) {
   return monotonic & ((uint64_t{1} << RevisionBits) - 1);
 }
--- a/src/direct/server_start.h
+++ b/src/direct/server_start.h
@@ -1,13 +1,12 @@
-/// Which start of a backend server is meant.
+/// Identifies one start of a backend server.
 ///
-/// A server may start again under the id that it had, and then holds and knows
-/// nothing of before. So whatever is believed of a server is believed of one of
-/// its starts: loads, failures, orders and weights of another one never count
-/// for it, however late they are heard of.
+/// A server may restart under the same id and then has lost its earlier state.
+/// Loads, failures, orders and weights are therefore tracked per start: reports
+/// on another start never affect the current one, however late they arrive.
 ///
-/// The time of the start only tells starts apart. Which one is in force is said
-/// by the order of the records alone: a clock that was set back would otherwise
-/// keep a server out of use for good.
+/// The start time only tells starts apart. The newest record decides which
+/// start is current; comparing start times would keep a server out of use for
+/// good if its clock were set back.
 #pragma once
 
 #include "direct/rendezvous.h"
@@ -19,15 +18,16 @@
 
 namespace daisytack::direct {
 
-/// One start of a server, as entries tell one another.
+/// One start of a server, as sent between entries.
 struct ServerStart {
   std::string Id;
-  uint64_t StartedMs = 0; ///< Unix time by the server's clock, in ms.
+  /// Start time by the server's clock, Unix time in milliseconds; 0: not known.
+  uint64_t StartedMs = 0;
   auto operator<=>(const ServerStart &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(Id, StartedMs); }
 };
 
-/// The same for the time of a call, without a copy of the id.
+/// A non-owning ServerStart, for function arguments.
 struct ServerRef {
   std::string_view Id;
   uint64_t StartedMs = 0;
@@ -39,7 +39,7 @@
   ServerRef(const ServerStart &start)
       : Id(start.Id), StartedMs(start.StartedMs) {}
 
-  /// The same in every process; differs between two starts.
+  /// Hash of the start that is the same in every process.
   uint64_t key() const { return stableHash(Id, StartedMs); }
   ServerStart start() const { return {std::string(Id), StartedMs}; }
 };
--- a/tests/direct/catalog_fixture.h
+++ b/tests/direct/catalog_fixture.h
@@ -1,4 +1,4 @@
-/// A catalog over records whose values are plain text.
+/// Catalog hooks for test records whose keys and values are plain text.
 #pragma once
 
 #include "direct/catalog.h"
@@ -31,12 +31,18 @@
   return {key == "config" ? RecordKind::Config : RecordKind::Other, ""};
 }
 
-/// "server:NAME=VERSION", with "!" at the end for one that drains, and "@OTHER"
-/// for one of the service OTHER; version 0 for one without weights; "#TIME" for
-/// one that started then.
-/// "weights:MODEL=VERSION"; "config=VERSION" names the service "service" and
-/// the service of engines "engines", "config=VERSION@OTHER" a third one;
-/// "entry:NAME"; "holder". Any value may be "bad".
+/// Hooks that decode records written as KEY=VALUE below, and append changes and
+/// unreadable records to the log:
+/// - "server:ID=VERSION": a server with this version of the weights of "model";
+///   0 for none. Suffixes: "!" for draining, "@SERVICE" for a service other
+///   than "service", "#TIME" for the start time.
+/// - "weights:MODEL=VERSION": the desired version.
+/// - "config=VERSION": a configuration with the services "service" and
+///   "engines"; the latter has engines. The suffix "@SERVICE" adds a third
+///   service.
+/// - "entry:NAME" with any value, "holder=NAME".
+///
+/// The value "bad" can't be decoded under any key.
 inline CatalogHooks textHooks(std::vector<std::string> *log = nullptr) {
   CatalogHooks out;
   out.SubjectOf = textSubject;
@@ -97,6 +103,7 @@
   return {std::move(key), "", revision, true};
 }
 
+/// Ids of the servers of "service" that take new requests.
 inline std::vector<std::string> idsOf(const CatalogKeeper &keeper) {
   std::vector<std::string> out;
   for (const BackendServer &it : keeper.view()->serversOf("service"))
--- a/tests/direct/catalog_test.cpp
+++ b/tests/direct/catalog_test.cpp
@@ -68,7 +68,8 @@
   CatalogKeeper keeper({2s}, textHooks());
   keeper.apply({put("server:a", "1", 1)}, Start);
   keeper.onStoreLost();
-  keeper.apply({deletion("server:a", 5)}, Start + 1s); // From another entry.
+  // Received from another entry.
+  keeper.apply({deletion("server:a", 5)}, Start + 1s);
   keeper.onTimer(Start + 60s);
   EXPECT_EQ(idsOf(keeper), Ids{"a"});
   keeper.onStoreRecovered(Start + 60s);
@@ -94,8 +95,8 @@
   EXPECT_EQ(idsOf(keeper), Ids{"b"});
 }
 
-/// A process that starts can't tell how long a version has been wanted; counted
-/// from its start, old weights would be used for twice the time allowed.
+/// A new process can't tell how long a version has been desired. If it counted
+/// from its own start, old weights would be used for twice the allowed time.
 TEST(CatalogKeeper, AssumesThatAVersionFoundAtTheFirstReadIsOld) {
   CatalogKeeper keeper({}, textHooks());
   keeper.applyAll({{"weights:model", "2", 7, false}}, 7, Start);
@@ -122,7 +123,7 @@
   keeper.apply({put("server:a", "1", 1)}, Start);
   keeper.noteLoaded({"a", 0}, {"model", 2}, Start);
   EXPECT_EQ(keeper.view()->serversOf("service")[0].versionOf("model"), 2);
-  keeper.apply({put("server:a", "1", 2)}, Start); // A record that lags behind.
+  keeper.apply({put("server:a", "1", 2)}, Start); // An outdated record.
   EXPECT_EQ(keeper.view()->serversOf("service")[0].versionOf("model"), 2);
   keeper.apply({put("server:a", "3", 3)}, Start);
   EXPECT_EQ(keeper.view()->serversOf("service")[0].versionOf("model"), 3);
@@ -153,13 +154,14 @@
   EXPECT_EQ(second.revision(), first.revision());
 }
 
-/// An entry that was cut off heard from one that had just started: of a server
-/// that had gone in between it never heard.
+/// Guards against: an entry that was cut off from the store asked an entry that
+/// had just started, and never learned that a server had left in between.
 TEST(CatalogKeeper, ReportsUpToWhereDeletionsMayBeMissing) {
   CatalogKeeper keeper({}, textHooks());
   EXPECT_EQ(keeper.deletionsMissingTo(), 0);
   keeper.applyAll({put("server:a", "1", 5)}, 20, Start);
-  EXPECT_EQ(keeper.deletionsMissingTo(), 20) << "what went before was not read";
+  EXPECT_EQ(keeper.deletionsMissingTo(), 20)
+      << "earlier deletions were not read";
   keeper.apply({deletion("server:a", 25)}, Start);
   EXPECT_EQ(keeper.deletionsMissingTo(), 20);
   std::vector<StoreRecord> many;
@@ -172,8 +174,8 @@
   EXPECT_LT(keeper.deletionsMissingTo(), 5099);
 }
 
-/// An entry that others tell what the service holds may miss an outage that
-/// they saw; the records that lapsed in it are told to it as gone.
+/// An entry that follows readers may not see an outage of the store that they
+/// saw. They pass the records that expired in it on as deleted.
 TEST(CatalogKeeper, KeepsServersThatExpiredInAnOutageThatOthersSaw) {
   CatalogSettings settings;
   CatalogKeeper reader(settings, textHooks());
@@ -194,8 +196,8 @@
   EXPECT_EQ(keeper.graceLeft(Start + 9s), Duration(0));
 }
 
-/// Records may come in any order, repeated, from anywhere: what is believed in
-/// the end depends on the newest record of each key alone.
+/// Records may arrive in any order, repeatedly and from any source. The final
+/// state depends only on the newest record of each key.
 RC_GTEST_PROP(CatalogKeeper, ConvergesInAnyOrder, ()) {
   std::vector<StoreRecord> history;
   auto n = *rc::gen::inRange<uint64_t>(1, 30);
--- a/tests/direct/catalog_unreadable_test.cpp
+++ b/tests/direct/catalog_unreadable_test.cpp
@@ -1,9 +1,11 @@
-/// Records that can't be read, or name what the configuration doesn't.
+/// Records that can't be decoded ("unreadable") or don't match the
+/// configuration.
 ///
-/// Seen: a server whose record was overwritten with other bytes stayed in use
-/// as it was before, and one of an unknown service was asked for its weights.
-/// The keeper left out a record that it could not decode, and published every
-/// one that it could. Each test below played such a record against it.
+/// Guards against two faults: a server whose record was overwritten with
+/// invalid bytes stayed in use with its old record, because CatalogKeeper
+/// skipped records that it could not decode; and a server of an unconfigured
+/// service was asked for its weights, because every decodable record was
+/// published.
 #include "direct/catalog_fixture.h"
 
 #include <gtest/gtest.h>
@@ -57,8 +59,6 @@
   EXPECT_EQ(std::count(log.begin(), log.end(), "server:a unreadable"), 2);
 }
 
-/// The server runs on, and other entries may still send it requests: kept
-/// context of its weights must not go before it is gone.
 TEST(UnreadableRecord, OfRetiredContextIsNotTakenForEmpty) {
   CatalogHooks hooks = textHooks();
   hooks.SubjectOf = [](std::string_view) {
@@ -80,6 +80,9 @@
   EXPECT_EQ(keeper.view()->Retired, (std::vector<Retirement>{{2, 1}}));
 }
 
+/// The server may still be running, and other entries may still send it
+/// requests. Kept context of its weights must not be freed while it has a
+/// record.
 TEST(UnreadableRecord, LeavesTheWeightsOfItsServerInUse) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("config", "1", 1), put("server:a", "1", 2),
@@ -92,7 +95,7 @@
   EXPECT_EQ(keeper.view()->oldestVersion(), 1);
   keeper.apply({deletion("server:a", 8)}, Start);
   EXPECT_EQ(keeper.view()->oldestVersion(), 2);
-  // It never was one in use.
+  // This server was never usable.
   keeper.apply({put("server:a", "1@other", 9)}, Start);
   EXPECT_EQ(keeper.view()->oldestVersion(), 2);
   keeper.apply({put("server:a", "3", 10), put("server:b", "3", 11)}, Start);
@@ -109,7 +112,8 @@
   EXPECT_EQ(allIdsOf(second), Ids{});
 }
 
-/// It is no entry that lapsed with the service's outage.
+/// The deletion of an unreadable record in an outage is not an expiry of a
+/// server in use.
 TEST(UnreadableRecord, GetsNoGraceWhenItIsDeleted) {
   CatalogKeeper keeper({2s}, textHooks());
   keeper.apply({put("server:a", "1", 1), put("server:a", "bad", 2)}, Start);
@@ -127,7 +131,8 @@
   EXPECT_EQ(keeper.view()->desiredVersion("m"), 2);
 }
 
-/// Its key is taken, so that nobody can take it; to try would only cost calls.
+/// The key exists, so nobody can claim the order lease. Attempts would only
+/// cost calls.
 TEST(UnreadableRecord, OfTheHolderLeavesTheLeaseTaken) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("holder", "bad", 1)}, Start);
@@ -139,7 +144,7 @@
   EXPECT_EQ(keeper.view()->Holder, "e1");
 }
 
-/// It lives on, and has still to be told and asked.
+/// The entry is still running and must still be notified.
 TEST(UnreadableRecord, OfAnEntryLeavesItAnnouncedUntilItIsDeleted) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("entry:e", "1", 1), put("entry:f", "bad", 2)}, Start);
@@ -162,7 +167,7 @@
   EXPECT_EQ(std::count(log.begin(), log.end(), "server:b unreadable"), 1);
 }
 
-/// The configuration that names its service may come later.
+/// The configuration that names the service may arrive later.
 TEST(ServerOfAnUnknownService, IsUsedOnceTheConfigurationNamesIt) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("server:b", "1@other", 1), put("config", "1", 2)}, Start);
@@ -172,7 +177,7 @@
   EXPECT_EQ(keeper.view()->serversOf("other").size(), 1);
 }
 
-/// Without them its kept context would be told apart by no version.
+/// Kept context is identified by the version of the weights.
 TEST(EngineWithoutWeights, IsNotUsed) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("config", "1", 1), put("server:a", "0@engines", 2),
@@ -181,8 +186,8 @@
   EXPECT_EQ(allIdsOf(keeper), (Ids{"b", "c"}));
 }
 
-/// What is believed in the end depends on the newest record of each key alone,
-/// in whichever order they come, and a record that can't be read names nothing.
+/// In any order of arrival, the final state depends only on the newest record
+/// of each key, and an unreadable record yields no server.
 RC_GTEST_PROP(UnreadableRecord, ConvergesInAnyOrder, ()) {
   std::vector<StoreRecord> history;
   std::map<std::string, std::string> newest;
--- a/tests/direct/restart_test.cpp
+++ b/tests/direct/restart_test.cpp
@@ -1,10 +1,10 @@
-/// Servers that start again under the id that they had.
+/// Servers that restart under the same id.
 ///
-/// Seen: requests went around a server that had just started anew, for up to
-/// four seconds, and a request was refused for tokens that had waited at its
-/// earlier start. All beliefs were kept by the server's id alone. A play of
-/// each belief against a record with the same id and another start showed which
-/// of them outlived the start: all of these.
+/// Guards against state of an earlier start being applied to the current one,
+/// when it is kept by the server's id alone. Requests avoided a server for up
+/// to four seconds after its restart, and a request was rejected because of
+/// tokens that had been queued at the earlier start. There is a test for each
+/// kind of state that used to survive a restart.
 #include "direct/catalog_fixture.h"
 #include "direct/placement_fixture.h"
 #include "direct/weight_plan.h"
@@ -26,7 +26,7 @@
   loads.onPeer("entry", {{ServerRef(First).key(), 2, 900, 900}}, 1s, Start);
   EXPECT_EQ(loads.view(First, Start).Tokens, 1600);
   EXPECT_EQ(loads.view(Second, Start), ServerLoadView{});
-  EXPECT_FALSE(loads.view(Second, Start + 2s).IsAvoided); // Nor silent.
+  EXPECT_FALSE(loads.view(Second, Start + 2s).IsAvoided); // Nor unresponsive.
 }
 
 TEST(RestartedServer, KeepsItsLoadWhenAnEarlierAttemptEndsLate) {
@@ -50,7 +50,7 @@
 }
 
 TEST_F(PlacementTest, UsesARestartedServerAtOnce) {
-  for (int i = 1; i < 6; ++i) // Only e0 is left.
+  for (int i = 1; i < 6; ++i) // Only e0 remains.
     Loads.avoidUntil("e" + std::to_string(i), Start + 60s);
   std::string before = choose(prompt("s")).ServerId;
   ASSERT_EQ(before, "e0");
@@ -58,11 +58,11 @@
   uint64_t pool = stableHash("engines");
   ASSERT_EQ(Ejected.onFailure(pool, 6, ServerRef("e0").key(), Start),
             EjectionVerdict::Ejected);
-  Loads.onLoaded("e1"); // Again usable: e0 is not chosen for want of others.
+  Loads.onLoaded("e1"); // Usable again, so e0 is not the only choice.
   EXPECT_EQ(choose(prompt("s")).ServerId, "e1");
   server("e0").StartedMs = Second.StartedMs;
   Loads.avoidUntil("e1", Start + 60s);
-  Loads.onSent("e0", 1'000'000, Start); // At the earlier start.
+  Loads.onSent("e0", 1'000'000, Start); // To the earlier start.
   AttemptOrder order = choose(prompt("s"));
   EXPECT_EQ(order.ServerId, "e0");
   EXPECT_EQ(order.StartedMs, Second.StartedMs);
@@ -73,7 +73,7 @@
   return keeper.view()->serversOf("service").at(0).versionOf("model");
 }
 
-/// A server that starts again has the weights that its record says.
+/// A restarted server has the weights in its record.
 TEST(RestartedServer, HasTheWeightsOfItsOwnRecord) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("server:a", "1#100", 1)}, Start);
@@ -81,7 +81,7 @@
   EXPECT_EQ(versionOfA(keeper), 2);
   keeper.apply({put("server:a", "1#200", 2)}, Start);
   EXPECT_EQ(versionOfA(keeper), 1);
-  keeper.noteLoaded({"a", 100}, {"model", 3}, Start); // Heard of late.
+  keeper.noteLoaded({"a", 100}, {"model", 3}, Start); // Arrives late.
   EXPECT_EQ(versionOfA(keeper), 1);
   keeper.noteLoaded({"a", 200}, {"model", 2}, Start);
   EXPECT_EQ(versionOfA(keeper), 2);
@@ -89,13 +89,14 @@
   EXPECT_EQ(versionOfA(keeper), 2);
 }
 
-/// An order that was given to the earlier start may be carried out late, as the
-/// later one counts anew: it then has older weights than it had.
+/// An order meant for the earlier start may be carried out late, because the
+/// number of orders begins again with each start. The server then has older
+/// weights than before.
 TEST(RestartedServer, HasTheWeightsThatALateOrderLoaded) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("server:a", "2#200", 1)}, Start);
   keeper.noteLoaded({"a", 200}, {"model", 3}, Start);
-  keeper.apply({put("server:a", "2#200", 2)}, Start); // Lags behind.
+  keeper.apply({put("server:a", "2#200", 2)}, Start); // Outdated.
   EXPECT_EQ(versionOfA(keeper), 3);
   keeper.apply({put("server:a", "3#200", 3)}, Start);
   EXPECT_EQ(versionOfA(keeper), 3);
@@ -112,9 +113,9 @@
   EXPECT_EQ(versionOfA(keeper), 2);
 }
 
-/// The order of the records decides, not the time of the start: the clock of a
-/// server may be set back, and would then keep it out of use for good. A record
-/// that the earlier start wrote late holds until the next one, a heartbeat.
+/// The order of the records decides, not the start time: a server whose clock
+/// was set back would otherwise be out of use for good. A late record of the
+/// earlier start is in force only until the next heartbeat.
 TEST(RestartedServer, IsTheOneInTheNewestRecordWhateverItsStartTime) {
   CatalogKeeper keeper({}, textHooks());
   keeper.apply({put("server:a", "2#200", 1)}, Start);
@@ -152,7 +153,7 @@
             (std::vector<Endpoint>{{"2", 80}, {"4", 80}}));
 }
 
-/// One engine that is behind, and its loads.
+/// One engine with outdated weights, and the plan of its loads.
 class RestartedEngine : public testing::Test {
 protected:
   RestartedEngine() {
@@ -186,7 +187,7 @@
   Plan.next(Known, Start);
   Plan.onReport("a", report(First, 1, 7), Start);
   Plan.onAnswer(First, OrderAnswer::Accepted, Start);
-  ASSERT_TRUE(Plan.next(Known, Start + 100ms).empty()); // It should load.
+  ASSERT_TRUE(Plan.next(Known, Start + 100ms).empty()); // It should be loading.
   restart();
   EXPECT_TRUE(asks(Plan.next(Known, Start + 200ms)));
   auto actions = Plan.onReport("a", report(Second, 1, 0), Start + 200ms);
@@ -205,7 +206,7 @@
   EXPECT_EQ(Plan.onReport("a", report(Second, 1, 0), Start + 500ms).size(), 1);
 }
 
-/// The report is ahead of the record.
+/// A report may be ahead of the record.
 TEST_F(RestartedEngine, IsAskedAgainUntilItsRecordShowsTheSameStart) {
   Plan.next(Known, Start);
   EXPECT_TRUE(Plan.onReport("a", report(Second, 1, 0), Start).empty());
@@ -222,11 +223,11 @@
   restart();
   Plan.next(Known, Start + 100ms);
   Plan.onAnswer(First, OrderAnswer::Accepted, Start + 150ms);
-  // The report that was asked for counts still.
+  // The requested report is still accepted.
   EXPECT_EQ(Plan.onReport("a", report(Second, 1, 0), Start + 200ms).size(), 1);
 }
 
-/// Whichever start refused: another holder has given orders.
+/// Whichever start rejects the fencing token, there is a newer holder.
 TEST_F(RestartedEngine, StopsTheHolderWhenItRejectsTheToken) {
   Plan.next(Known, Start);
   Plan.onReport("a", report(First, 1, 7), Start);
--- a/tests/direct/restore_test.cpp
+++ b/tests/direct/restore_test.cpp
@@ -1,9 +1,9 @@
-/// What an entry believes when the key-value service has come back from an
-/// older copy of itself, which gives revisions out again.
+/// The catalog after the key-value service has been restored from an older copy
+/// and issues the same revisions again.
 ///
-/// Guards against: new configurations were taken for old ones, as their
-/// revisions were below that of the one in force; and against the copy being
-/// taken for news.
+/// Guards against two faults: new configurations were taken for old ones,
+/// because their revisions were lower than that of the one in force; and the
+/// contents of the copy were taken for new records.
 #include "direct/catalog_fixture.h"
 
 #include "direct/order_lease.h"
@@ -18,7 +18,7 @@
 namespace daisytack::direct {
 namespace {
 
-/// In the first era and in the one after a restore.
+/// Monotonic revisions before the restore (era 1) and after it (era 2).
 uint64_t inFirstEra(uint64_t revision) {
   return monotonicRevision(1, revision);
 }
@@ -53,7 +53,7 @@
   EXPECT_EQ(configVersion(), 90);
 }
 
-/// Configurations and named weights rise by their own versions.
+/// Configurations and desired weights are compared by their own versions.
 TEST_F(RestoreCatalogTest, NeverGoesBackToAnOlderVersion) {
   Keeper.applyAll({put("config", "84", inFirstEra(67)),
                    put("weights:m", "3", inFirstEra(66))},
@@ -63,7 +63,7 @@
                   inSecondEra(58), CatalogStart);
   EXPECT_EQ(configVersion(), 84);
   EXPECT_EQ(Keeper.view()->desiredVersion("m"), 3);
-  // Nor when the service has neither, or says the same once more.
+  // Nor if a later read returns the same records or none.
   Keeper.applyAll({put("config", "81", inSecondEra(58))}, inSecondEra(59),
                   afterGrace());
   Keeper.applyAll({}, monotonicRevision(3, 9), afterGrace() + 1s);
@@ -71,8 +71,8 @@
   EXPECT_EQ(Keeper.view()->desiredVersion("m"), 3);
 }
 
-/// An entry that has read the copy alone hears from another one what was in
-/// force before.
+/// An entry that has read only the copy learns from another entry what was in
+/// force before the restore.
 TEST_F(RestoreCatalogTest, AcceptsTheNewerVersionFromAnEntryOfThePreviousEra) {
   Keeper.applyAll({put("config", "81", inSecondEra(58))}, inSecondEra(58),
                   CatalogStart);
@@ -95,12 +95,12 @@
                                 put("server:stays", "1", inSecondEra(12))};
   Keeper.applyAll(copy, inSecondEra(12), CatalogStart);
   EXPECT_EQ(idsOf(Keeper), Ids{"stays"});
-  // What is written since is news, under whatever revision.
+  // Records written after the restore are new, whatever their revision.
   Keeper.apply({put("server:left", "1", inSecondEra(13))}, CatalogStart);
   EXPECT_EQ(idsOf(Keeper), (Ids{"left", "stays"}));
 }
 
-/// Servers that registered since the copy say so anew.
+/// Servers that registered after the copy was made register again.
 TEST_F(RestoreCatalogTest, KeepsServersThatTheCopyLacksForTheGracePeriod) {
   Keeper.applyAll({put("server:new", "1", inFirstEra(10))}, inFirstEra(10),
                   CatalogStart);
@@ -110,7 +110,8 @@
   EXPECT_EQ(idsOf(Keeper), Ids{});
 }
 
-/// What nobody writes anew is over: the service is believed in the end.
+/// Records that nobody writes again are dropped: after the grace period the
+/// service is authoritative.
 TEST_F(RestoreCatalogTest, FollowsTheServiceAfterTheGracePeriod) {
   Keeper.applyAll({put("server:left", "1", inFirstEra(10))}, inFirstEra(10),
                   CatalogStart);
@@ -125,7 +126,7 @@
   EXPECT_FALSE(Keeper.needsReread(afterGrace()));
 }
 
-/// Nothing is news of a restore for a process that starts after it.
+/// A process that starts after the restore does not treat it as one.
 TEST_F(RestoreCatalogTest, AcceptsTheFirstReadUnchanged) {
   Keeper.applyAll({put("server:a", "1", inSecondEra(10))}, inSecondEra(10),
                   CatalogStart);
@@ -134,8 +135,8 @@
   EXPECT_EQ(idsOf(Keeper), Ids{"a"});
 }
 
-/// Two holders would give orders: one whose record and lease the copy lacks,
-/// and one who finds no record.
+/// Guards against two holders at once: one whose record and lease the copy
+/// lacks, and another that finds no record.
 TEST_F(RestoreCatalogTest, ClaimsTheOrderLeaseOnceAnEarlierHolderHasStopped) {
   OrderLeaseSettings settings;
   Keeper.applyAll({put("holder", "e1", inFirstEra(10))}, inFirstEra(10),
@@ -149,7 +150,7 @@
   EXPECT_FALSE(isClaimSafe(*Keeper.view(), settings, CatalogStart + 4s));
 }
 
-/// The same record in a later era is not the holder's own any more.
+/// The same record in a later era is no longer the holder's own.
 TEST_F(RestoreCatalogTest, AHolderOfThePreviousEraIsReplaced) {
   Keeper.applyAll({put("holder", "e1", inFirstEra(10))}, inFirstEra(10),
                   CatalogStart);
@@ -159,9 +160,10 @@
   EXPECT_TRUE(isHolderReplaced(*Keeper.view(), inFirstEra(10)));
 }
 
-/// A service that takes configurations, comes back from older copies in series,
-/// and has the operator write anew what was lost, late; and three entries that
-/// read it, watch it, hear from one another, miss some of it and start anew.
+/// Simulates a service that stores configurations and is repeatedly restored
+/// from older copies, after which the operator writes lost configurations again
+/// with some delay. Three entries read and watch the service, exchange records,
+/// miss some changes and restart.
 class RestoreWorld {
 public:
   explicit RestoreWorld(uint64_t seed) : Random(seed) {
@@ -170,7 +172,8 @@
     write();
   }
 
-  /// Why the entries' beliefs are wrong; empty when all is well.
+  /// Performs a random event. Returns what is wrong with an entry's state;
+  /// empty if nothing is.
   std::string step() {
     Now = Now + 100ms;
     switch (randomUpTo(9)) {
@@ -196,7 +199,8 @@
     return {};
   }
 
-  /// Once the operator has written anew and all have read.
+  /// Whether all entries have the latest configuration once the operator has
+  /// written it again and all have read it.
   bool areAllUpToDate() {
     rewrite();
     for (auto &it : Entries) {
@@ -213,11 +217,11 @@
     std::unique_ptr<CatalogKeeper> Keeper =
         std::make_unique<CatalogKeeper>(CatalogSettings{}, textHooks());
     uint64_t CompleteTo = 0;
-    uint64_t Highest = 0; ///< Version that was in force.
+    uint64_t Highest = 0; ///< Highest version that was in force.
   };
   struct State {
     uint64_t Version = 0;
-    uint64_t ConfigRevision = 0; ///< Revision of that.
+    uint64_t ConfigRevision = 0; ///< Its revision.
     uint64_t Revision = 0;
   };
 
@@ -227,12 +231,14 @@
 
   void put(uint64_t version) {
     Service.Version = version;
-    // Other keys change too.
+    // Other keys change, too.
     Service.Revision += 1 + randomUpTo(3);
     Service.ConfigRevision = Service.Revision;
     Snapshots.push_back(Service);
   }
+  /// The operator writes a new version.
   void write() { put(LatestVersion += 1 + randomUpTo(3)); }
+  /// The operator writes the latest version again if a restore has lost it.
   void rewrite() {
     if (Service.Version < LatestVersion)
       put(LatestVersion);
@@ -278,7 +284,7 @@
   State Service;
   std::vector<State> Snapshots;
   uint64_t Era = 1;
-  uint64_t LatestVersion = 0; ///< The operator's.
+  uint64_t LatestVersion = 0; ///< Latest one that the operator has written.
   std::vector<std::unique_ptr<Entry>> Entries;
 };
 
