--- a/src/direct/follow_plan.cpp
+++ b/src/direct/follow_plan.cpp
@@ -28,8 +28,9 @@
 }
 
 FollowStep FollowPlan::next(const Catalog &catalog, TimePoint now) {
-  // The others must find this entry announced too, and what the holder of the
-  // right to give orders plans on is not to be later than it need be.
+  // Until it is announced, an entry watches the service itself, because other
+  // entries don't know it either. The holder of the order lease always does, to
+  // plan on the most recent state.
   bool isAnnounced = std::find(catalog.Entries.begin(), catalog.Entries.end(),
                                Own) != catalog.Entries.end();
   if (!isAnnounced || catalog.Holder == Own.Name)
@@ -43,8 +44,8 @@
   if (now < NextPollAt)
     return out;
   NextPollAt = now + Settings.PollInterval;
-  // By turns, each entry beginning elsewhere, so that one that is dead, or lies
-  // behind, is soon made up for.
+  // Round-robin with a different first reader in each entry, so that the next
+  // poll makes up for a reader that is dead or stale.
   size_t turn = stableHash(Own.Name) + PollCount++;
   out.PollTarget = readers[turn % readers.size()];
   return out;
--- a/src/direct/follow_plan.h
+++ b/src/direct/follow_plan.h
@@ -1,14 +1,15 @@
-/// Which entries read the key-value service, and how the others learn what it
-/// holds. Without a socket, clock or thread.
+/// Decides which entries watch the key-value service and how the others follow
+/// its contents. Uses no sockets, clocks or threads.
 ///
-/// Every watch costs the service a call for each piece of news and each wait,
-/// so that with one in each entry its calls grow with entries times news. A few
-/// entries of each failure domain read it, by rendezvous over those that are
-/// announced; the others ask one of them a few times a second for what is newer
-/// than they know. One that hears nothing, or only what is old, watches the
-/// service itself at once: what an entry may do on what it knows (refuse an
-/// unknown key for good, name sources) depends on the age of its knowledge
-/// alone, whoever told it.
+/// Each watch costs the service one call per change and per long poll. If every
+/// entry had a watch, the number of calls would grow with entries times
+/// changes. Instead a few entries of each failure domain, the readers, watch
+/// the service; rendezvous hashing over the announced entries selects them. The
+/// other entries poll a reader several times a second for newer records. An
+/// entry whose readers don't answer, or answer with stale state, watches the
+/// service itself at once. What an entry may do with its state (permanently
+/// reject an unknown key, name sources) depends only on the age of that state,
+/// not on where it came from.
 #pragma once
 
 #include "direct/catalog.h"
@@ -19,57 +20,66 @@
 
 namespace daisytack::direct {
 
+/// When entries rely on readers, and on how many.
 struct FollowSettings {
-  /// One of them may fail without a call more to the service.
+  /// Minimum number of readers in a failure domain. With two, one may fail
+  /// without additional calls to the service.
   size_t MinReaders = 2;
-  /// A reader answers about fifty questions a second then. 0: every entry reads
-  /// the service itself.
+  /// Number of entries in a failure domain per reader. With 16, a reader
+  /// answers about 50 polls a second. 0: every entry watches the service
+  /// itself.
   size_t EntriesPerReader = 16;
-  /// Between two questions to readers: news is later by half of it on average.
+  /// Time between two polls of readers. Delays changes by half of it on
+  /// average.
   Duration PollInterval{300'000};
-  /// Knowledge that the service confirmed so long ago is too old: longer than a
-  /// reader's wait for news and a question, shorter than the time for which an
-  /// unknown key may be refused for good.
+  /// State that the service confirmed longer ago than this is stale. Longer
+  /// than a reader's long poll plus one poll of the reader, shorter than the
+  /// age up to which an entry may permanently reject an unknown key.
   Duration StaleAfter{2'300'000};
-  /// Without an answer for so long, of several questions to several readers.
+  /// Readers count as unavailable after this time without an answer. Spans
+  /// several polls, of different readers.
   Duration ReaderTimeout{1'000'000};
-  /// Readers must have answered in time for so long before the own watch ends.
+  /// How long readers must answer with current state before this entry ends its
+  /// own watch.
   Duration SettleTime{1'000'000};
   bool operator==(const FollowSettings &) const = default;
 };
 
-/// The entries of the failure domain that read the service, the same ones in
-/// every process that knows the same entries.
+/// Addresses of the failure domain's readers. The same in every process that
+/// knows the same announced entries.
 std::vector<Endpoint> readersOf(const Catalog &catalog, std::string_view domain,
                                 const FollowSettings &settings);
 
+/// What one entry is to do now.
 struct FollowStep {
-  bool WatchesService = true;
-  std::optional<Endpoint> PollTarget; ///< A reader, for what is newer.
+  bool WatchesService = true; ///< Watch the key-value service itself.
+  /// Reader to ask for newer records; empty: none now.
+  std::optional<Endpoint> PollTarget;
   auto operator<=>(const FollowStep &) const = default;
 };
 
-/// Of one entry. Not thread-safe.
+/// The plan of one entry. Not thread-safe.
 class FollowPlan {
 public:
   FollowPlan(FollowSettings settings, EntryPeer own)
       : Settings(settings), Own(std::move(own)) {}
 
-  /// Call several times a second.
+  /// What to do now. Call several times a second.
   FollowStep next(const Catalog &catalog, TimePoint now);
-  /// A reader has answered, so that this entry knows all that it knows, which
-  /// the service had confirmed to it then.
+  /// A reader has answered, and this entry now has the reader's full state,
+  /// which the service last confirmed at the given time.
   void onAnswer(TimePoint confirmedAt, TimePoint now);
 
 private:
+  /// Whether readers have been answering with current state for SettleTime.
   bool areReadersCurrent(TimePoint now);
 
   FollowSettings Settings;
   EntryPeer Own;
   size_t PollCount = 0;
   TimePoint NextPollAt;
-  std::optional<TimePoint> AnsweredAt;
-  TimePoint ConfirmedAt; ///< The latest that a reader told.
+  std::optional<TimePoint> AnsweredAt; ///< Time of the last answer.
+  TimePoint ConfirmedAt; ///< Latest confirmation that a reader has reported.
   std::optional<TimePoint> ReadersCurrentSince;
 };
 
--- a/src/direct/order_lease.cpp
+++ b/src/direct/order_lease.cpp
@@ -10,8 +10,8 @@
   out.PauseMargin = settings.PauseMargin;
   if (settings.ServersCheckFence)
     return out;
-  // The holder acts as long as under a lease of one term, and the record stays
-  // for one term after its last act.
+  // The holder may act as long as under a lease of one term, and the record
+  // stays for one more term after its last order.
   Duration acting = std::max(settings.Term - settings.PauseMargin, Duration(0));
   out.TimeToLive = acting + settings.Term;
   out.PauseMargin = settings.Term;
--- a/src/direct/peer_messages.h
+++ b/src/direct/peer_messages.h
@@ -1,4 +1,4 @@
-/// What entries on the direct path tell one another.
+/// Messages between entries on the direct path.
 #pragma once
 
 #include "direct/crash_suspects.h"
@@ -14,31 +14,32 @@
 
 namespace daisytack::direct {
 
-/// An entry that the key-value service does not answer asks another for what is
-/// newer than it knows.
+/// Asks another entry for records newer than the revision. Sent by entries that
+/// don't read the key-value service themselves or get no answer from it.
 struct RecordsRequest {
   uint64_t Revision = 0;
   bool operator==(const RecordsRequest &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(Revision); }
 };
 
+/// Response to RecordsRequest.
 struct RecordsResponse {
   std::vector<StoreRecord> Records;
-  /// Microseconds since the service confirmed them to the sender.
+  /// Microseconds since the service last confirmed the sender's state.
   int64_t ConfirmationAge = 0;
-  /// Microseconds since a moment of which the sender knows all that the service
-  /// held.
+  /// Age of the sender's state in microseconds: it includes everything that the
+  /// service held at that time.
   int64_t CompleteStateAge = 0;
-  /// All that the service held up to this revision is known to the sender.
+  /// The sender knows everything that the service held up to this revision.
   uint64_t CompleteTo = 0;
-  /// Deletions up to this revision may be missing: whoever asked for what is
-  /// newer than less does not know all that the sender knows.
+  /// Deletions up to this revision may be missing from the records. A receiver
+  /// that asked from a lower revision does not get the sender's full state.
   uint64_t DeletionsMissingTo = 0;
-  /// For so many microseconds more the sender keeps servers whose records lapse
-  /// with an outage of the service.
+  /// Microseconds for which the sender still keeps servers whose records
+  /// expired during an outage of the service; 0: none.
   int64_t GraceLeft = 0;
-  /// Up to where what the sender read of the service may be of an older copy;
-  /// 0 where the service has not come back from one.
+  /// Records up to this revision may come from an older copy that the service
+  /// was restored from; 0: no restore was seen.
   uint64_t RestoredTo = 0;
   bool operator==(const RecordsResponse &) const = default;
   template <class Archive> void serialize(Archive &ar) {
@@ -47,23 +48,23 @@
   }
 };
 
-/// Whether whoever knew all up to the revision when it asked, and takes the
-/// records, knows all that the sender knows. With 0 it had not read the service
-/// itself, so that what it was told before may have gaps.
+/// Whether a receiver that knew everything up to the revision has the sender's
+/// full state after merging the records. Never for revision 0: such a receiver
+/// has not read the service itself, so its state may have gaps.
 inline bool isCompleteFor(const RecordsResponse &found, uint64_t knownTo) {
   return knownTo != 0 && knownTo >= found.DeletionsMissingTo;
 }
 
-/// Servers that are taking new weights, or about to, and turn requests away
-/// until they have them.
+/// Servers that are loading new weights or are about to. They reject requests
+/// until they have finished.
 struct ServersLoading {
   std::vector<ServerStart> Servers;
   bool operator==(const ServersLoading &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(Servers); }
 };
 
-/// A server has taken new weights, by its own report; its entry in the
-/// key-value service says so up to a heartbeat later.
+/// A server has reported that it loaded new weights. Its record in the
+/// key-value service shows them up to one heartbeat later.
 struct ServerLoaded {
   ServerStart Server;
   ModelVersion LoadedVersion;
@@ -73,25 +74,25 @@
   }
 };
 
-/// Kept context of old weights that is not to be named as a source any more, as
-/// the key-value service holds it. The answer says that the process names none
-/// of it.
+/// Kept context of old weights that must not be named as a source any more, as
+/// recorded in the key-value service. The acknowledgement confirms that the
+/// receiver no longer names any of it.
 struct ContextRetired {
   std::vector<Retirement> Retirements;
   bool operator==(const ContextRetired &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(Retirements); }
 };
 
-/// What an entry has under way, and how late its fetches came; by datagram,
-/// several times a second.
+/// The load that one entry puts on the servers, and the delays of its fetches.
+/// Sent as a datagram several times a second.
 struct EntryLoads {
-  std::string Entry;
-  /// Until the receiver hears again, in microseconds: grows with the number of
-  /// entries.
+  std::string Entry; ///< Name of the sender.
+  /// Microseconds until the next message to the same receiver. Grows with the
+  /// number of entries.
   int64_t Period = 0;
   std::vector<LoadShare> Servers;
   std::vector<LinkDelay> Links; ///< Observed since the last message.
-  /// Servers (ServerRef::key) that said lately that they leave.
+  /// Servers (ServerRef::key) that recently reported that they are leaving.
   std::vector<uint64_t> Leaving{};
   bool operator==(const EntryLoads &) const = default;
   template <class Archive> void serialize(Archive &ar) {
@@ -99,14 +100,14 @@
   }
 };
 
-/// What servers said of their limits on requests, as the sender heard it; by
-/// datagram.
+/// Request limits that servers have reported to the sender. Sent as a datagram.
 struct RequestLimitUpdate {
   std::vector<LimitWord> ServerLimits;
   bool operator==(const RequestLimitUpdate &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(ServerLimits); }
 };
 
+/// Response to messages that need no data in return.
 struct Acknowledgement {
   bool operator==(const Acknowledgement &) const = default;
   template <class Archive> void serialize(Archive &) {}
--- a/tests/direct/follow_plan_test.cpp
+++ b/tests/direct/follow_plan_test.cpp
@@ -1,8 +1,8 @@
-/// The load: every entry of a large fleet watched the key-value service, so
-/// that each change of a server or an entry cost as many calls as there are
-/// entries; calls were among the dearest parts of a day. Here the choice of the
-/// few that read, and when an entry leaves the service to them; what an entry
-/// then knows is tested in a world of entries in retirement_test.cpp.
+/// Guards against a load on the key-value service that grows with the number of
+/// entries: if every entry of a large fleet watches the service, each change of
+/// a server or an entry costs one call per entry. Tests the selection of the
+/// few readers and when an entry relies on them. What an entry then knows is
+/// tested by a simulation in retirement_test.cpp.
 #include "direct/follow_plan.h"
 #include "direct/peer_messages.h"
 
@@ -61,11 +61,12 @@
   EXPECT_FALSE(isCompleteFor(found, 44));
   EXPECT_TRUE(isCompleteFor(found, 45));
   found.DeletionsMissingTo = 0;
-  EXPECT_FALSE(isCompleteFor(found, 0)) << "it has read nothing itself";
+  EXPECT_FALSE(isCompleteFor(found, 0))
+      << "the receiver has read nothing itself";
   EXPECT_TRUE(isCompleteFor(found, 1));
 }
 
-/// One follower among twenty entries of its failure domain, asked every 100 ms.
+/// A follower among twenty entries of its failure domain, called every 100 ms.
 class FollowPlanTest : public testing::Test {
 protected:
   FollowPlanTest() : Fleet(fleet(20, 1)) {
@@ -75,8 +76,9 @@
         Own = it;
     Readers = readers;
   }
-  /// Whether it watches the service at the end; its readers answer from
-  /// knowledge of that age.
+  /// Runs the plan for the given time and returns whether the entry watches the
+  /// service at the end. Readers answer with state of this age; without an age
+  /// they don't answer.
   bool advance(FollowPlan &plan, Duration time, std::optional<Duration> age) {
     bool out = true;
     for (TimePoint end = Now + time; Now < end; Now += 100ms) {
--- a/tests/direct/order_lease_test.cpp
+++ b/tests/direct/order_lease_test.cpp
@@ -1,11 +1,12 @@
-/// What was seen: new weights stayed away from servers for ten seconds and more
-/// while the entry that gives orders was killed and started again every two
-/// seconds. Where servers check no fencing token, a new holder waited two
-/// seconds before its first order, and each one was killed before that.
+/// Guards against: servers got no new weights for ten seconds and more while
+/// the holder of the order lease was killed and restarted every two seconds. If
+/// servers check no fencing tokens, each new holder waited two seconds before
+/// its first order and was killed before that.
 ///
-/// The world below has entries, their leases and the key-value service, without
-/// a network: entries are killed, start again on their instance or another,
-/// stand still and are cut off from the service. Only the decisions are real.
+/// The tests simulate entries, their leases and the key-value service without a
+/// network. Entries are killed, restart on the same or another instance, are
+/// suspended and lose their connection to the service. Only the decision code
+/// is real.
 #include "direct/order_lease.h"
 
 #include <gtest/gtest.h>
@@ -23,34 +24,36 @@
 constexpr Duration Tick{50'000};
 constexpr Duration Term{3'000'000};
 constexpr Duration RestartTime{500'000};
-/// From a change in the service until entries know it, and for one call.
+/// Time until entries see a change in the service, and duration of a call.
 constexpr Duration ServiceDelay{50'000};
 
-/// The record of the holder, as the service holds it.
+/// The holder's record in the service.
 struct HolderRecord {
   OrderLeaseHolder Holder;
   uint64_t Revision = 0;
   TimePoint ExpiresAt;
 };
 
+/// An instance with its entry process.
 struct Instance {
   explicit Instance(OrderLeaseHolder own,
                     const OrderLeaseSettings &leaseSettings)
       : Own(std::move(own)), Lease(orderLease(leaseSettings)) {}
   OrderLeaseHolder Own;
   swap::Lease Lease;
-  uint64_t Token = 0;
+  uint64_t Token = 0; ///< Revision of its holder record; 0: not the holder.
   TimePoint DownUntil;
   TimePoint FrozenUntil;
   TimePoint DisconnectedUntil;
 };
 
-/// An order, and the instance that gave it.
+/// An order that was sent.
 struct SentOrder {
-  std::string Peer;
+  std::string Peer; ///< Address of the sender.
   TimePoint At;
 };
 
+/// The simulation.
 class OrderLeaseWorld {
 public:
   OrderLeaseWorld(size_t instances, bool serversCheckFence) {
@@ -66,7 +69,7 @@
       Now = Now + Tick;
       if (Record && Now >= Record->ExpiresAt)
         setRecord(std::nullopt);
-      // Any of them may be the first to see a change.
+      // Rotates which instance is the first to see a change.
       for (size_t i = 0; i < Instances.size(); ++i)
         step(Instances[(i + FirstStepped) % Instances.size()]);
       ++FirstStepped;
@@ -77,7 +80,7 @@
     Instances[i].Lease.lost();
     Instances[i].DownUntil = Now + downFor;
   }
-  /// Its name comes back on another instance.
+  /// Kills the entry; its name comes back on another instance.
   void moveToNewInstance(size_t i, Duration downFor) {
     kill(i, downFor);
     Instances[i].Own.Peer = nextAddress();
@@ -96,7 +99,7 @@
   }
   TimePoint now() const { return Now; }
   const std::vector<SentOrder> &orders() const { return Orders; }
-  /// The shortest time from an order to the next one of another instance.
+  /// The shortest time between successive orders of two instances.
   Duration minHandoverGap() const {
     Duration out = Duration::max();
     for (size_t i = 1; i < Orders.size(); ++i)
@@ -104,7 +107,7 @@
         out = std::min<Duration>(out, Orders[i].At - Orders[i - 1].At);
     return out;
   }
-  /// The longest time without an order between the two moments.
+  /// The longest time without an order in the interval.
   Duration maxOrderGap(TimePoint from, TimePoint to) const {
     Duration out{0};
     TimePoint last = from;
@@ -133,7 +136,7 @@
     History[Now + ServiceDelay] = std::move(next);
   }
 
-  /// What an entry that follows the service knows.
+  /// What entries that follow the service know now.
   Catalog known() const {
     auto it = History.upper_bound(Now);
     return it == History.begin() ? Catalog{} : std::prev(it)->second;
@@ -191,8 +194,8 @@
   int Addresses = 0;
 };
 
-/// The load: the holder is killed every two seconds, and its process is back
-/// after half a second. New weights must be in force within twelve seconds.
+/// The holder is killed every two seconds, and its process is back after half a
+/// second. New weights must be in force within twelve seconds.
 TEST(OrderLease, OrdersContinueWhileTheHolderIsKilledRepeatedly) {
   for (bool serversCheckFence : {true, false}) {
     OrderLeaseWorld world(4, serversCheckFence);
@@ -207,13 +210,14 @@
   }
 }
 
-/// An instance that is lost for good is waited for once.
+/// The wait for an instance that is lost for good happens only once.
 TEST(OrderLease, TheWaitForALostHolderDoesNotRestartWhenClaimantsAreKilled) {
   OrderLeaseWorld world(4, false);
   world.advance(5s);
   TimePoint from = world.now();
   world.kill(*world.holder(), 60s);
-  // Whoever seeks the right meanwhile is killed before it has it.
+  // Entries that try to claim the lease meanwhile are killed before they get
+  // it.
   for (int i = 0; i < 3; ++i) {
     world.advance(1s);
     for (size_t entry = 0; entry < 4; ++entry)
@@ -246,10 +250,10 @@
     last += 10ms;
   EXPECT_GT(last, TimePoint() + 1s);
   EXPECT_GE(TimePoint() + lease.settings().TimeToLive, last + settings.Term);
-  EXPECT_LT(*lease.renewAt(), last) << "before it must stop to act";
+  EXPECT_LT(*lease.renewAt(), last) << "renewed before it must stop acting";
   settings.Term = settings.PauseMargin / 2;
   EXPECT_EQ(orderLease(settings).TimeToLive, settings.Term)
-      << "too short to act in, but a lease";
+      << "too short to send any order, but still a lease";
 }
 
 TEST(OrderLease, ARecordThatNamesNoInstanceIsNotTakenOver) {
@@ -265,7 +269,7 @@
 
 TEST(OrderLease, OnlyANewerRecordReplacesAHolder) {
   Catalog catalog;
-  EXPECT_FALSE(isHolderReplaced(catalog, 7)) << "not heard of yet";
+  EXPECT_FALSE(isHolderReplaced(catalog, 7)) << "the record is not known yet";
   catalog.Holder = "e1";
   catalog.HolderRevision = 6;
   EXPECT_FALSE(isHolderReplaced(catalog, 7));
@@ -275,6 +279,7 @@
   EXPECT_TRUE(isHolderReplaced(catalog, 7));
 }
 
+/// Applies a random fault.
 void disturb(OrderLeaseWorld &world, size_t instances) {
   auto entry = *rc::gen::inRange<size_t>(0, instances);
   Duration time = 100ms * *rc::gen::inRange(1, 80);
@@ -303,7 +308,7 @@
     world.advance(100ms * *rc::gen::inRange(0, 40));
   }
   RC_ASSERT(world.minHandoverGap() >= Term);
-  // Somebody gives orders once all is well again for as long as a lease.
+  // After the faults have ended for longer than a lease, an entry sends orders.
   world.advance(14s);
   TimePoint calm = world.now();
   world.advance(2s);
