--- a/src/direct/retirement.cpp
+++ b/src/direct/retirement.cpp
@@ -27,8 +27,7 @@
   std::sort(a.begin(), a.end());
   std::vector<Retirement> out;
   for (size_t i = 0; i < a.size(); ++i) {
-    // Sorted: what covers another, or equals it, stands behind it or at a
-    // higher version.
+    // In sorted order, a retirement that covers or equals this one comes later.
     bool isCovered =
         std::any_of(a.begin() + static_cast<std::ptrdiff_t>(i) + 1, a.end(),
                     [&](const Retirement &it) { return isWithin(a[i], it); });
@@ -59,7 +58,8 @@
 
 void RetirementAgreement::onCatalog(const Catalog &catalog, TimePoint now) {
   if (std::exchange(Era, catalog.Era) != catalog.Era) {
-    // Whoever reads the copy alone may name what was agreed on since.
+    // A process that has read only the restored copy may name context that was
+    // retired after the copy was made.
     SeenRecords.clear();
     LastFreeable.clear();
   }
@@ -90,7 +90,7 @@
   }
   if (all == 0 || newest < 2)
     return out;
-  // In quarters, so that entries are told few times.
+  // Steps of a quarter, so that entries are notified only a few times.
   constexpr double Steps = 4;
   double needed = updated / all - spareShare;
   double share = std::min(1.0, std::floor(needed * Steps) / Steps);
@@ -104,8 +104,8 @@
                                                         TimePoint now) {
   onCatalog(catalog, now);
   std::vector<RetirementAction> out;
-  // What another writer put over the record can't be added to, only replaced by
-  // less.
+  // A record that can't be decoded must not be overwritten: the new record
+  // might cover less.
   if (!catalog.IsRetiredRecordReadable)
     return out;
   std::vector<Retirement> wanted =
@@ -128,8 +128,8 @@
   if (IsWriting || now < NextWriteAt)
     return std::nullopt;
   for (const auto &[endpoint, peer] : Peers) {
-    // What was last announced there trusts its knowledge no more, and its
-    // fetches have ended.
+    // By now the state of any process at the address is too old to name
+    // sources, and its fetches have ended.
     bool isGone =
         peer.AbsentSince &&
         now >= *peer.AbsentSince + Settings.MaxStaleness + Settings.FetchTime;
@@ -157,7 +157,6 @@
 }
 
 void RetirementAgreement::onWritten(TimePoint now) {
-  // Whether it was carried out, the service itself will tell.
   IsWriting = false;
   NextWriteAt = now + Settings.RetryDelay;
 }
@@ -191,11 +190,11 @@
 
 bool RetirementAgreement::isSafe(const SeenRecord &record,
                                  TimePoint now) const {
-  // By now every entry knows it or names nothing.
+  // By now every entry either knows the record or names no sources.
   if (now >= record.SeenAt + Settings.MaxStaleness + Settings.FetchTime)
     return true;
-  // An entry whose registration is not in the copy is not asked, and may name
-  // sources until its trust in what it knew before is over.
+  // After a restore, an entry whose registration is missing from the copy is
+  // not notified, and may name sources until its earlier state is too old.
   bool areAllNotified =
       Era == 0 || now >= EraSince + Settings.MaxStaleness + Settings.FetchTime;
   return areAllNotified && record.AgreedAt &&
@@ -209,7 +208,8 @@
   if (safe == SeenRecords.rend())
     return LastFreeable;
   LastFreeable = safe->Retirements;
-  // It stays until a later one is safe, so that it is not taken for news.
+  // Keep the record itself until a later one is safe, so that onCatalog() does
+  // not add it again.
   SeenRecords.erase(SeenRecords.begin(), safe.base() - 1);
   return LastFreeable;
 }
--- a/src/direct/retirement.h
+++ b/src/direct/retirement.h
@@ -1,15 +1,18 @@
-/// Which kept context is not named as a source any more, and when it can be
-/// freed without being read meanwhile.
+/// Retirement of kept context: which context must not be named as a source any
+/// more, and when it can be freed without a server still fetching it.
 ///
-/// What is retired stands in the key-value service, for good, and only grows: a
-/// process that starts reads it before it names anything. An entry names
-/// sources only on knowledge of the service that is complete up to a moment not
-/// long past, so that once a record has stood for as long, every process
-/// either knows it or names nothing. As that takes long, all processes that may
-/// name sources without knowing it are asked, and their answers count as soon
-/// as all have come: an address is registered before anything is named from it,
-/// and stays so until nothing is. Each fetch has an end on the servers' clock,
-/// which is waited for in both cases.
+/// Naming a source means telling a server in which context store it can fetch
+/// kept context. Retired context is recorded in the key-value service. The
+/// record is permanent and only grows, and a new process reads it before it
+/// names any source. An entry names sources only while its state of the service
+/// is complete up to a recent time (MaxSourceStaleness). Once a record is older
+/// than that, every process either knows it or names no sources. To free
+/// context sooner, the holder of the order lease notifies all registered
+/// processes and waits until each has agreed. This covers every process that
+/// may name sources: an address is registered before its process names any, and
+/// stays registered until it can name none. In both cases the holder also waits
+/// for the longest fetch to end; each fetch has a deadline on the server's
+/// clock.
 #pragma once
 
 #include "direct/catalog.h"
@@ -25,69 +28,74 @@
 
 namespace daisytack::direct {
 
-/// How long an entry goes on naming sources on what it knows of the service,
-/// and so how long what is retired may take to be in force at an entry that is
-/// cut off. Longer than outages of the service, nine seconds at most, and two
-/// waits of a watch and its repeats, four seconds.
+/// Age of an entry's state of the key-value service up to which it names
+/// sources, and so the time after which a retirement is in force even at an
+/// entry that is cut off. Longer than the longest outage of the service, nine
+/// seconds, plus two long polls of a watch with their retries, four seconds.
 constexpr Duration MaxSourceStaleness{14'000'000};
 
-/// What an entry's right to name sources rests on.
+/// The conditions under which an entry may name sources.
 struct SourceEligibility {
-  /// This process has read the whole service itself, so that it knows all that
-  /// was agreed with a process before it at its address.
+  /// This process has read the whole service itself, so it knows everything
+  /// that an earlier process at its address agreed to.
   bool HasReadAll = false;
-  /// What is retired could be read.
+  /// The record of retired context could be decoded.
   bool KnowsRetired = true;
-  /// Its address is registered, so that it is asked.
+  /// The entry's address is registered, so it is notified of retirements.
   bool IsRegistered = false;
-  /// All that the service held at this moment is known to it, and in that it
-  /// was announced. Never later than the call that told so, as a process may
-  /// stand still with the answer. An announcement that ends does so after this
-  /// moment, and the registration goes only when the announcement has been
-  /// absent for as long as the trust and a fetch last: until the trust is over
-  /// this entry is asked, though it is cut off and its lease has lapsed.
+  /// Latest time for which this entry knows the full contents of the service,
+  /// and at which it was announced there. Not later than the start of the call
+  /// that returned them, because the process may be suspended before it handles
+  /// the response. The registration is removed only when the announcement has
+  /// been absent for MaxSourceStaleness plus the longest fetch. So as long as
+  /// this entry may name sources it is notified, even if it is cut off and its
+  /// lease has expired.
   TimePoint AnnouncedAsOf;
   auto operator<=>(const SourceEligibility &) const = default;
 };
 
+/// Whether an entry may name sources now.
 bool mayNameSources(const SourceEligibility &eligibility, Duration maxStaleness,
                     TimePoint now);
 
-/// Everything that either covers, without what another covers as well.
+/// The union of two lists, without retirements that another one covers.
 std::vector<Retirement> mergeRetired(std::vector<Retirement> a,
                                      const std::vector<Retirement> &b);
 
+/// Timing of retirement.
 struct RetirementSettings {
-  /// Context of weights that no server has had for so long is retired: a
-  /// server's report of its weights.
+  /// Context of old weights is retired when no server has had them for this
+  /// time, which allows for the delay of servers' reports.
   Duration FreeDelay{4'000'000};
-  /// Between tries to write, and to ask one entry.
+  /// Time between attempts to write a record, and to notify the same entry.
   Duration RetryDelay{500'000};
-  /// After the last entry stopped naming: the longest fetch, and its way.
+  /// Wait after the last entry has stopped naming the context: the longest
+  /// fetch plus the time until it starts.
   Duration FetchTime{LongestFetch + Duration(500'000)};
-  Duration MaxStaleness = MaxSourceStaleness;
+  Duration MaxStaleness = MaxSourceStaleness; ///< See MaxSourceStaleness.
   bool operator==(const RetirementSettings &) const = default;
 };
 
-/// To be written to the service over the record of that revision (0: none),
-/// provided that this process is still the holder.
+/// Write the record of retired context, provided that it still has the expected
+/// revision and that this process still holds the order lease.
 struct WriteRetired {
   std::vector<Retirement> Retirements;
-  uint64_t ExpectedRevision = 0;
+  uint64_t ExpectedRevision = 0; ///< 0: the record must not exist.
   bool operator==(const WriteRetired &) const = default;
 };
 
-/// An entry is to be told; its answer says that it names nothing of it.
+/// Notify an entry of retired context. Its acknowledgement confirms that it
+/// does not name any of it.
 struct NotifyEntry {
   Endpoint Peer;
   std::vector<Retirement> Retirements;
-  uint64_t Revision = 0; ///< Of the record.
+  uint64_t Revision = 0; ///< Revision of the record of retired context.
   bool operator==(const NotifyEntry &) const = default;
 };
 
-/// The registration of an address from which nothing is named any more is to be
-/// removed, provided that its record still has the revision and that this
-/// process is still the holder.
+/// Remove the registration of an address at which no process can name sources
+/// any more, provided that the record still has the revision and that this
+/// process still holds the order lease.
 struct RemoveRegistration {
   Endpoint Peer;
   uint64_t Revision = 0;
@@ -97,69 +105,77 @@
 using RetirementAction =
     std::variant<WriteRetired, NotifyEntry, RemoveRegistration>;
 
-/// Every entry follows the records; the holder of the right to give orders
-/// also writes, asks and frees. One thread at a time.
+/// Tracks retired context and each entry's agreement to it. Every entry calls
+/// onCatalog(); only the holder of the order lease also writes records,
+/// notifies entries and frees context. Not thread-safe.
 class RetirementAgreement {
 public:
   RetirementAgreement(RetirementSettings settings, Endpoint own)
       : Settings(settings), Own(std::move(own)) {}
 
+  /// Updates the registered addresses and the records of retired context.
   void onCatalog(const Catalog &catalog, TimePoint now);
 
-  /// Only while this process may give orders. Call several times a second.
-  /// While servers move to new weights, the context of the old makes room for
-  /// that of the new: in the share of servers that have moved, less what is
-  /// spare.
+  /// What to do now. Call several times a second, and only while this process
+  /// holds the order lease. During a weight update, old context is retired to
+  /// make room for new context: in proportion to the servers that have the new
+  /// weights, less the free share of the context stores.
   std::vector<RetirementAction> next(const Catalog &catalog, double spareShare,
                                      TimePoint now);
-  /// Whatever came of a write, as the service itself tells that.
+  /// A write has ended. Its result doesn't matter: the catalog will show
+  /// whether it took effect.
   void onWritten(TimePoint now);
+  /// A notification has ended; hasAgreed if the entry acknowledged it.
   void onNotified(const NotifyEntry &notification, bool hasAgreed,
                   TimePoint now);
 
-  /// What no server can be reading.
+  /// Retired context that no server can still be fetching, so it can be freed.
   std::vector<Retirement> freeable(TimePoint now);
-  /// The version below which no server has had weights for long enough; 0 when
+  /// The version below which no server has had weights for FreeDelay; 0 if
   /// there is none.
   uint64_t unusedBelow(const Catalog &catalog, TimePoint now);
 
 private:
-  /// A record that this process has seen in the service.
+  /// A revision of the record of retired context that this process has seen.
   struct SeenRecord {
     uint64_t Revision = 0;
     std::vector<Retirement> Retirements;
     TimePoint SeenAt;
-    std::set<Endpoint> Agreed;
-    std::optional<TimePoint> AgreedAt; ///< When the last of them had.
+    std::set<Endpoint> Agreed;         ///< Entries that have agreed.
+    std::optional<TimePoint> AgreedAt; ///< When the last entry agreed.
   };
-  /// An address that is registered.
+  /// A registered address other than this entry's own.
   struct Peer {
-    uint64_t Revision = 0;
-    /// Since when no entry has been announced there, at this revision.
+    uint64_t Revision = 0; ///< Revision of the registration.
+    /// Since when no entry has been announced at the address while the
+    /// registration had this revision; empty if one is announced.
     std::optional<TimePoint> AbsentSince;
     bool IsNotificationPending = false;
     TimePoint NextNotificationAt;
   };
 
   void notePeers(const Catalog &catalog, TimePoint now);
+  /// Context that should be retired now, judging by the servers' weights.
   std::vector<Retirement> dueRetirements(const Catalog &catalog,
                                          double spareShare, TimePoint now);
   void noteAgreements(TimePoint now);
   std::optional<RemoveRegistration> dueRemoval(TimePoint now);
   std::vector<NotifyEntry> dueNotifications(TimePoint now);
+  /// Whether no server can still be fetching context that the record covers.
   bool isSafe(const SeenRecord &record, TimePoint now) const;
 
   RetirementSettings Settings;
   Endpoint Own;
-  uint64_t Era = 0; ///< Of the service; what was agreed is of this one.
+  /// Era of the service (direct/revision.h). Agreements hold for this era only.
+  uint64_t Era = 0;
   TimePoint EraSince;
   std::map<Endpoint, Peer> Peers;
-  std::vector<SeenRecord>
-      SeenRecords; ///< By revision; each covers those before it.
-  std::vector<Retirement> LastFreeable;
-  bool IsWriting = false;
+  /// By increasing revision; each covers the previous ones.
+  std::vector<SeenRecord> SeenRecords;
+  std::vector<Retirement> LastFreeable; ///< Last result of freeable().
+  bool IsWriting = false;               ///< A write or removal is under way.
   TimePoint NextWriteAt;
-  uint64_t OldestVersion = 0;
+  uint64_t OldestVersion = 0; ///< Oldest version that servers had last time.
   TimePoint OldestVersionSince;
 };
 
--- a/tests/direct/retirement_following.cpp
+++ b/tests/direct/retirement_following.cpp
@@ -1,5 +1,5 @@
-/// How the entries of the model learn what the key-value service holds, and
-/// what they claim to know of it.
+/// How the simulated entries follow the key-value service, and checks of the
+/// state that they claim to have.
 #include "direct/peer_messages.h"
 #include "direct/retirement_world.h"
 
@@ -9,6 +9,7 @@
 
 namespace {
 
+/// Time until a watch of an unreachable service fails.
 constexpr Duration WatchWait{1'700'000};
 
 } // namespace
@@ -33,7 +34,7 @@
       self.IsWatching = false;
       self.NextWatch = Now + Tick;
     });
-  // The adapter tells a watch of an earlier era that its history is gone.
+  // The store adapter tells a watch of an earlier era that its history is gone.
   noteEra(*entry, Service.era());
   if (entry->Catalog.needsReread(Now))
     entry->HasFullState = false;
@@ -43,7 +44,7 @@
   deliver(entry, Now + ServiceDelay,
           [this, answer, isFirst, askedAt](ModelEntry &self) {
             self.IsWatching = false;
-            // As the adapter drops answers of an era before the latest.
+            // Like the store adapter, drop responses of earlier eras.
             if (eraOf(answer.Revision) < eraOf(self.CompleteTo))
               return;
             self.NextWatch =
--- a/tests/direct/retirement_rules_test.cpp
+++ b/tests/direct/retirement_rules_test.cpp
@@ -1,5 +1,5 @@
-/// The single rules of the agreement on retired context; together they are
-/// tested in retirement_test.cpp.
+/// The individual rules of RetirementAgreement. retirement_test.cpp tests their
+/// interaction.
 #include "direct/retirement.h"
 
 #include <gtest/gtest.h>
@@ -55,7 +55,7 @@
   EXPECT_FALSE(
       mayNameSources(whole, MaxSourceStaleness, Start + MaxSourceStaleness));
   SourceEligibility part = whole;
-  // What was agreed with a process before it at its address is not known.
+  // Agreements of an earlier process at the address are not known.
   part.HasReadAll = false;
   EXPECT_FALSE(mayNameSources(part, MaxSourceStaleness, Start));
   part = whole;
@@ -85,7 +85,7 @@
 }
 
 TEST_F(RetirementRules, NotifiesEveryRegisteredAddressUntilItHasAgreed) {
-  withdraw(PeerB); // Its lease lapsed; it may live.
+  withdraw(PeerB); // Its lease has expired, but it may be running.
   auto asked = notifications(Start);
   ASSERT_EQ(asked.size(), 2);
   EXPECT_EQ(asked[0], (NotifyEntry{PeerA, {{2, 0.5}}, 10}));
@@ -107,7 +107,8 @@
   EXPECT_EQ(Agreement.freeable(safe), Known.Retired);
 }
 
-/// An entry that can't be asked names nothing on what it knew before.
+/// An entry that can't be notified stops naming sources once its state is too
+/// old.
 TEST_F(RetirementRules, FreesOnceAllStateFromBeforeTheRecordIsTooOld) {
   notifications(Start);
   TimePoint safe = Start + Settings.MaxStaleness + Settings.FetchTime;
@@ -135,7 +136,7 @@
   };
   withdraw(PeerB);
   EXPECT_TRUE(removals(Start).empty());
-  // Announced once more, and gone again, between two looks.
+  // The entry was announced and removed again between two calls.
   Known.Registered[PeerB] = 7;
   EXPECT_TRUE(removals(Start + 5s).empty());
   TimePoint gone = Start + 5s + Settings.MaxStaleness + Settings.FetchTime;
@@ -157,7 +158,7 @@
   EXPECT_TRUE(
       actionsOf<WriteRetired>(Agreement.next(Known, 0, Start + 1s)).empty());
   Agreement.onWritten(Start + 1s);
-  // Nobody has had version 1 for long enough.
+  // No server has had version 1 for long enough.
   writes = actionsOf<WriteRetired>(
       Agreement.next(Known, 0, Start + Settings.FreeDelay));
   ASSERT_EQ(writes.size(), 1);
@@ -165,8 +166,9 @@
             (std::vector<Retirement>{{2, 1}, {3, 0.25}}));
 }
 
-/// Two versions named in series while stores have room: what is retired too
-/// early is read again by the servers that have yet to move.
+/// When two versions become desired in succession while context stores have
+/// free space: servers that still have old weights would have to recompute
+/// context that is retired too early.
 TEST_F(RetirementRules, RetiresNoMoreThanUpdatedServersNeed) {
   Known.Retired.clear();
   Known.RetiredInRecord.clear();
@@ -181,7 +183,7 @@
     auto writes = actionsOf<WriteRetired>(it.next(Known, spareShare, Start));
     return writes.empty() ? 0 : writes[0].Retirements.back().Share;
   };
-  EXPECT_EQ(retired(0), 0); // Nobody has moved.
+  EXPECT_EQ(retired(0), 0); // No server has the new weights.
   Known.AllServers = {old, current, current, current};
   EXPECT_EQ(retired(0), 0.75);
   EXPECT_EQ(retired(0.3), 0.25);
--- a/tests/direct/retirement_service.cpp
+++ b/tests/direct/retirement_service.cpp
@@ -1,4 +1,4 @@
-/// The key-value service of the model of retired context.
+/// The simulated key-value service.
 #include "direct/retirement_world.h"
 
 namespace daisytack::direct::test {
--- a/tests/direct/retirement_test.cpp
+++ b/tests/direct/retirement_test.cpp
@@ -1,8 +1,7 @@
-/// Parts of prompts were read from a store after another entry had them freed.
-/// Entries that were killed and started again named them: they had agreed to
-/// nothing, as what was agreed on lived in processes. Logs showed the sources
-/// of a restarted entry's requests, and the free of the same parts within the
-/// fetch.
+/// Guards against servers fetching prompt parts from a context store after
+/// another entry had them freed. Agreements to retire context were kept only in
+/// processes: a restarted entry had agreed to nothing and named parts that were
+/// freed during the fetch.
 #include "direct/retirement_world.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +22,7 @@
   return violations.empty() ? "" : violations.front();
 }
 
-/// Entries restart in series while servers move to new weights.
+/// Entries restart repeatedly while servers load new weights.
 TEST(RetirementAgreement, HoldsWhileEntriesRestartRepeatedly) {
   for (uint64_t seed = 0; seed < 20; ++seed) {
     RetirementWorld world(4, randomFrom(seed));
@@ -42,16 +41,16 @@
   }
 }
 
-/// The load: a third of the entries is cut off from the service for twelve
-/// seconds, four times as long as their leases last, and hears what it holds
-/// from the others. Callers of these entries would have every shared part of
-/// their prompts read anew for nine of the twelve seconds.
+/// A third of the entries is cut off from the service for twelve seconds, four
+/// times the duration of their leases, and gets records from other entries. If
+/// they named no sources, every shared part of their callers' prompts would be
+/// recomputed for nine of the twelve seconds.
 TEST(RetirementAgreement, AnEntryThatIsCutOffContinuesToNameSources) {
   RetirementWorld world(6, randomFrom(7));
   world.advance(20s);
   for (size_t instance : {1, 3})
     world.cutFromService(instance, true);
-  world.advance(4s); // Their leases have lapsed.
+  world.advance(4s); // Their leases have expired.
   size_t before = world.unannouncedFetches();
   world.advance(8s);
   EXPECT_GT(world.unannouncedFetches(), before);
@@ -61,8 +60,9 @@
   EXPECT_EQ(firstViolation(world.violations()), "");
 }
 
-/// An entry that is out of the service's sight for longer than its trust names
-/// nothing, whatever the others tell it.
+/// An entry whose announcement has been absent for longer than
+/// MaxSourceStaleness names no sources, even if other entries keep its records
+/// up to date.
 TEST(RetirementAgreement, AnEntryThatIsUnannouncedForLongNamesNoSources) {
   RetirementWorld world(6, randomFrom(8));
   world.advance(20s);
@@ -73,7 +73,7 @@
   EXPECT_EQ(world.unannouncedFetches(), before);
 }
 
-/// One disturbance of the world.
+/// Applies a random fault.
 void disturb(RetirementWorld &world, size_t entries) {
   auto entry = *rc::gen::inRange<size_t>(0, entries);
   bool isOn = *rc::gen::weightedElement<bool>({{2, true}, {1, false}});
@@ -130,9 +130,9 @@
   RC_ASSERT(firstViolation(world.violations()) == "");
 }
 
-/// The same while the key-value service comes back from older copies: the
-/// record of what is retired, registrations, announcements and the holder's
-/// right go back with it, and revisions are given out again.
+/// The same while the key-value service is restored from older copies, which
+/// reverts the record of retired context, registrations, announcements and the
+/// order lease, and reissues revisions.
 RC_GTEST_PROP(RetirementAgreement, NeverFreesWhatAServerMayReadAfterRestores,
               ()) {
   constexpr size_t Entries = 4;
@@ -155,7 +155,7 @@
   RC_ASSERT(firstViolation(world.violations()) == "");
 }
 
-/// Context of replaced weights is freed all the same.
+/// Context of replaced weights is freed also after a restore.
 TEST(RetirementAgreement, FreesAfterTheServiceWasRestored) {
   for (uint64_t seed = 0; seed < 10; ++seed) {
     RetirementWorld world(4, randomFrom(seed));
@@ -170,8 +170,8 @@
   }
 }
 
-/// The load: every entry of a fleet watched the service, so that each change
-/// cost a call of each entry. A few of them read for the others now.
+/// Guards against a watch in every entry, which costs the service one call per
+/// entry and change.
 TEST(Followers, AFewEntriesReadTheServiceForAll) {
   constexpr size_t Entries = 16;
   RetirementWorld world(Entries, randomFrom(3));
@@ -183,8 +183,8 @@
   EXPECT_EQ(world.upToDateEntries(), Entries);
 }
 
-/// Readers are killed one after the other; nobody is late for longer than the
-/// bound on a configuration.
+/// Readers are killed one after the other, and no entry lags behind by more
+/// than the limit for a new configuration.
 TEST(Followers, LearnOfAChangeInTimeAlthoughReadersAreKilled) {
   constexpr size_t Entries = 8;
   constexpr Duration Bound = 4s;
@@ -202,8 +202,9 @@
   }
 }
 
-/// What an entry may refuse for good, name, or give orders on rests on its
-/// claim to know all that the service held up to a revision.
+/// Whether an entry may permanently reject requests, name sources or send
+/// orders depends on its claim to know everything that the service held up to a
+/// revision.
 RC_GTEST_PROP(Followers, NeverClaimToKnowMoreThanTheyDo, ()) {
   constexpr size_t Entries = 6;
   RetirementWorld world(Entries, randomFrom(*rc::gen::arbitrary<uint64_t>()));
--- a/tests/direct/retirement_world.cpp
+++ b/tests/direct/retirement_world.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Duration LeaseTimeToLive{3'000'000};
-/// The holder acts for so long after a renewal was sent.
+/// How long the holder of the order lease acts after it sent a renewal.
 constexpr Duration ActingTime{2'000'000};
 constexpr Duration RenewalInterval{900'000};
 constexpr Duration CallTimeout{700'000};
@@ -55,7 +55,7 @@
 
 } // namespace
 
-/// One reader, so that even three entries have followers.
+/// With a single reader, so that even a few entries include followers.
 FollowSettings worldFollowSettings() {
   FollowSettings out;
   out.MinReaders = 1;
@@ -141,7 +141,7 @@
   entry->Kept.setStores({storeService()});
   PartList list;
   list.Epoch = 1;
-  // The worst case: of what was freed later, no report arrives.
+  // The worst case: the entry never learns of parts that are freed later.
   for (const auto &[scope, part] : StoredParts)
     list.Kept.push_back({0, true, scope, part, 10});
   entry->Kept.apply(StoreName, list);
@@ -255,10 +255,10 @@
           [this](ModelEntry &self) { self.Agreement.onWritten(Now); });
   if (!canWrite(entry))
     return;
-  // It may be carried out long after its sender has given it up.
+  // The write may be carried out long after its sender's timeout.
   Duration delay = randomBelow(4) == 0 ? Duration(4'000'000) : ServiceDelay;
   schedule(Now + delay, [this, key, value, expected, token = entry->Token] {
-    // The service compares its own counts, of whatever era they were.
+    // The service compares only its own counts and ignores eras.
     if (countInEra(Service.revisionOf("holder")) != countInEra(token) ||
         countInEra(Service.revisionOf(key)) != countInEra(expected))
       return;
@@ -356,7 +356,7 @@
   for (const BackendServer &server : entry.Catalog.view()->AllServers) {
     const Server &truth = Servers[server.Id];
     uint64_t named = server.versionOf("m");
-    // Any other server turns the request away.
+    // Other servers reject the request.
     if (truth.IsUp && truth.Version == named)
       versions.insert(named);
   }
@@ -451,7 +451,7 @@
                       static_cast<std::ptrdiff_t>(server % Servers.size()));
   if (!std::exchange(it->second.IsUp, false))
     return;
-  // It comes back with the weights that it had.
+  // The server comes back with the same weights.
   std::string key = "server:" + it->first;
   Service.remove(key);
   schedule(Now + pause, [this, key, id = it->first] {
