--- a/src/direct/serving_config.h
+++ b/src/direct/serving_config.h
@@ -1,6 +1,6 @@
-/// The operator's configuration on the direct path: which request goes to which
-/// service, who may send it, and what it may cost. Value types, and an index
-/// for the path of a request.
+/// The operator's configuration of the direct path: routes from requests to
+/// services, the organisations that may send requests, and their limits.
+/// Defines value types, and an index for lookups during a request.
 #pragma once
 
 #include "daisytack/types.h"
@@ -15,8 +15,8 @@
 
 namespace daisytack::direct {
 
-/// What may be repeated. A stream counts as non-idempotent unless its route
-/// says that it can be resumed.
+/// Whether requests may run more than once. A stream may not, unless its route
+/// is resumable.
 enum class RouteKind : uint8_t { Idempotent, NonIdempotent, Stream };
 
 /// One of the services that share a route's requests, by weight.
@@ -26,24 +26,28 @@
   auto operator<=>(const TrafficShare &) const = default;
 };
 
+/// A route selects the services for requests to a host and path prefix.
 struct Route {
   std::string Name;
   std::string Host;
   std::string PathPrefix; ///< Begins and ends with a slash.
   RouteKind Kind = RouteKind::NonIdempotent;
   std::vector<TrafficShare> Shares;
-  uint32_t Attempts = 1;     ///< Backend servers that may run one request.
-  Duration Timeout{0};       ///< Until the final answer; 0: none.
-  Duration TargetLatency{0}; ///< Until the first byte of an answer in time.
-  /// How long callers wait for the first event of a stream before they leave;
-  /// 0: as long as they say.
+  /// Maximum number of attempts of a request, each on another backend server.
+  uint32_t Attempts = 1;
+  Duration Timeout{0}; ///< Maximum time until the response ends; 0: none.
+  /// Target for the time until the first byte of the response; 0: none.
+  Duration TargetLatency{0};
+  /// How long callers wait for the first event of a stream before they give up;
+  /// 0: the request's deadline applies.
   Duration MaxFirstEventWait{0};
-  Duration TargetEventGap{0}; ///< Between the events of a stream in time.
-  uint32_t Priority = 0;      ///< 0 is the most urgent.
-  bool IsPublic = false;      ///< Needs no API key.
-  bool IsResumable = false;   ///< A broken stream may go on elsewhere.
-  bool HasPrompt = false;     ///< Requests name a model and prompt parts.
-  AllowedRegions Regions{}; ///< Of servers and stores that requests may reach.
+  /// Target for the time between events of a stream; 0: none.
+  Duration TargetEventGap{0};
+  uint32_t Priority = 0;    ///< 0 is the most urgent.
+  bool IsPublic = false;    ///< Requests need no API key.
+  bool IsResumable = false; ///< A broken stream may resume on another server.
+  bool HasPrompt = false;   ///< Requests name a model and prompt parts.
+  AllowedRegions Regions{}; ///< Regions of servers and stores that may be used.
   auto operator<=>(const Route &) const = default;
 
   /// Whether a request may run more than once.
@@ -53,60 +57,64 @@
   }
 };
 
-/// An organisation and the keys that its requests carry.
+/// An organisation, its API keys and what its requests may use.
 struct OrganisationAccess {
   std::string Organisation;
   std::vector<std::string> Keys;
-  std::optional<uint32_t> Priority; ///< Replaces that of the route.
-  bool IsIsolated = false;          ///< Shares no kept context with others.
-  AllowedRegions Regions{}; ///< Of servers and stores that requests may reach.
+  std::optional<uint32_t> Priority; ///< Overrides the route's priority.
+  bool IsIsolated = false; ///< Shares no kept context with other organisations.
+  AllowedRegions Regions{}; ///< Regions of servers and stores that may be used.
   auto operator<=>(const OrganisationAccess &) const = default;
 };
 
-/// What all engines of a service have in common.
+/// Properties shared by all engines of a service.
 struct EngineTraits {
-  uint32_t Slots = 1;             ///< Requests that run at once.
-  uint64_t ContextTokens = 0;     ///< Memory for running and kept prompts.
-  uint32_t TokenBytes = 0;        ///< Of kept context, per token.
-  double LinkMbps = 0;            ///< For transfers of kept context.
-  bool HasManagedContext = false; ///< Sources are named part by part.
-  std::vector<std::string> Models;
+  uint32_t Slots = 1; ///< Requests that run at once.
+  /// Memory for running and kept prompts, in tokens.
+  uint64_t ContextTokens = 0;
+  uint32_t TokenBytes = 0; ///< Size of kept context, in bytes per token.
+  double LinkMbps = 0;     ///< Bandwidth for transfers of kept context.
+  /// Requests name the source of each prompt part separately.
+  bool HasManagedContext = false;
+  std::vector<std::string> Models; ///< Models that each engine must have.
   auto operator<=>(const EngineTraits &) const = default;
 };
 
-/// A store of kept context.
+/// Properties of a context store, which keeps context for engines to fetch.
 struct ContextStoreTraits {
   Endpoint Address;
   std::string FailureDomain;
   uint64_t CapacityTokens = 0;
-  double LinkMbps = 0;
-  Duration FirstByte{0};      ///< Before each transfer.
-  bool IsManaged = false;     ///< Frees nothing by itself.
-  uint32_t MaxWatchCalls = 1; ///< Event calls that it keeps waiting at once.
+  double LinkMbps = 0;        ///< Bandwidth for transfers of kept context.
+  Duration FirstByte{0};      ///< Latency before each transfer.
+  bool IsManaged = false;     ///< The store frees nothing by itself.
+  uint32_t MaxWatchCalls = 1; ///< Maximum number of concurrent long polls.
   auto operator<=>(const ContextStoreTraits &) const = default;
 };
 
+/// A service: a group of equivalent backend servers, or a context store.
 struct Service {
   std::string Name;
-  uint32_t ConnectionLimit = 0; ///< Of one server, over all callers; 0: none.
-  Duration ColdStart{0};        ///< How long its servers are cold.
-  /// That a cold server bears; 0: servers are as good as warm at once.
+  /// Maximum number of connections to one server, from all callers; 0: none.
+  uint32_t ConnectionLimit = 0;
+  Duration ColdStart{0}; ///< How long a server is cold after its start.
+  /// Request rate that a cold server can handle; 0: servers need no warm-up.
   double ColdRequestsPerSecond = 0;
-  std::optional<EngineTraits> Engine;
-  std::optional<ContextStoreTraits> Store;
+  std::optional<EngineTraits> Engine;      ///< Set if the servers are engines.
+  std::optional<ContextStoreTraits> Store; ///< Set for a context store.
   auto operator<=>(const Service &) const = default;
 };
 
-/// Bounds on what callers send.
+/// Limits on callers' connections and requests.
 struct CallerLimits {
   size_t MaxHeaderBytes = MaxHttpHeaderBytes;
   size_t MaxBodyBytes = MaxHttpBodyBytes;
-  Duration HeaderTimeout{10'000'000};
-  Duration IdleTimeout{60'000'000};
+  Duration HeaderTimeout{10'000'000}; ///< Until a request's header is complete.
+  Duration IdleTimeout{60'000'000};   ///< Until an idle connection is closed.
   auto operator<=>(const CallerLimits &) const = default;
 };
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 struct ServingConfig {
   uint64_t Version = 0;
   std::vector<Route> Routes;
@@ -122,16 +130,17 @@
   explicit ConfigIndex(ServingConfig config);
 
   const ServingConfig &config() const { return Config; }
-  /// The route of the host whose prefix is the longest that begins the path;
-  /// null when there is none. A port in the host is ignored, and its case.
+  /// The host's route with the longest prefix of the path; null if there is
+  /// none. The host is matched without its port and regardless of case.
   const Route *findRoute(std::string_view host, std::string_view path) const;
-  /// Null when no organisation holds the key.
+  /// The organisation that has the API key; null if there is none.
   const OrganisationAccess *findKey(std::string_view key) const;
+  /// The service with this name; null if there is none.
   const Service *findService(std::string_view name) const;
-  /// The least target latency of the routes with prompts that lead to the
-  /// service; zero when none has one.
+  /// The lowest target latency among the service's routes with prompts; zero if
+  /// none of them has a target.
   Duration minTargetLatency(std::string_view service) const;
-  /// Without organisations no request needs a key.
+  /// Whether requests need an API key: not if no organisations are configured.
   bool needsKeys() const { return !Config.Organisations.empty(); }
 
 private:
@@ -141,12 +150,13 @@
       return std::hash<std::string_view>()(text);
     }
   };
+  /// Index into a list of Config, by name.
   using Positions =
       std::unordered_map<std::string, size_t, TextHash, std::equal_to<>>;
 
   ServingConfig Config;
   std::unordered_map<std::string, Positions, TextHash, std::equal_to<>>
-      RoutesByHost; ///< Host, then prefix.
+      RoutesByHost; ///< By host, then by path prefix.
   Positions Keys;
   Positions Services;
   std::unordered_map<std::string, Duration, TextHash, std::equal_to<>>
--- a/src/direct/weight_plan.cpp
+++ b/src/direct/weight_plan.cpp
@@ -28,7 +28,8 @@
   return std::max<size_t>(share, Settings.ConcurrentLoads);
 }
 
-/// Few at a time load fastest, but the last must be done in time.
+/// As few as possible at a time, because concurrent loads slow each other down,
+/// but enough to finish the rollout within the limit.
 size_t WeightPlan::concurrency(const Catalog &catalog,
                                const std::vector<OutdatedServer> &outdated,
                                TimePoint now) const {
@@ -67,7 +68,7 @@
   std::map<std::string_view, uint32_t> loading; ///< By failure domain.
   for (const BackendServer &server : catalog.AllServers)
     loading[server.FailureDomain] += Loads.contains(server.Id) ? 1 : 0;
-  // Those that must be done first, spread over the failure domains.
+  // Longest outdated first, then from the domain with the fewest loads.
   auto rank = [&](const OutdatedServer &it) {
     return std::pair(it.Since, loading[it.Server->FailureDomain]);
   };
@@ -104,7 +105,7 @@
       continue;
     load.CurrentPhase = Phase::Asking;
     load.NextCheckAt = now + Settings.CallTimeout;
-    // The one that it was chosen for may have been superseded since.
+    // A newer version may have become desired since the engine was selected.
     load.Wanted.Version = std::max(load.Wanted.Version,
                                    catalog.desiredVersion(load.Wanted.Model));
     out.push_back(RequestReport{id, load.Address});
@@ -119,7 +120,8 @@
   if (it == Loads.end() || it->second.CurrentPhase != Phase::Asking)
     return {};
   Load &load = it->second;
-  // Of another start: it came late, or the record of the new start will come.
+  // A report of another start: either this one is late, or the record of a
+  // newer start has not arrived yet.
   bool isOtherStart = report && report->StartedMs != 0 && load.StartedMs != 0 &&
                       report->StartedMs != load.StartedMs;
   if (!report || isOtherStart) {
@@ -149,7 +151,8 @@
 
 void WeightPlan::onAnswer(ServerRef server, OrderAnswer answer, TimePoint now) {
   auto it = Loads.find(std::string(server.Id));
-  // A refusal for the token says something of this process, not of the server.
+  // A rejected fencing token concerns this process, so it counts whichever
+  // start of the server sent it.
   if (answer == OrderAnswer::Fenced)
     return Loads.clear();
   if (it == Loads.end() || it->second.StartedMs != server.StartedMs)
--- a/src/direct/weight_plan.h
+++ b/src/direct/weight_plan.h
@@ -1,12 +1,12 @@
-/// Which engines are to load which version of their weights, and how far each
-/// has come. Without a socket, clock or thread.
+/// Plans the rollout of new weights: which engines load which version, and how
+/// far each has got. Uses no sockets, clocks or threads.
 ///
-/// An engine that is asked to load first finishes its runs and turns new
-/// requests away, so few load at a time, and they are spread over the failure
-/// domains. An order names the number of orders that the engine has accepted,
-/// so that one which arrives late, after a newer one, has no effect. That
-/// number begins anew when the engine starts anew, so what is known of a load
-/// holds for one start of the engine.
+/// An engine that is ordered to load first finishes its current runs and
+/// rejects new requests. So only a few engines load at a time, spread over the
+/// failure domains. An order carries the number of orders that the engine has
+/// accepted so far, so an order that arrives after a newer one has no effect.
+/// The engine resets this number when it restarts, so a load is tracked for one
+/// start of the engine.
 #pragma once
 
 #include "direct/catalog.h"
@@ -20,49 +20,54 @@
 
 namespace daisytack::direct {
 
+/// Timing and concurrency of a rollout.
 struct WeightPlanSettings {
-  /// Engines that load at a time; more of them load slower. Of a large fleet
-  /// at least this share: its weights are served by more at once in proportion,
-  /// and what is out leaves room for the others.
+  /// Number of engines that load at a time in a small fleet. Few, because
+  /// concurrent loads slow each other down.
   uint32_t ConcurrentLoads = 2;
+  /// Share of all engines that load at a time in a large fleet, which can serve
+  /// weights to more engines at once and has more capacity left.
   double ConcurrentShare = 1.0 / 6;
-  /// An engine that is chosen gets no new requests for so long before its
-  /// order: what still waits there would be turned away by it. Most waits are
-  /// shorter.
+  /// A selected engine gets no new requests for this time before its order, so
+  /// that requests already queued there can start: the engine would reject
+  /// them. Most of them wait less.
   Duration PrepareTime{300'000};
-  /// From the wish for a version until every server must have it; and how long
-  /// one load takes with the runs that end before it, when it is known that not
-  /// all will be done in time. More load at a time then.
+  /// Time from when a version becomes desired until every server must have it.
+  /// More engines load at a time if the limit would be exceeded otherwise.
   Duration RolloutLimit{11'000'000};
+  /// Usual duration of a load, including the runs that finish before it.
   Duration UsualLoadTime{2'200'000};
-  /// A report or an order without an answer is given up after this.
+  /// Timeout of a request for a report and of an order.
   Duration CallTimeout{700'000};
-  /// Between looks at an engine that should be loading; its reports are some
-  /// hundred milliseconds old.
+  /// Time between checks of an engine that should be loading. Its reports are a
+  /// few hundred milliseconds old.
   Duration CheckInterval{250'000};
-  /// Before the first look after an order: no load takes less.
+  /// Time from an order to the first check; no load is faster.
   Duration FirstCheckDelay{900'000};
-  /// A load that takes longer is begun again: several times the usual one.
+  /// A load that takes longer is started again. Several times the usual
+  /// duration.
   Duration LoadTimeout{6'000'000};
-  /// After an engine refused, before it is asked again.
+  /// Time until an engine that refused an order is asked again.
   Duration RefusalRetryDelay{300'000};
   bool operator==(const WeightPlanSettings &) const = default;
 };
 
+/// Request a report from the engine.
 struct RequestReport {
   std::string ServerId;
   Endpoint Address;
   bool operator==(const RequestReport &) const = default;
 };
+/// Order the engine to load the version.
 struct SendWeightOrder {
   std::string ServerId;
   Endpoint Address;
   ModelVersion Wanted;
-  uint64_t OrdersTaken = 0;
-  uint64_t StartedMs = 0; ///< Of the start whose report asked for the order.
+  uint64_t OrdersTaken = 0; ///< Orders that the engine has accepted so far.
+  uint64_t StartedMs = 0;   ///< The start whose report led to the order.
   bool operator==(const SendWeightOrder &) const = default;
 };
-/// The server has taken the version since this start.
+/// Note that this start of the server has loaded the version.
 struct NoteLoaded {
   std::string ServerId;
   ModelVersion LoadedVersion;
@@ -71,65 +76,76 @@
 };
 using WeightAction = std::variant<RequestReport, SendWeightOrder, NoteLoaded>;
 
-/// What an engine answered to an order.
+/// An engine's response to an order.
 enum class OrderAnswer : uint8_t {
-  Accepted,    ///< Being carried out, or it holds already.
-  Conflict,    ///< Another order is under way, or the count differs.
-  Fenced,      ///< Another holder has given orders since: this one must stop.
-  Impossible,  ///< The engine can't carry it out now.
+  Accepted,    ///< The engine is loading the version or already has it.
+  Conflict,    ///< Another order is under way, or the number of orders differs.
+  Fenced,      ///< Rejected for its fencing token: there is a newer holder.
+  Impossible,  ///< The engine can't carry out the order now.
   OtherServer, ///< The address belongs to another server.
-  Unknown,     ///< No answer: it may be carried out later.
+  Unknown,     ///< No response; the order may still be carried out later.
 };
 
-/// Not thread-safe.
+/// The state of the rollout at the holder of the order lease. Not thread-safe.
 class WeightPlan {
 public:
   explicit WeightPlan(WeightPlanSettings settings) : Settings(settings) {}
 
-  /// What to do now: begins loads while there is room, and looks after those
-  /// under way.
+  /// What to do now: starts loads up to the limit and checks those under way.
+  /// Call several times a second.
   std::vector<WeightAction> next(const Catalog &catalog, TimePoint now);
+  /// The report of an engine, or nothing if the request for it failed. Returns
+  /// what to do next.
   std::vector<WeightAction> onReport(const std::string &server,
                                      const std::optional<EngineReport> &report,
                                      TimePoint now);
-  /// The answer to an order that was given to this start of the server.
+  /// The response to an order that was sent to this start of the server.
   void onAnswer(ServerRef server, OrderAnswer answer, TimePoint now);
-  /// This process may not give orders any more.
+  /// Forgets all loads, because this process no longer holds the order lease.
   void clear() { Loads.clear(); }
 
-  /// Servers that are loading, or about to.
+  /// Servers that are loading or are about to.
   std::vector<ServerStart> loadingServers() const;
   bool isIdle() const { return Loads.empty(); }
 
 private:
+  /// What a load waits for: the engine's report, the response to an order, or
+  /// the end of the load itself.
   enum class Phase : uint8_t { Asking, Ordering, Loading };
+  /// One engine's load of new weights, from its selection on.
   struct Load {
-    uint64_t StartedMs = 0;
+    uint64_t StartedMs = 0; ///< The start of the engine that the load is for.
     Endpoint Address;
     ModelVersion Wanted;
     Phase CurrentPhase = Phase::Asking;
-    TimePoint Since;       ///< When it was chosen.
-    TimePoint NextCheckAt; ///< Next look, unless an answer comes before.
+    TimePoint Since;       ///< When the engine was selected.
+    TimePoint NextCheckAt; ///< Next check, unless a response arrives earlier.
   };
+  /// A server with older weights than desired.
   struct OutdatedServer {
     const BackendServer *Server = nullptr;
     ModelVersion Wanted;
-    TimePoint Since; ///< Since when it has been behind.
+    TimePoint Since; ///< Since when its weights have been outdated.
   };
 
+  /// Engines that may load at a time in any case.
   size_t minConcurrency(const Catalog &catalog) const;
   std::vector<OutdatedServer> outdatedServers(const Catalog &catalog) const;
+  /// Drops loads that have finished or timed out, or whose server has left or
+  /// restarted.
   void dropFinishedLoads(const Catalog &catalog, TimePoint now);
-  /// Chooses engines while there is room for them.
+  /// Selects outdated servers until concurrency() loads are under way.
   void startLoads(const Catalog &catalog, TimePoint now);
+  /// Engines that may load at a time now.
   size_t concurrency(const Catalog &catalog,
                      const std::vector<OutdatedServer> &outdated,
                      TimePoint now) const;
+  /// The outdated server to load next; null if all are loading.
   const OutdatedServer *pickNext(const std::vector<OutdatedServer> &outdated,
                                  const Catalog &catalog) const;
 
   WeightPlanSettings Settings;
-  std::map<std::string, Load> Loads;
+  std::map<std::string, Load> Loads; ///< By server id.
 };
 
 } // namespace daisytack::direct
--- a/tests/direct/restart_model_test.cpp
+++ b/tests/direct/restart_model_test.cpp
@@ -1,5 +1,5 @@
-/// The plan of loads against an engine that starts again under its id, with
-/// records, reports, answers and orders that come late or not at all.
+/// WeightPlan with an engine that restarts under the same id, while records,
+/// reports, responses and orders are late or lost.
 #include "direct/weight_plan.h"
 
 #include <gtest/gtest.h>
@@ -15,12 +15,13 @@
 constexpr Duration LoadTime = 1300ms;
 constexpr uint64_t Wanted = 3;
 
-/// What an engine does with orders; it counts them anew after each start.
+/// An engine that carries out orders and resets their number at each start.
 struct ModelEngine {
   uint64_t StartedMs = 1000;
   uint64_t Version = 1;
   uint64_t OrdersTaken = 0;
-  std::optional<std::pair<uint64_t, TimePoint>> Loading; ///< Version, and when.
+  /// Version that is being loaded, and when the load ends; empty: none.
+  std::optional<std::pair<uint64_t, TimePoint>> Loading;
 
   void run(TimePoint now) {
     if (!Loading || now < Loading->second)
@@ -28,7 +29,8 @@
     Version = Loading->first;
     Loading.reset();
   }
-  /// Its clock may have been set back.
+  /// The start time may be earlier than the previous one, as after the engine's
+  /// clock was set back.
   void restart(uint64_t startedMs) {
     *this = {startedMs, Version, 0, std::nullopt};
   }
@@ -46,12 +48,12 @@
   }
 };
 
-/// One engine, its record, and the plan, on a clock of its own.
+/// One engine, its record and the plan, on a simulated clock.
 class RestartModel {
 public:
   RestartModel() { Known.DesiredVersions["model"] = {{Wanted, Now}}; }
 
-  /// A tenth of a second; while there are faults, each step may have one.
+  /// Advances by 100 ms. With faults, each step may have some.
   void step(bool hasFaults) {
     Now += 100ms;
     Engine.run(Now);
@@ -123,12 +125,14 @@
   std::vector<std::pair<SendWeightOrder, TimePoint>> LateOrders;
 };
 
-/// However often it starts again: once that ends, it gets the wanted weights.
+/// However often the engine restarts, it gets the desired weights once the
+/// faults end.
 RC_GTEST_PROP(RestartedEngineModel, GetsItsWeightsOnceTheFaultsEnd, ()) {
   RestartModel model;
   for (int i = 0; i < 80; ++i)
     model.step(true);
-  int steps = 0; // The latest order comes after 12 s; a stuck load takes 6 s.
+  // The latest order arrives after 12 s; a load times out after 6 s.
+  int steps = 0;
   while (!model.isDone() && steps < 250) {
     model.step(false);
     ++steps;
--- a/tests/direct/serving_config_test.cpp
+++ b/tests/direct/serving_config_test.cpp
@@ -30,7 +30,7 @@
 struct Lookup {
   const char *Host;
   const char *Path;
-  const char *Route; ///< Empty: none.
+  const char *Route; ///< Expected route; empty: none.
 };
 
 class FindRoute : public testing::TestWithParam<Lookup> {};
--- a/tests/direct/weight_plan_test.cpp
+++ b/tests/direct/weight_plan_test.cpp
@@ -56,8 +56,8 @@
   EXPECT_EQ(asked(plan.next(Catalog, Start + 300ms)).size(), 2);
 }
 
-/// Two versions named in quick succession: an engine that was chosen for the
-/// first would load it only to turn requests away once more.
+/// When two versions become desired in quick succession, an engine that was
+/// selected for the first would load it only to reject requests once more.
 TEST_F(WeightPlanTest, OrdersTheNewestOfTwoVersions) {
   WeightPlan plan{{.PrepareTime = 300ms}};
   plan.next(Catalog, Start);
@@ -68,7 +68,7 @@
   EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).Wanted.Version, 3);
 }
 
-/// It has no runs left at that moment, so that the next load costs least.
+/// Right after a load the engine has no runs, so the next load costs least.
 TEST_F(WeightPlanTest, LoadsTheNewestRightAfterASupersededOne) {
   Plan.next(Catalog, Start);
   Plan.onReport("e0", report(1, 0), Start);
@@ -120,7 +120,7 @@
   ASSERT_EQ(actions.size(), 1);
   EXPECT_EQ(std::get<NoteLoaded>(actions[0]), (NoteLoaded{"e0", {"model", 2}}));
   Catalog.AllServers[0].Weights = {{"model", 2}};
-  // Of those left, the first in a failure domain where nothing loads.
+  // e1 is the first remaining server in a failure domain without a load.
   EXPECT_EQ(asked(Plan.next(Catalog, Start + 1s)).count("e1"), 1);
 }
 
@@ -129,8 +129,8 @@
   Plan.onReport("e0", report(1, 0), Start);
   Plan.onAnswer("e0", OrderAnswer::Unknown, Start);
   EXPECT_TRUE(asked(Plan.next(Catalog, Start + 400ms)).contains("e0"));
-  // It was not carried out yet: the next order names the same count, so that
-  // only one of the two can be accepted.
+  // The order has not been carried out yet. The next one carries the same
+  // number of orders, so that only one of the two can be accepted.
   auto actions = Plan.onReport("e0", report(1, 0), Start + 400ms);
   EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).OrdersTaken, 0);
 }
@@ -171,16 +171,16 @@
 
 TEST_F(WeightPlanTest, LoadsMoreAtATimeWhenTimeIsShort) {
   size_t n = asked(Plan.next(Catalog, Start + 9s)).size();
-  EXPECT_EQ(n, 3); // Half of those that are behind keep serving.
+  EXPECT_EQ(n, 3); // Half of the outdated engines keep serving.
 }
 
-/// Two of many at a time would take a large fleet far past the limit.
+/// With two loads at a time, a large fleet would far exceed the limit.
 TEST_F(WeightPlanTest, LoadsAShareOfALargeFleetAtATime) {
   BackendServer more = Catalog.AllServers.front();
   while (Catalog.AllServers.size() < 60) {
     more.Id = "more" + std::to_string(Catalog.AllServers.size());
     more.FailureDomain = "d" + std::to_string(Catalog.AllServers.size() % 3);
-    // Most have taken the version: few are behind, and much time is left.
+    // Most engines have the version: few are outdated, and much time is left.
     more.Weights = {{"model", 2}};
     Catalog.AllServers.push_back(more);
   }
