--- a/tests/gateway/drain_test.cpp
+++ b/tests/gateway/drain_test.cpp
@@ -1,14 +1,11 @@
-/// What was seen: an entry took a request 5.5 s after SIGTERM, passed it on,
-/// and was killed at the end of its grace period while the answer was under
-/// way. How it came about: the listener and all idle connections were closed by
-/// then, but the request came on a connection on which a streamed answer had
-/// just ended. The head of that answer had been sent before the signal and
-/// promised to keep the connection, so the connection was idle once more and
-/// took the next request.
-/// The cause: that a stopping entry takes no requests was brought about by
-/// closing what was idle at one moment, and not asked where a request is taken.
-/// What proved it: the first test below; the request reached the backend
-/// server.
+/// Guards against a draining entry that accepts a late request and is killed,
+/// at the end of its grace period, before the answer ends.
+///
+/// This happened 5.5 s after SIGTERM: the listener and all idle connections
+/// were closed, but the request came on a connection on which a streamed answer
+/// had just ended. The head of that answer was sent before the signal and
+/// promised to keep the connection. Closing what is idle at one moment is
+/// therefore not enough: each request must be checked when it is accepted.
 #include "gateway/gateway_fixture.h"
 
 #include "base/clock.h"
@@ -16,7 +13,7 @@
 namespace daisytack::gateway {
 namespace {
 
-/// A route whose answers are streams, to a plain backend server.
+/// A route with streamed answers from a service without engines.
 constexpr const char *StreamConfig = R"({"version":1,"routes":[
   {"name":"talk","host":"a.example","path-prefix":"/talk/","kind":"streaming",
    "timeout-ms":30000,"target-latency-ms":800,"service":"plain",
@@ -29,8 +26,8 @@
          id + "\r\nX-Daisytack-Deadline-Milliseconds: 30000\r\n\r\n";
 }
 
-/// Answers of a backend server that begin at once, unless it is silent, and end
-/// when told to.
+/// Streamed answers of a backend server that begin at once, unless the server
+/// is silent, and end when endAll() is called.
 class OpenStreams {
 public:
   void begin(const HttpRequest &request, const ExchangePtr &to) {
@@ -75,7 +72,7 @@
   }
   uint16_t port() const { return Stopping.Options.Callers.Port; }
 
-  /// Stops the entry and returns once it closes connections that are idle.
+  /// Starts the drain and returns once the entry closes idle connections.
   void drainPastNotice() {
     net::RawClient idle(port());
     idle.send("GET /none HTTP/1.1\r\nHost: a.example\r\n\r\n");
@@ -102,7 +99,7 @@
   caller.send(streamRequest("r2"));
   std::string late = caller.readAll();
   EXPECT_EQ(Backend.requests().size(), 1U);
-  // Either the connection was closed unread, or the refusal says so.
+  // Either the connection was closed unread, or the answer is a refusal.
   bool isRefused = late.find("503") != std::string::npos &&
                    late.find("Retry-After") != std::string::npos;
   EXPECT_TRUE(late.empty() || isRefused) << late;
@@ -122,8 +119,8 @@
   EXPECT_TRUE(eventually([&] { return Drained.load(); }));
 }
 
-/// The last word is said once: what comes after it must not be passed on, or it
-/// would never be answered.
+/// Pending requests are failed only once: a request that is forwarded after
+/// that would never be answered.
 TEST_F(DrainTest, ForwardsNothingAfterPendingRequestsWereFailed) {
   ASSERT_TRUE(waitReady(Stopping));
   Streams.IsSilent = true;
@@ -138,8 +135,8 @@
   EXPECT_TRUE(eventually([&] { return Drained.load(); }));
 }
 
-/// The time for requests is over when the plan says so, also while the timer
-/// that closes the listener is late.
+/// The plan ends the acceptance of requests, even if the timer that closes the
+/// listener is late.
 TEST_F(DrainTest, RefusesLateRequestsEvenIfItsTimerIsLate) {
   ASSERT_TRUE(waitReady(Stopping));
   net::RawClient caller(port());
--- a/tests/gateway/fake_servers.h
+++ b/tests/gateway/fake_servers.h
@@ -1,5 +1,5 @@
-/// Stand-ins on loopback for what an entry on the direct path meets: the
-/// key-value service and a backend server, with the faults that tests need.
+/// Fakes on loopback of what an entry calls: the key-value service and a
+/// backend server, with the faults that tests need.
 #pragma once
 
 #include "gateway/test_ports.h"
@@ -24,7 +24,8 @@
 using net::HttpResponse;
 using ExchangePtr = std::shared_ptr<HttpExchange>;
 
-/// Keys with revisions, watches and leases that do not lapse by themselves.
+/// A key-value service with revisions, watches, and leases that do not lapse by
+/// themselves.
 class FakeKvService {
   struct Item {
     std::string Value;
@@ -64,8 +65,8 @@
     removeLocked(key);
     notifyWatchesLocked();
   }
-  /// Answers all calls that wait for news without any, as a service does from
-  /// time to time; returns how many waited.
+  /// Answers all waiting watch calls without a change, as a service does from
+  /// time to time; returns how many there were.
   size_t completeWatches() {
     std::lock_guard guard(Lock);
     for (const PendingWatch &wait : PendingWatches)
@@ -77,8 +78,8 @@
     std::lock_guard guard(Lock);
     return {Items, Leases, Revision};
   }
-  /// Comes back from the copy: what was written since is gone, leases too, and
-  /// revisions are given out again.
+  /// Restores the snapshot: later writes and leases are lost, and revisions are
+  /// given out again.
   void restore(const Snapshot &from) {
     std::lock_guard guard(Lock);
     Items = from.Items;
@@ -91,14 +92,14 @@
     std::lock_guard guard(Lock);
     return Revision;
   }
-  /// Watches from revisions that it does not have.
+  /// Number of watches that were told that their history is lost.
   size_t lostWatches() {
     std::lock_guard guard(Lock);
     return LostWatches;
   }
-  /// No watch can go on from where its caller was.
+  /// Whether every watch is told that its history is lost.
   std::atomic<bool> HasNoHistory{false};
-  /// 0: answers; otherwise every call gets this status at once.
+  /// Status with which every call fails at once; 0: calls are answered.
   std::atomic<unsigned> RefusalStatus{0};
   bool has(const std::string &key) {
     std::lock_guard guard(Lock);
@@ -249,13 +250,14 @@
   std::vector<PendingWatch> PendingWatches;
   uint64_t Revision = 1;
   uint64_t Era = 1;
-  std::set<uint64_t> Leases; ///< That have not ended.
+  /// Leases that have not ended.
+  std::set<uint64_t> Leases;
   uint64_t LastLease = 100;
   size_t LostWatches = 0;
   net::HttpServer Server;
 };
 
-/// A backend server that answers by a function and keeps what it was sent.
+/// A backend server that answers with a function and records its requests.
 class FakeServer {
 public:
   using Answer = std::function<void(const HttpRequest &, const ExchangePtr &)>;
@@ -288,7 +290,7 @@
   net::HttpServer Server;
 };
 
-/// Echoes the request's id, and signs.
+/// Echoes the request's id and adds a server signature.
 inline HttpResponse signedAnswer(const HttpRequest &request,
                                  std::string body = "answer") {
   return {200,
--- a/tests/gateway/follow_test.cpp
+++ b/tests/gateway/follow_test.cpp
@@ -1,5 +1,5 @@
-/// Entries of one failure domain that leave the key-value service to a few of
-/// them: what callers are answered must not depend on who reads it.
+/// Entries of one failure domain of which only a few read the key-value
+/// service: answers to callers must not depend on which entries read it.
 #include "gateway/gateway_fixture.h"
 
 #include "direct/follow_plan.h"
@@ -25,7 +25,7 @@
         fetch(entry.Options.Metrics, request("/metrics")).Response.Body;
     return text.find("daisytack_service_watched 0") == std::string::npos;
   }
-  /// All but two readers, and the holder of the right to give orders.
+  /// At most the two readers and the holder of the right to give orders watch.
   bool onlyReadersWatch() {
     KvService.completeWatches();
     return std::count_if(Entries.begin(), Entries.end(),
@@ -57,7 +57,7 @@
   KvService.put("op/config", configText("\"k2\"", 2));
   EXPECT_TRUE(eventually([&] { return allAnswer("k1", 401); }));
   EXPECT_TRUE(allAnswer("k2", 200));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 TEST_F(FollowTest, EntriesWatchAgainWhenTheirReadersStop) {
@@ -78,7 +78,7 @@
              statusOf(*entry, request("/call/x", "r", "k1")) == 401;
     });
   }));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 } // namespace
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -1,4 +1,4 @@
-/// An entry on the direct path, whole, against stand-ins on loopback.
+/// A complete entry, against fakes on loopback.
 #pragma once
 
 #include "gateway/gateway.h"
@@ -21,7 +21,7 @@
 
 constexpr auto WaitTimeout = 20s;
 
-/// Waits for something that other threads bring about.
+/// Waits for a condition that other threads bring about; false on timeout.
 template <class Condition> bool eventually(Condition condition) {
   auto end = std::chrono::steady_clock::now() + WaitTimeout;
   while (std::chrono::steady_clock::now() < end) {
@@ -46,7 +46,7 @@
          keys + "]}]}";
 }
 
-/// An engine service with a store of kept context, and a route to it.
+/// Configuration of an engine service with a context store, and a route to it.
 inline std::string promptConfigText(const Endpoint &store) {
   return R"({"version":1,"routes":[
     {"name":"ask","host":"a.example","path-prefix":"/ask/","kind":"streaming",
@@ -62,7 +62,7 @@
     "tenants":[{"name":"org","api-keys":["k1"]}]})";
 }
 
-/// One entry with its addresses; runs from its start until destroyed.
+/// One entry with its addresses; runs from start() until it is destroyed.
 class Entry {
 public:
   Entry(net::asio::io_context &io, std::string name, const Endpoint &store,
@@ -102,10 +102,10 @@
 class GatewayTest : public testing::Test {
 protected:
   GatewayTest() : KvService(Threads.Io), Caller(Threads.Io, {}) {}
-  /// What the I/O threads use goes only once they have ended.
+  /// Ends the I/O threads before anything that they use.
   ~GatewayTest() override { Threads.stop(); }
 
-  /// Not started yet.
+  /// Creates an entry without starting it.
   Entry &prepare(const std::string &name, const Endpoint &store,
                  std::vector<Endpoint> seeds = {}) {
     Entries.push_back(
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -1,5 +1,4 @@
-/// What an entry on the direct path promises, whole, against stand-ins on
-/// loopback.
+/// Tests of a complete entry against fakes on loopback.
 #include "gateway/gateway_fixture.h"
 
 #include "direct/revision.h"
@@ -107,7 +106,7 @@
   ASSERT_TRUE(eventually([&] { return server.requests().size() == 1; }));
   raw.close();
   EXPECT_TRUE(eventually([&] { return gone.load(); }));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 TEST_F(GatewayTest, Answers502WhenTheServerIsLostMidRequest) {
@@ -120,8 +119,8 @@
   EXPECT_EQ(statusOf(entry, request("/call/x")), 502);
 }
 
-/// A server ran a request and lost its connection; the instance that came in
-/// its place then says that it did not run it. The first run still counts.
+/// A server ran a request and lost its connection; its replacement says that it
+/// did not run the request. The first run still counts.
 TEST_F(GatewayTest, DoesNotPromiseThatARequestHasNotRunAfterALostAnswer) {
   std::atomic<int> seen{0};
   test::FakeServer &server =
@@ -139,13 +138,13 @@
   HttpRequest get = request("/safe/", "first");
   get.Method = "GET";
   get.Body.clear();
-  ASSERT_EQ(statusOf(entry, get), 200); // Leaves a kept connection.
+  ASSERT_EQ(statusOf(entry, get), 200); // Leaves an idle connection.
   get.Headers[1].Value = "second";
   EXPECT_EQ(statusOf(entry, get), 502);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// What the caller was told can be found afterwards by the request's id.
+/// What a caller was told can be looked up by the request's id.
 TEST_F(GatewayTest, LogsTheRetryDelayOfARefusedRequest) {
   test::StdoutCapture lines;
   KvService.put("op/config", configText("\"k1\""));
@@ -159,11 +158,11 @@
   }));
   EXPECT_NE(line.find("\"outcome\":\"refused\""), std::string::npos) << line;
   EXPECT_NE(line.find("\"retry_after_ms\":3E2"), std::string::npos) << line;
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// Operators see that two failed requests are the same one, though each has an
-/// id of its own.
+/// Operators can tell that two failed requests are the same one, although each
+/// has its own id.
 TEST_F(GatewayTest, LogsTheSameIdentityForRetriesOfAFailedRequest) {
   test::StdoutCapture lines;
   test::FakeServer &server = startBackend(
@@ -184,13 +183,14 @@
   std::string first = identityOf("/call/a", "one");
   EXPECT_EQ(identityOf("/call/a", "two"), first);
   EXPECT_NE(identityOf("/call/b", "three"), first);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 TEST_F(GatewayTest, DrainsWithoutCuttingAnyRequestOff) {
   std::atomic<bool> release{false};
   std::mutex lock;
-  std::vector<std::jthread> waiting; ///< Joined before what they use goes.
+  // Joined before what the threads use is destroyed.
+  std::vector<std::jthread> waiting;
   test::FakeServer &server =
       startBackend([&](const HttpRequest &what, const ExchangePtr &to) {
         std::lock_guard guard(lock);
@@ -210,7 +210,7 @@
   std::atomic<bool> drained{false};
   entry.Daemon.drain(TimePoint::max(), [&](bool) { drained = true; });
   EXPECT_EQ(readinessStatus(entry), 503);
-  // Until the balancer has noticed, new connections are still served.
+  // New connections are still served until the load balancer has noticed.
   auto late = std::async(std::launch::async, [&] {
     return fetch(entry.Options.Callers, request("/call/x", "r2"))
         .Response.Status;
@@ -222,11 +222,12 @@
   EXPECT_EQ(running.get(), 200);
   EXPECT_EQ(late.get(), 200);
   EXPECT_TRUE(eventually([&] { return drained.load(); }));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// What another writer put under a server's key names no server; the next
-/// record of the server itself does again. A later start has no connections.
+/// A value of another writer under a server's key removes the server until the
+/// server writes its record again. A new start of the server drops the
+/// connections to the earlier one.
 TEST_F(GatewayTest, FollowsTheNewestRecordOfAServer) {
   test::StdoutCapture lines;
   test::FakeServer &server = startBackend(answer);
@@ -247,12 +248,12 @@
   EXPECT_EQ(server.openConnections(), 1);
   registerServer("i-1", server, "plain", 1, 2);
   EXPECT_TRUE(eventually([&] { return server.openConnections() == 0; }));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-// Others tell an announced entry which servers and which kept context to leave
-// alone, and until its last answer is out it needs that. A key that outlived
-// the entry made others call an address at which nobody answered.
+// An announced entry is told which servers and which kept context to avoid, and
+// needs that until its last answer is sent. If its key outlives it, other
+// entries call an address at which nobody answers.
 TEST_F(GatewayTest, StaysAnnouncedOnlyUntilItsLastAnswerIsSent) {
   std::mutex lock;
   std::vector<std::function<void()>> answers;
@@ -288,7 +289,7 @@
   auto ended = announcedAtEnd.get_future();
   ASSERT_EQ(ended.wait_for(WaitTimeout), std::future_status::ready);
   EXPECT_FALSE(ended.get());
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 TEST_F(GatewayTest, OrdersNewWeightsOnceUnderAFencingToken) {
@@ -326,16 +327,16 @@
                                  1, KvService.revisionOf("daisytack/holder")))),
             std::string::npos)
       << orders()[0];
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// A store's report of a part that went can be lost. Its answer to the order
-/// to free says as much.
+/// A store's report that a part is gone can be lost, but its answer to the
+/// order to free says so too.
 TEST_F(GatewayTest, FreesAPartOnlyOnceIfTheChangeReportIsLost) {
   std::atomic<int> frees{0};
   test::FakeServer &contextStore = startBackend([&](const HttpRequest &what,
                                                     const ExchangePtr &to) {
-    // The list is true, should it be asked for again.
+    // The list stays correct in case it is read again.
     std::string held = frees > 0 ? "" : R"(["shared@1","aa",500,"m"])";
     if (what.Path == "/kv-list")
       return to->respond(
@@ -345,17 +346,17 @@
     to->respond({200, {}, R"({"epoch":1,"next":5,"lost":false,"events":[]})"});
   });
   test::FakeServer &engine = startBackend(answer);
-  registerServer("i-1", engine, "engines",
-                 2); // Nobody uses version 1 any more.
+  // No server uses version 1 any more.
+  registerServer("i-1", engine, "engines", 2);
   KvService.put("op/config", promptConfigText(contextStore.address()));
   Entry &entry = start("e1", KvService.address());
   ASSERT_TRUE(waitReady(entry));
   int changes = 0;
-  auto confirmWatches =
-      [&] { // The service's watches go on confirming themselves.
-        KvService.put("other/key", std::to_string(++changes));
-        std::this_thread::sleep_for(100ms);
-      };
+  // Keeps the watches of the key-value service confirmed.
+  auto confirmWatches = [&] {
+    KvService.put("other/key", std::to_string(++changes));
+    std::this_thread::sleep_for(100ms);
+  };
   ASSERT_TRUE(eventually([&] {
     confirmWatches();
     return frees > 0;
@@ -363,11 +364,11 @@
   for (int i = 0; i < 15; ++i) // Three times the pause between orders.
     confirmWatches();
   EXPECT_EQ(frees, 1);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// A store holds only a few calls for changes at once; that it has no place for
-/// this entry's says nothing about what it holds.
+/// A store holds only a few calls for changes at once. That it has no place for
+/// this entry's call says nothing about the parts that it holds.
 TEST_F(GatewayTest, KeepsUsingAStoreThatAnswersTooManyRequests) {
   std::atomic<int> rejectedCalls{0};
   std::atomic<bool> hasAnswered{false};
@@ -400,7 +401,7 @@
   ASSERT_FALSE(engine.requests().empty());
   EXPECT_EQ(engine.requests().back().header("X-Daisytack-Kv-Source"),
             toString(contextStore.address()) + ",-");
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 } // namespace
--- a/tests/gateway/holder_test.cpp
+++ b/tests/gateway/holder_test.cpp
@@ -1,7 +1,6 @@
-/// What was seen: new weights stayed away from servers too long while entries
-/// were killed and started again, among them the one that gives orders.
-/// How it came about: nobody could give orders until the killed process's lease
-/// had lapsed, though a process of its name ran again after half a second.
+/// Guards against new weights that reach servers too late when the holder of
+/// the right to give orders is killed and restarted: its new process, up after
+/// half a second, had to wait until the lease of the old one lapsed.
 #include "gateway/gateway_fixture.h"
 
 namespace daisytack::gateway {
@@ -11,8 +10,8 @@
   return R"({"entry":")" + name + R"(","peer":")" + toString(peer) + R"("})";
 }
 
-/// The stand-in's leases do not lapse by themselves, so that only a takeover
-/// ends the killed process's right.
+/// Leases of the fake service do not lapse by themselves, so that only a
+/// takeover ends the right of the killed process.
 TEST_F(GatewayTest, TakesOverFromAKilledProcessOfItsInstance) {
   Entry &entry = prepare("e1", KvService.address());
   KvService.put("daisytack/holder", holderText("e1", entry.Options.Peers), 77);
@@ -24,7 +23,7 @@
     return KvService.has("daisytack/holder") &&
            KvService.revisionOf("daisytack/holder") > before;
   }));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 class HolderTest : public GatewayTest {
@@ -38,12 +37,12 @@
     ASSERT_TRUE(
         eventually([&] { return KvService.has("daisytack/entries/e1"); }));
     EXPECT_EQ(KvService.revisionOf("daisytack/holder"), before);
-    Threads.stop(); // Handlers use what ends here.
+    Threads.stop(); // Handlers use what is destroyed here.
   }
 };
 
-/// Its name may be that of an instance that was lost, and whose orders are
-/// still under way.
+/// The record may be that of a lost instance of the same name whose orders are
+/// still in progress.
 TEST_F(HolderTest, DoesNotTakeOverFromItsNameOnAnotherInstance) {
   expectNoTakeover(holderText("e1", {"127.0.0.1", 9}));
 }
--- a/tests/gateway/load_datagram_test.cpp
+++ b/tests/gateway/load_datagram_test.cpp
@@ -1,4 +1,4 @@
-/// Loads of many servers are cut to one datagram, not left out.
+/// Loads of many servers are cut to fit one datagram instead of being left out.
 #include "gateway/load_datagram.h"
 
 #include "daisytack/limits.h"
@@ -37,7 +37,8 @@
   EXPECT_EQ(encodeAndDecode(loads), loads);
 }
 
-/// An entry with requests at 70 servers or more once told nobody of any.
+/// Guards against an entry with requests at 70 servers or more that reports
+/// none of them.
 TEST(LoadDatagram, KeepsTheBusiestServersOfALargeFleet) {
   for (uint32_t servers : {50U, 70U, 76U, 500U, 10'000U}) {
     EntryLoads received = encodeAndDecode(loadsOf(servers, 32));
--- a/tests/gateway/quarantine_test.cpp
+++ b/tests/gateway/quarantine_test.cpp
@@ -1,13 +1,12 @@
-/// A request under which backend servers end.
+/// Guards against a request that crashes every backend server that runs it.
 ///
-/// Seen: two requests ended 37 and 34 servers of nine, one after the other;
-/// every other request that ran on one of them was broken off, and at times no
-/// server was left. Each came again and again, under another request id and at
-/// other entries. How: a server crashed as it began to run the request; the
-/// entry took that for a fault of the server and asked the next one. Cause:
-/// nothing remembered a request by what it is, so that each send of its caller
-/// began from nothing, at every entry. Proof: these tests, in which the servers
-/// have nothing in common but one request.
+/// Two such requests crashed 37 and 34 instances of a fleet of nine servers,
+/// one after the other, which broke off all other requests there and at times
+/// left no server. A server crashed as it began to run the request, the entry
+/// took that for a fault of the server and tried the next one, and the caller
+/// sent the request again under another id and through other entries. A request
+/// must therefore be recognised by its content, at every entry. In these tests
+/// the servers have nothing in common but that request.
 #include "gateway/gateway_fixture.h"
 
 #include "base/clock.h"
@@ -15,11 +14,11 @@
 namespace daisytack::gateway {
 namespace {
 
-/// Entries hear of one another's failures within this time.
+/// Entries learn of one another's failures within this time.
 constexpr auto PropagationTime = 3s;
 constexpr size_t CrashThreshold = 3;
-/// Sends of such a request that may reach a server even later, over all
-/// entries.
+/// Number of sends of such a request that may reach a server after that, over
+/// all entries.
 constexpr size_t ExtraSends = 3;
 
 class QuarantineTest : public GatewayTest {
@@ -30,8 +29,9 @@
       addServer();
   }
 
-  /// Ends as it is asked to run the one request, and is then another instance
-  /// at the same address. Turns away what is meant for the one before.
+  /// Adds a server that crashes when it gets the poison request. Another
+  /// instance at the same address replaces it and refuses requests for the
+  /// crashed one.
   void addServer() {
     struct Current {
       test::FakeServer *Server = nullptr;
@@ -64,7 +64,7 @@
     return out;
   }
 
-  /// The same request under a new id, as its caller repeats it.
+  /// Sends the same request under a new id, as a caller does that retries.
   Fetched send(const Entry &entry, const std::string &body = "poison") {
     HttpRequest what = request("/safe/x", "r" + std::to_string(++Requests));
     what.Body = body;
@@ -87,7 +87,8 @@
     ASSERT_GE(Crashes, CrashThreshold);
   }
 
-  /// The record of a server that ended stays, as it lapses only later.
+  /// Whether the record of a crashed server stays, as it does until its lease
+  /// lapses.
   std::atomic<bool> KeepsRecords{false};
   std::atomic<size_t> Crashes{0};
   std::atomic<size_t> Starts{0};
@@ -110,11 +111,11 @@
   EXPECT_EQ(send(one).Response.Status, 503);
   EXPECT_TRUE(hasRetryAfter(send(two).Response));
   EXPECT_EQ(send(one, "another").Response.Status, 200);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// The next instance at the address turns away what is meant for the one that
-/// ended: that is no sign that it lives.
+/// The replacement instance refuses requests for the crashed one; that is no
+/// sign that the crashed one lives.
 TEST_F(QuarantineTest, IgnoresAnswersOfTheReplacementInstance) {
   KeepsRecords = true;
   Entry &one = start("e1", KvService.address());
@@ -126,11 +127,11 @@
   }
   EXPECT_LE(Crashes, CrashThreshold + ExtraSends);
   EXPECT_EQ(send(one).Response.Status, 503);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// What must last lies in the key-value service: an entry that starts when no
-/// other one lives knows of it.
+/// The quarantine is kept in the key-value service, so that an entry which
+/// starts when no other one runs knows of it.
 TEST_F(QuarantineTest, IsKnownToAnEntryThatStartsLater) {
   Entry &one = start("e1", KvService.address());
   ASSERT_TRUE(waitReady(one));
@@ -143,7 +144,7 @@
   for (int i = 0; i < 10; ++i)
     send(later);
   EXPECT_LE(Crashes - before, ExtraSends);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 } // namespace
--- a/tests/gateway/restore_test.cpp
+++ b/tests/gateway/restore_test.cpp
@@ -1,16 +1,15 @@
-/// Guards against: after the key-value service had come back from an older copy
-/// of itself, which gives revisions out again, entries took new configurations
-/// for old ones.
+/// Guards against entries that take new configurations for old ones after the
+/// key-value service was restored from a backup and gives out revisions again.
 ///
-/// Seen: a key that was revoked three seconds after the service's return still
-/// opened a route 2.1 s after the revocation was acknowledged.
+/// A key that was revoked three seconds after such a restore still opened a
+/// route 2.1 s after the revocation was acknowledged.
 #include "gateway/gateway_fixture.h"
 
 namespace daisytack::gateway {
 namespace {
 
-/// Watches that may find their history gone after one return of the service:
-/// one for each entry, and one that was sent before it had read anew.
+/// Watches that may lose their history in one restore: one of each entry, and
+/// one that was sent before the entry read a new snapshot.
 constexpr size_t MaxLostWatches = 2;
 
 class RestoreTest : public GatewayTest {
@@ -20,7 +19,7 @@
   void configure(const std::string &keys, int version) {
     KvService.put("op/config", configText(keys, version));
   }
-  /// Changes that the copy does not have.
+  /// Writes keys that the snapshot lacks.
   void writeAfterSnapshot(size_t writes) {
     for (size_t i = 0; i < writes; ++i)
       KvService.put("op/version/m" + std::to_string(i),
@@ -57,10 +56,10 @@
   EXPECT_TRUE(eventually([&] { return statusWith(entry, "k1") == 401; }));
   EXPECT_EQ(statusWith(entry, "k2"), 200);
   EXPECT_LE(KvService.lostWatches(), MaxLostWatches);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// The copy still has the key; nobody may be let in by it.
+/// The snapshot still has the key, but nobody may be let in by it.
 TEST_F(RestoreTest, KeepsARevocationThatTheSnapshotLacks) {
   configure("\"k1\",\"k2\"", 1);
   Entry &entry = startReady("e1");
@@ -77,10 +76,10 @@
     EXPECT_NE(statusWith(entry, "k2"), 401);
     std::this_thread::sleep_for(100ms);
   }
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// One that has left the service to readers learns of the restore too.
+/// An entry that relies on readers learns of the restore too.
 TEST_F(RestoreTest, EntriesThatDoNotWatchApplyWritesMadeAfterARestore) {
   configure("\"k1\"", 1);
   std::vector<Entry *> fleet;
@@ -100,11 +99,11 @@
   configure("\"k2\"", 3);
   EXPECT_TRUE(eventually([&] { return allAnswer("k1", 401); }));
   EXPECT_TRUE(eventually([&] { return allAnswer("k2", 200); }));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// What the system wrote since the copy is gone: an entry announces itself
-/// anew, though its lease is older than the copy.
+/// Records written after the snapshot are lost, so an entry announces itself
+/// again, although its lease is older than the snapshot.
 TEST_F(RestoreTest, AnnouncesItselfAgainAfterARestore) {
   configure("\"k1\"", 1);
   startReady("e1");
@@ -115,11 +114,11 @@
   KvService.restore(snapshot);
   EXPECT_TRUE(
       eventually([&] { return KvService.has("daisytack/entries/e1"); }));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// Guards against: an entry whose every watch found its history gone read the
-/// whole service again and again, up to 67 times a second.
+/// Guards against an entry that reads the whole service again without a pause
+/// when all its watches lose their history; it did so up to 67 times a second.
 TEST_F(RestoreTest, BacksOffWhileHistoryIsLostRepeatedly) {
   constexpr size_t MaxReadsPerSecond = 10;
   configure("\"k1\"", 1);
@@ -137,11 +136,11 @@
   configure("\"k2\"", 2);
   EXPECT_TRUE(
       eventually([&] { return statusWith(*Entries.front(), "k1") == 401; }));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 /// Once revisions have passed those that were known, no watch is told that its
-/// history is gone.
+/// history is lost.
 TEST_F(RestoreTest, DetectsARestoreWhoseRevisionsHavePassedThoseKnown) {
   configure("\"k1\"", 1);
   Entry &entry = startReady("e1");
@@ -154,7 +153,7 @@
   writeAfterSnapshot(20);
   KvService.RefusalStatus = 0;
   EXPECT_TRUE(eventually([&] { return statusWith(entry, "k1") == 401; }));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 } // namespace
--- a/tests/gateway/server_limit_test.cpp
+++ b/tests/gateway/server_limit_test.cpp
@@ -1,15 +1,16 @@
-/// Guards against: a server that had named a limit on requests in its answers
-/// got more than that from the entries that had passed on these answers.
+/// Guards against entries that send a server more requests than the limit that
+/// it named in its answers.
 ///
-/// Seen: engines that asked for 2.3 and 2.1 requests a second from all entries
-/// together got 25 and 35 in four seconds from five of them.
+/// Engines that asked for 2.3 and 2.1 requests a second from all entries
+/// together got 25 and 35 in four seconds from five entries.
 #include "gateway/gateway_fixture.h"
 
 namespace daisytack::gateway {
 namespace {
 
 constexpr double Limit = 1;
-/// Of what a server may get in so many seconds: the deployment's bound.
+/// A server may get at most the factor times its limit over this many seconds,
+/// plus the slack; this is the deployment's bound.
 constexpr double BoundSeconds = 4;
 constexpr double BoundFactor = 1.5;
 constexpr double BoundSlack = 5;
@@ -36,7 +37,7 @@
                  request("/safe/x", "r" + std::to_string(++Requests)))
         .Response;
   }
-  /// The most that the server may get while the entries send for so long.
+  /// Upper bound on the requests that the server may get in this time.
   static double bound(std::chrono::steady_clock::duration time) {
     double seconds = std::chrono::duration<double>(time).count();
     return BoundFactor * Limit * std::max(BoundSeconds, seconds) + BoundSlack;
@@ -53,7 +54,7 @@
   registerServer("i-2", unlimitedServer);
   std::vector<Entry *> entries{&startReady("e1"), &startReady("e2"),
                                &startReady("e3")};
-  // Every entry passes on one of its answers first.
+  // Every entry first forwards one of the server's answers.
   for (Entry *entry : entries) {
     size_t before = limitedServer.requests().size();
     ASSERT_TRUE(eventually([&] {
@@ -69,10 +70,10 @@
   size_t got = limitedServer.requests().size() - before;
   EXPECT_LE(static_cast<double>(got),
             bound(std::chrono::steady_clock::now() - begin));
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// It is told at once, with a time, where no other server is left.
+/// If no other server is left, the caller is refused at once.
 TEST_F(ServerLimitTest, RefusesImmediatelyWhenNoServerIsLeft) {
   test::FakeServer &limitedServer = startLimitedServer();
   registerServer("i-1", limitedServer);
@@ -88,7 +89,7 @@
   EXPECT_LE(static_cast<double>(limitedServer.requests().size()),
             1 + bound(std::chrono::steady_clock::now() - begin));
   EXPECT_GT(refused, 0);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 } // namespace
--- a/tests/gateway/server_signals_test.cpp
+++ b/tests/gateway/server_signals_test.cpp
@@ -1,18 +1,17 @@
-/// What a backend server says of itself in its answers.
+/// Guards against entries that ignore what a backend server says about itself
+/// in its answers.
 ///
-/// Seen: a server that was leaving still got new requests, 2.3 to 4.3 s after
-/// it had said so in an answer, on a day when the key-value service was away
-/// for twelve seconds. How: its record, which says so too, could not be written
-/// meanwhile; its answers said so all along. Cause: whether a server leaves was
-/// learned from its record alone, and answers were passed on unread. Proof: in
-/// these tests nothing but answers tells it.
+/// A leaving server still got new requests 2.3 to 4.3 s after its answers had
+/// said that it was leaving: the key-value service was unreachable for twelve
+/// seconds, so the server's record could not say so, and entries did not read
+/// the answers. In these tests nothing but answers says it.
 #include "gateway/gateway_fixture.h"
 
 namespace daisytack::gateway {
 namespace {
 
-/// A server may get so many requests that were on their way, or that were sent
-/// before its word was read.
+/// Requests that a server may still get because they were sent before its
+/// answer was read.
 constexpr size_t ExtraSends = 2;
 
 class ServerSignalsTest : public GatewayTest {
@@ -31,7 +30,8 @@
       to->respond(std::move(out));
     });
   }
-  /// Turns everything away, and wants nothing for some seconds.
+  /// Starts a server that refuses every request and asks for none for five
+  /// seconds.
   test::FakeServer &startRejectingServer() {
     return startBackend([](const HttpRequest &what, const ExchangePtr &to) {
       HttpResponse out = signedAnswer(what);
@@ -69,10 +69,10 @@
   for (int i = 0; i < 30; ++i)
     EXPECT_EQ(send(entry).Response.Status, 200);
   EXPECT_EQ(leavingServer.requests().size(), before);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// What one entry heard, the others use.
+/// An entry shares with the others what a server told it.
 TEST_F(ServerSignalsTest, SharesLeavingServersWithOtherEntries) {
   test::FakeServer &leavingServer = startLeavingServer();
   registerServer("i-1", leavingServer);
@@ -85,11 +85,11 @@
   for (int i = 0; i < 30; ++i)
     EXPECT_EQ(send(two).Response.Status, 200);
   EXPECT_EQ(leavingServer.requests().size(), 1);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// Also where no other server is left: the caller is told at once when there
-/// may be one.
+/// This also holds if no other server is left: the caller is told at once when
+/// to retry.
 TEST_F(ServerSignalsTest, AvoidsAServerUntilItsRetryAfterHasPassed) {
   test::FakeServer &server = startRejectingServer();
   registerServer("i-1", server);
@@ -108,7 +108,7 @@
     EXPECT_LE(after, 5);
   }
   EXPECT_LE(server.requests().size() - before, ExtraSends);
-  Threads.stop(); // Handlers use what ends here.
+  Threads.stop(); // Handlers use what is destroyed here.
 }
 
 } // namespace
--- a/tests/gateway/stdout_capture.h
+++ b/tests/gateway/stdout_capture.h
@@ -1,4 +1,4 @@
-/// What a process under test writes to standard output, such as log lines.
+/// Captures the standard output of a process under test, such as log lines.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 namespace daisytack::test {
 
-/// What the process writes to standard output while this lives.
+/// Captures the standard output of the process during its lifetime.
 class StdoutCapture {
 public:
   StdoutCapture() : File(std::tmpfile()), SavedStdout(::dup(STDOUT_FILENO)) {
@@ -27,7 +27,7 @@
   StdoutCapture(const StdoutCapture &) = delete;
   StdoutCapture &operator=(const StdoutCapture &) = delete;
 
-  /// The line with all of the texts; empty while there is none.
+  /// The first line that contains all of the texts; empty if there is none.
   std::string findLine(const std::vector<std::string> &texts) const {
     std::istringstream lines(text());
     for (std::string line; std::getline(lines, line);)
--- a/tests/gateway/test_ports.h
+++ b/tests/gateway/test_ports.h
@@ -1,10 +1,10 @@
 /// Loopback ports that nothing else takes before a test listens on them.
 ///
-/// A port that the kernel named a moment ago is free for any outgoing
+/// The kernel may give a free port that it has just named to an outgoing
 /// connection of any process until somebody listens on it; with eight test
-/// processes at once a listener found its port taken. These come from below the
-/// range of which the kernel gives ports away by itself, in blocks that a file
-/// lock reserves until the process ends.
+/// processes at once, a listener found its port taken. The ports here lie below
+/// the kernel's ephemeral range, in blocks that a file lock reserves until the
+/// process ends.
 #pragma once
 
 #include "net/http_socket.h"
@@ -26,15 +26,16 @@
 
 namespace daisytack::test {
 
-/// A range of ports that belongs to its holder alone. The scripts' fleets lock
-/// their blocks in the same directory, from port 23000 on.
+/// A range of ports reserved for its holder. The scripts that run whole
+/// deployments lock their blocks, from port 23000 on, in the same directory.
 class PortBlock {
 public:
   static constexpr uint16_t First = 16000;
   static constexpr uint16_t Size = 50;
   static constexpr uint16_t Blocks = 140;
 
-  /// The first block that nobody holds and on which nobody listens.
+  /// Takes the first block that nobody holds and on which nobody listens; null
+  /// if there is none.
   static std::unique_ptr<PortBlock> take() {
     for (uint16_t i = 0; i < Blocks; ++i) {
       auto base = static_cast<uint16_t>(First + i * Size);
@@ -53,7 +54,7 @@
   PortBlock &operator=(const PortBlock &) = delete;
 
   uint16_t base() const { return Base; }
-  /// A port that was not handed out before; nothing once all were.
+  /// A port that was not returned before; nothing if all were.
   std::optional<uint16_t> next() {
     if (Used == Size)
       return std::nullopt;
@@ -91,7 +92,7 @@
   int Lock = -1;
 };
 
-/// A loopback address for this process alone; thread-safe.
+/// A loopback address that no other caller or process gets. Thread-safe.
 inline Endpoint freeEndpoint() {
   static std::mutex lock;
   static std::vector<std::unique_ptr<PortBlock>> blocks;
--- a/tests/gateway/test_ports_test.cpp
+++ b/tests/gateway/test_ports_test.cpp
@@ -9,7 +9,7 @@
 namespace daisytack::test {
 namespace {
 
-/// The first port that the kernel gives to a connection without one.
+/// The first port of the range from which the kernel picks ports by itself.
 unsigned firstEphemeralPort() {
   std::ifstream range("/proc/sys/net/ipv4/ip_local_port_range");
   unsigned out = 0;
