--- a/src/gateway/context_follower.h
+++ b/src/gateway/context_follower.h
@@ -1,4 +1,5 @@
-/// Follows the context stores: which parts each holds, and the servers' clock.
+/// Follows the context stores: which parts of prompts each holds, and the
+/// servers' clock.
 /// The holder of the right to give orders also frees context that no server can
 /// use any more.
 #pragma once
--- a/src/gateway/gateway_http.h
+++ b/src/gateway/gateway_http.h
@@ -32,8 +32,8 @@
   /// Logs a request that arrives during the drain, and how it came in.
   void logWhileDraining(const net::HttpRequest &request,
                         const std::string &requestId, TimePoint now);
-  /// Refuses a request that is complete only after the drain's end of
-  /// acceptance.
+  /// Refuses a request that was completely received only after the drain plan
+  /// stopped accepting requests.
   net::HttpResponse refuseLate(const net::HttpRequest &request, TimePoint now);
   /// Logs and counts a refusal, and builds its answer from the error.
   net::HttpResponse buildRefusal(const direct::CallerHead &head,
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -289,7 +289,7 @@
   bool wasNotSent = error.Kind == ErrorKind::ServiceUnavailable;
   TimePoint now = monotonicNow();
   bool isCurrent = !Flow.isEnded() && attempt == Flow.attempts();
-  // Comes before the flow looks for another server.
+  // Must precede Flow.onDone(), which looks for another server.
   if (isCurrent && error.Kind == ErrorKind::ServerLost)
     recordConnectionLoss(now);
   Flow.onDone(attempt, error, wasNotSent, now);
--- a/src/gateway/gateway_state.h
+++ b/src/gateway/gateway_state.h
@@ -65,7 +65,8 @@
 
 private:
   static constexpr int64_t Unknown = INT64_MIN;
-  /// Offset to the monotonic clock in milliseconds.
+  /// Offset to the monotonic clock in milliseconds; Unknown until a store has
+  /// reported its clock.
   std::atomic<int64_t> OffsetMs{Unknown};
 };
 
--- a/src/gateway/kv_service_follower.cpp
+++ b/src/gateway/kv_service_follower.cpp
@@ -66,8 +66,8 @@
 }
 
 void KvServiceFollower::onTimer(TimePoint now) {
-  // Every answer of the service names its era, even while this entry gets the
-  // records from readers.
+  // Every answer of the service names its era, which each restore increments,
+  // even while this entry gets the records from readers.
   bool isBehind =
       Store.LatestEra &&
       Store.LatestEra() > direct::eraOf(State.SyncedRevision.load());
--- a/src/gateway/load_exchange.cpp
+++ b/src/gateway/load_exchange.cpp
@@ -33,7 +33,8 @@
                                        ec.message()};
     return false;
   }
-  net::ErrorCode ignored; // Makes a full socket drop what is sent.
+  // A full socket then drops datagrams instead of blocking.
+  net::ErrorCode ignored;
   Socket.non_blocking(true, ignored);
   receive();
   return true;
