--- a/src/direct/call_pacing.h
+++ b/src/direct/call_pacing.h
@@ -1,10 +1,10 @@
-/// How often one of many processes may call a server that holds only a few
-/// waiting calls at once, such as a store's feed of changes.
+/// Pacing of long-polling calls to a server that can hold only a few of them
+/// open at once, such as a context store's feed of changes.
 ///
-/// The processes do not talk about it: each keeps to its share of the places,
-/// and spreads its calls at random so that all of them do not call at the same
-/// moment after a change that ended all their calls. Without a socket, clock or
-/// thread.
+/// The calling processes do not coordinate. Each one limits itself to its share
+/// of the server's slots and adds jitter, so that the processes do not all call
+/// again at the same moment after a change that ended all open calls. Uses no
+/// socket, clock or thread.
 #pragma once
 
 #include "daisytack/types.h"
@@ -14,19 +14,20 @@
 namespace daisytack::direct {
 
 struct CallPacingSettings {
-  /// A call is kept waiting between these when nothing changes. Shorter ones
-  /// are priced like probes, longer ones outlast a silent peer's detection.
-  Duration LeastWait{200'000};
-  Duration LongestWait{1'000'000};
-  /// Between calls at least: changes are taken in batches, as each call costs
-  /// processor time on both sides.
-  Duration LeastPause{400'000};
-  /// Of the places that a server has, all processes together use this much on
-  /// average; the rest is room for chance.
-  double ShareUsed = 0.5;
-  /// A single process is never in a call for more of its time than this.
-  double MostTime = 0.7;
-  /// Pauses vary by so much to either side.
+  /// Bounds of how long the server may hold a call open while nothing changes.
+  /// Shorter calls are charged like probes, and longer calls would outlast the
+  /// time in which an unresponsive peer is detected.
+  Duration MinWait{200'000};
+  Duration MaxWait{1'000'000};
+  /// Minimum time between the end of a call and the next call. Changes are
+  /// fetched in batches, as each call costs processor time on both sides.
+  Duration MinPause{400'000};
+  /// Share of the server's slots that all processes together use on average.
+  /// The rest absorbs random peaks.
+  double SlotUtilization = 0.5;
+  /// Maximum share of its time that one process spends in a call.
+  double MaxTimeShare = 0.7;
+  /// Random variation of pauses, as a share of the pause in either direction.
   double Jitter = 0.3;
   bool operator==(const CallPacingSettings &) const = default;
 };
@@ -35,17 +36,17 @@
 public:
   explicit CallPacing(CallPacingSettings settings) : Settings(settings) {}
 
-  /// How long a call may be kept waiting, with so many calling processes and
-  /// so many places.
-  Duration wait(size_t processes, uint32_t places) const;
-  /// From the end of a call that took so long until the next one. The random
-  /// number spreads it.
-  Duration pauseAfter(Duration call, size_t processes, uint32_t places,
+  /// How long the server may hold a call open, given the number of calling
+  /// processes and of the server's slots.
+  Duration wait(size_t processes, uint32_t slots) const;
+  /// Pause between the end of a call that took `call` and the next call. The
+  /// random number determines the jitter.
+  Duration pauseAfter(Duration call, size_t processes, uint32_t slots,
                       uint64_t random) const;
 
 private:
-  /// Share of its time that one process may be in a call.
-  double timeShare(size_t processes, uint32_t places) const;
+  /// Share of its time that one process may spend in calls.
+  double timeShare(size_t processes, uint32_t slots) const;
 
   CallPacingSettings Settings;
 };
--- a/src/direct/prefill_rate.cpp
+++ b/src/direct/prefill_rate.cpp
@@ -7,12 +7,13 @@
 
 namespace daisytack::direct {
 
-void PrefillRate::observe(std::string_view service, uint64_t unread,
-                          uint64_t before, Duration firstByte) {
+void PrefillRate::observe(std::string_view service, uint64_t unreadTokens,
+                          uint64_t tokensBefore, Duration firstByte) {
   double prefillMs = millisecondsOf(firstByte) - Settings.BaseMs;
-  if (unread < Settings.LeastTokens || prefillMs <= 0)
+  if (unreadTokens < Settings.MinTokens || prefillMs <= 0)
     return;
-  double seen = prefillMs / static_cast<double>(unread + before);
+  double observed =
+      prefillMs / static_cast<double>(unreadTokens + tokensBefore);
   std::lock_guard guard(Lock);
   auto it = Estimates.find(service);
   if (it == Estimates.end())
@@ -20,14 +21,16 @@
         Estimates.emplace(service, Estimate{1 / Settings.InitialTokensPerMs, 0})
             .first;
   Estimate &estimate = it->second;
-  // Follows the quantile: it rests where that share of observations is below.
-  double step = std::max(Settings.FirstStep / (1 + 0.1 * estimate.Observed),
-                         Settings.LeastStep);
-  bool isSlower = seen > estimate.MsPerToken;
-  double move = isSlower ? Settings.Quantile : Settings.Quantile - 1;
-  double most = std::abs(std::log(seen / estimate.MsPerToken));
-  estimate.MsPerToken *= std::exp(std::clamp(2 * step * move, -most, most));
-  ++estimate.Observed;
+  // Quantile tracking: the estimate is stable where that share of observations
+  // is below it.
+  double step = std::max(Settings.InitialStep / (1 + 0.1 * estimate.Samples),
+                         Settings.MinStep);
+  bool isSlower = observed > estimate.MsPerToken;
+  double direction = isSlower ? Settings.Quantile : Settings.Quantile - 1;
+  double maxChange = std::abs(std::log(observed / estimate.MsPerToken));
+  estimate.MsPerToken *=
+      std::exp(std::clamp(2 * step * direction, -maxChange, maxChange));
+  ++estimate.Samples;
 }
 
 double PrefillRate::tokensPerMs(std::string_view service) const {
--- a/src/direct/prefill_rate.h
+++ b/src/direct/prefill_rate.h
@@ -1,9 +1,9 @@
-/// How fast the engines of a service read prompts, learned from how long
-/// prompts that certainly had to be read waited for their first byte.
+/// Estimate of how fast the engines of each service prefill prompts, learned
+/// from the time to first byte of prompts that certainly had to be prefilled.
 ///
-/// Data sheets say it for one machine; another deployment's engines read half
-/// as fast, and bounds in tokens that suit the one let queues of the other grow
-/// past its targets.
+/// A rate from data sheets holds for one type of machine only. Queue limits in
+/// tokens that fit it would let the queues of engines half as fast grow beyond
+/// their latency targets.
 #pragma once
 
 #include "daisytack/types.h"
@@ -17,25 +17,26 @@
 namespace daisytack::direct {
 
 struct PrefillRateSettings {
-  /// Of the engines first in use, by their data sheet; believed until prompts
-  /// were observed.
+  /// Initial estimate, used until prompts were observed.
   double InitialTokensPerMs = 112;
-  /// Part of the first byte's wait that is not reading: the trip, the engine's
-  /// set-up and its first step.
+  /// Part of the time to first byte, in milliseconds, that is not prefill: the
+  /// network round trip, the engine's setup and its first decoding step.
   double BaseMs = 50;
-  /// Shorter prompts say more of the rest of the wait than of reading.
-  uint32_t LeastTokens = 4000;
-  /// Share of observations that read faster than the estimate is too slow by:
-  /// most of what goes wrong makes a first byte late (queues that were not
-  /// heard of, slow links), so the quicker ones are believed. A quantile of
-  /// 0.25 gave 52 to 55 tokens a millisecond for engines of 55 in each four
-  /// seconds without congestion, and 37 with queues of half a second.
+  /// Shorter prompts are not observed: their time to first byte depends more on
+  /// other delays than on prefill.
+  uint32_t MinTokens = 4000;
+  /// The estimate follows this quantile of the observed times per token.
+  /// Below the median, since most disturbances delay the first byte (queues
+  /// that this entry does not know of, slow links), so that quick observations
+  /// are more reliable. With 0.25, engines of 55 tokens per millisecond are
+  /// estimated at 52 to 55 over any four seconds without congestion, and at 37
+  /// while queues are half a second long.
   double Quantile = 0.25;
-  /// Factor by which one observation moves the estimate, at first and later: a
-  /// prior that is wrong by two is corrected after some ten prompts, and a slow
-  /// second moves it by a few hundredths.
-  double FirstStep = 0.25;
-  double LeastStep = 0.02;
+  /// Relative change of the estimate by one observation, at first and later. An
+  /// initial estimate that is off by a factor of two is corrected after about
+  /// ten prompts, and one slow second changes the estimate by a few percent.
+  double InitialStep = 0.25;
+  double MinStep = 0.02;
   bool operator==(const PrefillRateSettings &) const = default;
 };
 
@@ -44,22 +45,23 @@
 public:
   explicit PrefillRate(PrefillRateSettings settings) : Settings(settings) {}
 
-  /// The first byte of an answer came after so long. Of its prompt so many
-  /// tokens had certainly to be read, and so many waited before it.
-  void observe(std::string_view service, uint64_t unread, uint64_t before,
-               Duration firstByte);
-  /// Tokens a millisecond; the prior while nothing was observed.
+  /// Records that an answer's first byte arrived after `firstByte`, that
+  /// `unreadTokens` of its prompt certainly had to be prefilled, and that
+  /// `tokensBefore` were queued ahead of it.
+  void observe(std::string_view service, uint64_t unreadTokens,
+               uint64_t tokensBefore, Duration firstByte);
+  /// Tokens per millisecond; the initial estimate until a prompt was observed.
   double tokensPerMs(std::string_view service) const;
 
 private:
   struct Estimate {
     double MsPerToken = 0;
-    uint32_t Observed = 0;
+    uint32_t Samples = 0;
   };
 
   PrefillRateSettings Settings;
   mutable std::mutex Lock;
-  std::map<std::string, Estimate, std::less<>> Estimates;
+  std::map<std::string, Estimate, std::less<>> Estimates; ///< By service.
 };
 
 } // namespace daisytack::direct
--- a/src/direct/server_loads.cpp
+++ b/src/direct/server_loads.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr uint32_t MostDoublings = 16;
+constexpr uint32_t MaxDoublings = 16;
 
-uint32_t fit(uint64_t count) {
-  return static_cast<uint32_t>(std::min<uint64_t>(count, UINT32_MAX));
+uint32_t saturate(uint64_t value) {
+  return static_cast<uint32_t>(std::min<uint64_t>(value, UINT32_MAX));
 }
 
 } // namespace
@@ -18,7 +18,7 @@
   std::lock_guard guard(Lock);
   State &state = Servers[server.key()];
   if (state.Running++ == 0)
-    state.LastHeard = now;
+    state.LastActivity = now;
   state.WaitingTokens += tokens;
   state.HeldTokens += tokens;
   state.LastUsed = now;
@@ -26,25 +26,25 @@
 
 void ServerLoads::onActivity(ServerRef server, TimePoint now) {
   std::lock_guard guard(Lock);
-  Servers[server.key()].LastHeard = now;
+  Servers[server.key()].LastActivity = now;
 }
 
 void ServerLoads::onFirstByte(ServerRef server, uint64_t tokens,
                               TimePoint now) {
   std::lock_guard guard(Lock);
   State &state = Servers[server.key()];
-  state.LastHeard = now;
+  state.LastActivity = now;
   state.Rejections = 0;
   state.WaitingTokens -= std::min(state.WaitingTokens, tokens);
 }
 
-void ServerLoads::onEnded(ServerRef server, uint64_t tokens, bool wasRead,
+void ServerLoads::onEnded(ServerRef server, uint64_t tokens, bool hadFirstByte,
                           TimePoint now) {
   std::lock_guard guard(Lock);
   State &state = Servers[server.key()];
   state.Running -= std::min(state.Running, 1U);
   state.HeldTokens -= std::min(state.HeldTokens, tokens);
-  if (!wasRead)
+  if (!hadFirstByte)
     state.WaitingTokens -= std::min(state.WaitingTokens, tokens);
   state.LastUsed = now;
 }
@@ -52,38 +52,39 @@
 void ServerLoads::onRejected(ServerRef server, TimePoint now) {
   std::lock_guard guard(Lock);
   State &state = Servers[server.key()];
-  // Those that waited there are turned away together: they count as one.
+  // Requests that were waiting at the server are rejected together, and count
+  // as one rejection.
   if (now < state.AvoidUntil)
     return;
-  uint32_t doublings = std::min(state.Rejections++, MostDoublings);
+  uint32_t doublings = std::min(state.Rejections++, MaxDoublings);
   state.AvoidUntil =
-      now + std::min<Duration>(Settings.RejectPause * (1LL << doublings),
-                               Settings.LongestRejectPause);
+      now + std::min<Duration>(Settings.RejectBackoff * (1LL << doublings),
+                               Settings.MaxRejectBackoff);
 }
 
 void ServerLoads::onRetryAfter(ServerRef server, Duration time, TimePoint now) {
   std::lock_guard guard(Lock);
   State &state = Servers[server.key()];
-  state.RetryAt = now + std::min(time, Settings.LongestClosing);
+  state.RetryAt = now + std::min(time, Settings.MaxRetryAfter);
   state.LastUsed = std::max(state.LastUsed, state.RetryAt);
 }
 
 bool ServerLoads::onLeaving(uint64_t server, TimePoint now) {
   std::lock_guard guard(Lock);
-  return Leaving.try_emplace(server, now).second;
+  return LeavingSince.try_emplace(server, now).second;
 }
 
 std::vector<uint64_t> ServerLoads::recentlyLeaving(TimePoint now) const {
   std::vector<uint64_t> out;
   std::lock_guard guard(Lock);
-  for (const auto &[server, since] : Leaving)
-    if (now < since + Settings.LeavingNews)
+  for (const auto &[server, since] : LeavingSince)
+    if (now < since + Settings.LeavingGossipTime)
       out.push_back(server);
   return out;
 }
 
 void ServerLoads::onReplaced(ServerRef server, TimePoint now) {
-  avoidUntil(server, now + Settings.ReplacedPause);
+  avoidUntil(server, now + Settings.ReplacedBackoff);
 }
 
 void ServerLoads::avoidUntil(ServerRef server, TimePoint until) {
@@ -99,9 +100,9 @@
     it->second.AvoidUntil = TimePoint();
 }
 
-void ServerLoads::add(const Peer &peer) {
-  for (const LoadShare &share : peer.Shares) {
-    Sum &sum = Sums[share.Name];
+void ServerLoads::addToSums(const PeerReport &report) {
+  for (const LoadShare &share : report.Shares) {
+    PeerSum &sum = Sums[share.ServerKey];
     sum.Running += share.Running;
     sum.WaitingTokens += share.WaitingTokens;
     sum.HeldTokens += share.HeldTokens;
@@ -109,26 +110,26 @@
   }
 }
 
-void ServerLoads::remove(const std::string &entry) const {
-  auto peer = Peers.find(entry);
-  if (peer == Peers.end())
+void ServerLoads::removeReport(const std::string &entry) const {
+  auto report = Reports.find(entry);
+  if (report == Reports.end())
     return;
-  for (const LoadShare &share : peer->second.Shares) {
-    auto sum = Sums.find(share.Name);
+  for (const LoadShare &share : report->second.Shares) {
+    auto sum = Sums.find(share.ServerKey);
     sum->second.Running -= share.Running;
     sum->second.WaitingTokens -= share.WaitingTokens;
     sum->second.HeldTokens -= share.HeldTokens;
     if (--sum->second.Entries == 0)
       Sums.erase(sum);
   }
-  Lapses.erase({peer->second.Until, entry});
-  Peers.erase(peer);
+  Expiries.erase({report->second.ExpiresAt, entry});
+  Reports.erase(report);
 }
 
-void ServerLoads::dropLapsed(TimePoint now) const {
-  while (!Lapses.empty() && now >= Lapses.begin()->first) {
-    std::string entry = Lapses.begin()->second;
-    remove(entry);
+void ServerLoads::dropExpired(TimePoint now) const {
+  while (!Expiries.empty() && now >= Expiries.begin()->first) {
+    std::string entry = Expiries.begin()->second;
+    removeReport(entry);
   }
 }
 
@@ -136,27 +137,27 @@
                                const std::vector<LoadShare> &shares,
                                Duration period, TimePoint now) {
   std::lock_guard guard(Lock);
-  remove(entry);
-  Duration told =
-      std::clamp(period, Duration::zero(), Settings.LongestPeerMemory);
-  TimePoint until =
-      now + std::min(told * Settings.PeerPeriods, Settings.LongestPeerMemory);
-  Peer &peer = Peers[entry];
-  peer = {until, shares};
-  Lapses.emplace(until, entry);
-  add(peer);
+  removeReport(entry);
+  Duration cappedPeriod =
+      std::clamp(period, Duration::zero(), Settings.MaxPeerTtl);
+  TimePoint expiresAt = now + std::min(cappedPeriod * Settings.PeerTtlPeriods,
+                                       Settings.MaxPeerTtl);
+  PeerReport &report = Reports[entry];
+  report = {expiresAt, shares};
+  Expiries.emplace(expiresAt, entry);
+  addToSums(report);
 }
 
 ServerLoadView ServerLoads::view(ServerRef server, TimePoint now) const {
-  uint64_t name = server.key();
+  uint64_t serverKey = server.key();
   ServerLoadView out;
   std::lock_guard guard(Lock);
-  dropLapsed(now);
-  auto it = Servers.find(name);
+  dropExpired(now);
+  auto it = Servers.find(serverKey);
   if (it != Servers.end()) {
     const State &state = it->second;
-    bool isSilent =
-        state.Running > 0 && now >= state.LastHeard + Settings.SilenceLimit;
+    bool isSilent = state.Running > 0 &&
+                    now >= state.LastActivity + Settings.SilenceTimeout;
     out = {state.Running,
            state.WaitingTokens,
            state.HeldTokens,
@@ -164,8 +165,8 @@
            false,
            state.RetryAt};
   }
-  out.IsLeaving = Leaving.contains(name);
-  auto sum = Sums.find(name);
+  out.IsLeaving = LeavingSince.contains(serverKey);
+  auto sum = Sums.find(serverKey);
   if (sum == Sums.end())
     return out;
   out.Running += sum->second.Running;
@@ -177,10 +178,10 @@
 std::vector<LoadShare> ServerLoads::ownLoads() const {
   std::lock_guard guard(Lock);
   std::vector<LoadShare> out;
-  for (const auto &[name, state] : Servers)
+  for (const auto &[serverKey, state] : Servers)
     if (state.Running > 0)
-      out.push_back({name, state.Running, fit(state.WaitingTokens),
-                     fit(state.HeldTokens)});
+      out.push_back({serverKey, state.Running, saturate(state.WaitingTokens),
+                     saturate(state.HeldTokens)});
   return out;
 }
 
@@ -189,10 +190,10 @@
   std::erase_if(Servers, [&](const auto &it) {
     return it.second.Running == 0 && it.second.LastUsed < usedBefore;
   });
-  std::erase_if(Leaving, [&](const auto &it) {
-    return it.second + Settings.LeavingMemory < usedBefore;
+  std::erase_if(LeavingSince, [&](const auto &it) {
+    return it.second + Settings.LeavingTtl < usedBefore;
   });
-  dropLapsed(usedBefore);
+  dropExpired(usedBefore);
 }
 
 } // namespace daisytack::direct
--- a/src/direct/server_loads.h
+++ b/src/direct/server_loads.h
@@ -1,10 +1,11 @@
-/// How much work is under way at each backend server: this entry's own, and
-/// what the other entries last said of theirs. Kept apart by start: a server
-/// that starts again under its id is idle, and not avoided for what was before.
+/// Load of each backend server: the requests in flight from this entry, plus
+/// what the other entries last reported of theirs. Tracked per start of a
+/// server: a server that restarts under the same id is idle, and is not avoided
+/// for what happened before.
 ///
-/// A choice looks at every server of a service, so what the others said is kept
-/// as one sum a server: one look costs the same whether five entries speak or a
-/// thousand.
+/// Each placement reads the load of every server of a service, so the reports
+/// of the other entries are kept as one sum per server. The cost of a read does
+/// not depend on the number of entries.
 #pragma once
 
 #include "daisytack/types.h"
@@ -21,51 +22,57 @@
 namespace daisytack::direct {
 
 struct ServerLoadSettings {
-  /// A server that has said nothing for so long while an answer is due is
-  /// avoided: several times the longest usual wait for a first token.
-  Duration SilenceLimit{1'200'000};
-  /// After a server turned a request away, or took no connection, it is avoided
-  /// for so long; doubled by each further time in a row, up to the longest.
-  Duration RejectPause{250'000};
-  Duration LongestRejectPause{2'000'000};
-  /// A server at whose address another instance answered is avoided until its
-  /// record has lapsed: three heartbeats of 1.2 s, and its way here.
-  Duration ReplacedPause{4'000'000};
-  /// What another entry said counts for so many of its periods, as datagrams
-  /// are lost now and then, and at most for so long.
-  int64_t PeerPeriods = 5;
-  Duration LongestPeerMemory{10'000'000};
-  /// A server may close itself to this entry for so long at most: one that asks
-  /// for more is asked once more by then, in case that it erred.
-  Duration LongestClosing{3'600'000'000};
-  /// That a server leaves is remembered for so long; it is gone by then.
-  Duration LeavingMemory{3'600'000'000};
-  /// The others are told for so long that a server leaves: some datagrams.
-  Duration LeavingNews{3'000'000};
+  /// A server with requests in flight that has sent nothing for this time is
+  /// avoided. Several times the longest normal wait for a first token.
+  Duration SilenceTimeout{1'200'000};
+  /// How long a server is avoided after it rejected a request or refused a
+  /// connection. Doubles with each consecutive rejection, up to the maximum.
+  Duration RejectBackoff{250'000};
+  Duration MaxRejectBackoff{2'000'000};
+  /// How long a server is avoided after another instance answered at its
+  /// address. Its record has expired by then: three heartbeats of 1.2 s, plus
+  /// the delay until this entry learns of it.
+  Duration ReplacedBackoff{4'000'000};
+  /// A report from another entry counts for this number of its reporting
+  /// periods, as some datagrams are lost, but at most for MaxPeerTtl.
+  int64_t PeerTtlPeriods = 5;
+  Duration MaxPeerTtl{10'000'000};
+  /// Upper bound on a server's Retry-After. A server that asked for more by
+  /// mistake gets requests again after this time.
+  Duration MaxRetryAfter{3'600'000'000};
+  /// How long it is remembered that a server is leaving. The server is gone by
+  /// then.
+  Duration LeavingTtl{3'600'000'000};
+  /// How long other entries are told that a server is leaving; long enough for
+  /// several datagrams.
+  Duration LeavingGossipTime{3'000'000};
   bool operator==(const ServerLoadSettings &) const = default;
 };
 
-/// Of one server, at one moment.
+/// Load and state of one server at one moment.
 struct ServerLoadView {
-  uint32_t Running = 0;       ///< Requests, over all entries.
-  uint64_t WaitingTokens = 0; ///< Of prompts without a first byte.
-  uint64_t HeldTokens = 0;    ///< Of the prompts of all running requests.
-  bool IsAvoided = false;     ///< Silent, or turned a request away just now.
-  bool IsLeaving = false;     ///< By its own word: nothing new is sent to it.
-  /// The same until then, where it is in the future.
+  uint32_t Running = 0; ///< Requests in flight from all entries.
+  /// Prompt tokens of requests that have not got their first byte yet.
+  uint64_t WaitingTokens = 0;
+  uint64_t HeldTokens = 0; ///< Prompt tokens of all requests in flight.
+  bool IsAvoided = false;  ///< Unresponsive, or rejected a request recently.
+  bool IsLeaving = false;  ///< The server announced that it will shut down.
+  /// End of the server's own Retry-After: nothing is sent to it before. Not in
+  /// the future when there is none.
   TimePoint RetryAt{};
   auto operator<=>(const ServerLoadView &) const = default;
 };
 
-/// One server's load from one entry, as entries tell one another.
+/// Load that one entry puts on one server, as passed on between entries. The
+/// counts are those of ServerLoadView, for that entry alone.
 struct LoadShare {
-  uint64_t Name = 0; ///< ServerRef::key of one start of a server.
+  uint64_t ServerKey = 0; ///< ServerRef::key() of one start of a server.
   uint32_t Running = 0;
   uint32_t WaitingTokens = 0;
   uint32_t HeldTokens = 0;
   auto operator<=>(const LoadShare &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Name, Running, WaitingTokens, HeldTokens);
+    ar(ServerKey, Running, WaitingTokens, HeldTokens);
   }
 };
 
@@ -75,37 +82,42 @@
   explicit ServerLoads(ServerLoadSettings settings) : Settings(settings) {}
 
   void onSent(ServerRef server, uint64_t tokens, TimePoint now);
-  /// Any byte came from the server.
+  /// The server sent at least one byte.
   void onActivity(ServerRef server, TimePoint now);
-  /// The tokens of a request that still runs are read.
+  /// The prompt was prefilled: its tokens are no longer waiting. The request is
+  /// still running.
   void onFirstByte(ServerRef server, uint64_t tokens, TimePoint now);
-  /// The request is over; whether its prompt was read.
-  void onEnded(ServerRef server, uint64_t tokens, bool wasRead, TimePoint now);
-  /// It turned a request away, or took no connection for it.
+  /// The request has ended. `hadFirstByte` tells whether onFirstByte() was
+  /// called for it.
+  void onEnded(ServerRef server, uint64_t tokens, bool hadFirstByte,
+               TimePoint now);
+  /// The server rejected a request or refused a connection for it.
   void onRejected(ServerRef server, TimePoint now);
-  /// The server said that it wants nothing from this entry for so long.
+  /// The server asked this entry to send it nothing for this time.
   void onRetryAfter(ServerRef server, Duration time, TimePoint now);
-  /// The server said, or another entry heard, that it leaves; whether that is
-  /// news.
+  /// The server, given by its ServerRef::key(), announced that it is leaving,
+  /// or another entry reported so. Returns whether this was not known before.
   bool onLeaving(uint64_t server, TimePoint now);
-  /// Another instance answered at its address: it is gone.
+  /// Another instance answered at the server's address: the server is gone.
   void onReplaced(ServerRef server, TimePoint now);
-  /// The server is taking new weights and turns requests away until then.
+  /// The server is loading new weights and rejects requests until then.
   void avoidUntil(ServerRef server, TimePoint until);
-  /// It has taken them.
+  /// The server has loaded its new weights.
   void onWeightsLoaded(ServerRef server);
-  /// What another entry has under way; replaces what it said before. It speaks
-  /// again after the period.
+  /// Replaces the earlier report of another entry. That entry sends its next
+  /// report after the period.
   void onPeerReport(const std::string &entry,
                     const std::vector<LoadShare> &shares, Duration period,
                     TimePoint now);
 
   ServerLoadView view(ServerRef server, TimePoint now) const;
-  /// This entry's own, for the others.
+  /// This entry's own load on each server, for the other entries.
   std::vector<LoadShare> ownLoads() const;
-  /// Servers of which this entry heard lately that they leave, for the others.
+  /// Keys of the servers that became known as leaving within
+  /// LeavingGossipTime, for the other entries.
   std::vector<uint64_t> recentlyLeaving(TimePoint now) const;
-  /// Forgets servers without running requests that were not used since.
+  /// Drops servers without requests in flight that have not been used since
+  /// `usedBefore`.
   void forgetIdle(TimePoint usedBefore);
 
 private:
@@ -113,37 +125,41 @@
     uint32_t Running = 0;
     uint64_t WaitingTokens = 0;
     uint64_t HeldTokens = 0;
-    TimePoint LastHeard; ///< Or when it was first asked after a quiet time.
+    /// When the server last sent something, or when a request was sent to it
+    /// while no other was in flight, whichever is later.
+    TimePoint LastActivity;
     TimePoint LastUsed;
     TimePoint AvoidUntil;
     TimePoint RetryAt;
-    uint32_t Rejections = 0; ///< In a row.
+    uint32_t Rejections = 0; ///< Consecutive ones.
   };
-  struct Peer {
-    TimePoint Until; ///< It counts.
+  struct PeerReport {
+    TimePoint ExpiresAt;
     std::vector<LoadShare> Shares;
   };
-  /// Of all other entries that count.
-  struct Sum {
+  /// Sum of the unexpired reports of all other entries on one server.
+  struct PeerSum {
     uint32_t Running = 0;
     uint64_t WaitingTokens = 0;
     uint64_t HeldTokens = 0;
-    uint32_t Entries = 0;
+    uint32_t Entries = 0; ///< Number of reports in the sum.
   };
 
-  void add(const Peer &peer);
-  /// Takes it off the sums.
-  void remove(const std::string &entry) const;
-  void dropLapsed(TimePoint now) const;
+  void addToSums(const PeerReport &report);
+  /// Drops the entry's report, and subtracts it from the sums.
+  void removeReport(const std::string &entry) const;
+  void dropExpired(TimePoint now) const;
 
   ServerLoadSettings Settings;
   mutable std::mutex Lock;
-  std::unordered_map<uint64_t, State> Servers;
-  std::unordered_map<uint64_t, TimePoint> Leaving; ///< Since when.
-  // Whoever looks first drops what has lapsed.
-  mutable std::unordered_map<std::string, Peer> Peers;
-  mutable std::unordered_map<uint64_t, Sum> Sums;
-  mutable std::set<std::pair<TimePoint, std::string>> Lapses; ///< Of peers.
+  std::unordered_map<uint64_t, State> Servers; ///< By ServerRef::key().
+  /// When servers became known as leaving, by ServerRef::key().
+  std::unordered_map<uint64_t, TimePoint> LeavingSince;
+  // Mutable, since view() drops expired reports.
+  mutable std::unordered_map<std::string, PeerReport> Reports; ///< By entry.
+  mutable std::unordered_map<uint64_t, PeerSum> Sums; ///< By ServerKey.
+  /// Expiry times of the reports, with their entries.
+  mutable std::set<std::pair<TimePoint, std::string>> Expiries;
 };
 
 } // namespace daisytack::direct
--- a/src/direct/store_links.cpp
+++ b/src/direct/store_links.cpp
@@ -8,60 +8,61 @@
 
 namespace daisytack::direct {
 
-double StoreLinks::faded(const Delay &delay, TimePoint now) const {
+double StoreLinks::decayedMs(const Delay &delay, TimePoint now) const {
   double halvings = static_cast<double>((now - delay.At).count()) /
                     static_cast<double>(Settings.HalfLife.count());
   return delay.Ms * std::exp2(-std::max(halvings, 0.0));
 }
 
-uint64_t StoreLinks::nameOf(const std::optional<Endpoint> &store) {
+uint64_t StoreLinks::keyOf(const std::optional<Endpoint> &store) {
   return store ? stableHash(toString(*store)) : 0;
 }
 
 void StoreLinks::observe(const std::optional<Endpoint> &store, double lateMs,
                          TimePoint now) {
-  double seen = std::clamp(lateMs, 0.0, Settings.MostMs);
-  uint64_t name = nameOf(store);
+  double sampleMs = std::clamp(lateMs, 0.0, Settings.MaxDelayMs);
+  uint64_t key = keyOf(store);
   std::lock_guard guard(Lock);
-  learn(name, seen, now);
-  if (News.size() >= Settings.MostNews)
-    News.erase(News.begin());
-  News.push_back({name, static_cast<uint32_t>(seen)});
+  update(key, sampleMs, now);
+  if (PendingGossip.size() >= Settings.MaxGossipDelays)
+    PendingGossip.erase(PendingGossip.begin());
+  PendingGossip.push_back({key, static_cast<uint32_t>(sampleMs)});
 }
 
 void StoreLinks::onPeerDelays(const std::vector<LinkDelay> &delays,
                               TimePoint now) {
   std::lock_guard guard(Lock);
   for (const LinkDelay &it : delays)
-    learn(it.Store, std::min<double>(it.LateMs, Settings.MostMs), now);
+    update(it.StoreKey, std::min<double>(it.LateMs, Settings.MaxDelayMs), now);
 }
 
 std::vector<LinkDelay> StoreLinks::takeGossip() {
   std::lock_guard guard(Lock);
-  return std::exchange(News, {});
+  return std::exchange(PendingGossip, {});
 }
 
-void StoreLinks::learn(uint64_t store, double seen, TimePoint now) {
+void StoreLinks::update(uint64_t store, double sampleMs, TimePoint now) {
   std::erase_if(Delays, [&](const auto &it) {
-    return now >= it.second.At + Settings.ForgottenAfter;
+    return now >= it.second.At + Settings.DropAfter;
   });
   Delay &delay = Delays[store];
-  delay.Ms = faded(delay, now) * (1 - Settings.Weight) + seen * Settings.Weight;
+  delay.Ms = decayedMs(delay, now) * (1 - Settings.SampleWeight) +
+             sampleMs * Settings.SampleWeight;
   delay.At = now;
 }
 
 double StoreLinks::excessMs(const Endpoint &store, TimePoint now) const {
-  uint64_t name = nameOf(store);
+  uint64_t key = keyOf(store);
   std::lock_guard guard(Lock);
-  auto it = Delays.find(name);
+  auto it = Delays.find(key);
   if (it == Delays.end())
     return 0;
-  double own = faded(it->second, now);
-  double least = own;
+  double ownMs = decayedMs(it->second, now);
+  double baselineMs = ownMs;
   for (const auto &[other, delay] : Delays)
-    if (now < delay.At + Settings.ComparedFor)
-      least = std::min(least, faded(delay, now));
-  return own - least;
+    if (now < delay.At + Settings.BaselineMaxAge)
+      baselineMs = std::min(baselineMs, decayedMs(delay, now));
+  return ownMs - baselineMs;
 }
 
 } // namespace daisytack::direct
--- a/src/direct/store_links.h
+++ b/src/direct/store_links.h
@@ -1,11 +1,11 @@
-/// How congested the links of the stores of kept context are, learned from how
-/// much longer requests with a fetch wait for their first byte than predicted.
+/// Estimates the congestion of the context stores' links, from how much later
+/// than predicted the first byte of requests with a fetch arrives.
 ///
-/// A store's link carries one transfer after another, and its real rate is not
-/// told. A slow engine delays the requests of all stores alike, so only what a
-/// store's requests wait beyond those of the others is put down to its link.
-/// Entries tell one another of each delay: a slow link lasts for seconds, in
-/// which one entry of many sees a fetch or two.
+/// A store's link carries one transfer after another, and its actual rate is
+/// not known. A slow engine delays the requests of all stores alike, so only
+/// the excess delay of a store's requests over those of other stores is
+/// attributed to its link. Entries share their observations: a link is slow for
+/// a few seconds only, during which each of many entries sees a fetch or two.
 #pragma once
 
 #include "daisytack/types.h"
@@ -20,33 +20,35 @@
 namespace daisytack::direct {
 
 struct StoreLinkSettings {
-  /// Weight of one observation: a link that has become slow is noticed after
-  /// some seven fetches, about half a second of a busy entry's.
-  double Weight = 0.15;
-  /// A delay that is not observed halves in this time, so that a link which is
-  /// left alone is tried again.
+  /// Weight of one observation in the moving average. A link that has become
+  /// slow is noticed after about seven fetches, half a second's worth on a busy
+  /// entry.
+  double SampleWeight = 0.15;
+  /// Time in which a delay halves while it is not observed, so that a link that
+  /// requests avoid is tried again.
   Duration HalfLife{700'000};
-  /// What was not observed for so long is no measure for the others: that its
-  /// delay has faded does not say that its requests would be quick now.
-  Duration ComparedFor{2'000'000};
-  /// And after so long it is forgotten, so that stores which are gone take no
-  /// memory: nothing is left of any delay by then.
-  Duration ForgottenAfter{20'000'000};
-  /// An observation counts for at most this; a lost server says nothing of the
-  /// link.
-  double MostMs = 2500;
-  /// Observations that are kept for the other entries; a datagram holds them
-  /// beside the loads of 40 servers.
-  size_t MostNews = 32;
+  /// A delay that was not observed for this time is not used as a baseline for
+  /// the others: that it has decayed does not mean that requests of its store
+  /// would be quick now.
+  Duration BaselineMaxAge{2'000'000};
+  /// A delay that was not observed for this time is dropped, to free the memory
+  /// of stores that are gone. It has decayed to nothing by then.
+  Duration DropAfter{20'000'000};
+  /// Upper bound, in milliseconds, on what one observation counts for: the
+  /// delay of a lost server says nothing about the link.
+  double MaxDelayMs = 2500;
+  /// Maximum number of observations kept for the other entries. They fit into a
+  /// datagram along with the loads of 40 servers.
+  size_t MaxGossipDelays = 32;
   bool operator==(const StoreLinkSettings &) const = default;
 };
 
-/// One delay that an entry observed, as entries tell one another.
+/// One delay that an entry observed, as passed on between entries.
 struct LinkDelay {
-  uint64_t Store = 0; ///< stableHash of its address; 0: there was no fetch.
+  uint64_t StoreKey = 0; ///< stableHash() of its address; 0: no fetch.
   uint32_t LateMs = 0;
   auto operator<=>(const LinkDelay &) const = default;
-  template <class Archive> void serialize(Archive &ar) { ar(Store, LateMs); }
+  template <class Archive> void serialize(Archive &ar) { ar(StoreKey, LateMs); }
 };
 
 /// Thread-safe.
@@ -54,32 +56,39 @@
 public:
   explicit StoreLinks(StoreLinkSettings settings) : Settings(settings) {}
 
-  /// The first byte of an answer came so much later than was predicted without
-  /// a fetch. No store: there was no fetch.
+  /// Records that an answer's first byte arrived `lateMs` later than predicted
+  /// without a fetch. `store` is the store that was fetched from; nullopt: the
+  /// request had no fetch.
   void observe(const std::optional<Endpoint> &store, double lateMs,
                TimePoint now);
-  /// What another entry observed counts like an own observation: a single
-  /// entry of many sees too few fetches to notice a slow link while it is slow.
+  /// Records delays that another entry observed. They count like this entry's
+  /// own: a single entry of many sees too few fetches to notice a slow link
+  /// while it is slow.
   void onPeerDelays(const std::vector<LinkDelay> &delays, TimePoint now);
-  /// Own observations since the last call, the latest ones, for the others.
+  /// This entry's own observations since the last call, for the other entries;
+  /// the latest ones if there were too many.
   std::vector<LinkDelay> takeGossip();
-  /// What a fetch from the store waits beyond one from the best of the others.
+  /// How much longer, in milliseconds, a request with a fetch from the store
+  /// waits than a request of the store with the least delay, or one without a
+  /// fetch.
   double excessMs(const Endpoint &store, TimePoint now) const;
 
 private:
   struct Delay {
     double Ms = 0;
-    TimePoint At;
+    TimePoint At; ///< Time of the last observation.
   };
-  static uint64_t nameOf(const std::optional<Endpoint> &store);
-  double faded(const Delay &delay, TimePoint now) const;
-  void learn(uint64_t store, double seen, TimePoint now);
+  /// Key of the store in Delays and LinkDelay; 0 for nullopt.
+  static uint64_t keyOf(const std::optional<Endpoint> &store);
+  /// The delay in milliseconds, decayed since its last observation.
+  double decayedMs(const Delay &delay, TimePoint now) const;
+  void update(uint64_t store, double sampleMs, TimePoint now);
 
   StoreLinkSettings Settings;
   mutable std::mutex Lock;
-  /// By name; 0 is of requests without a fetch.
+  /// By keyOf(); 0 holds the delay of requests without a fetch.
   std::map<uint64_t, Delay> Delays;
-  std::vector<LinkDelay> News;
+  std::vector<LinkDelay> PendingGossip;
 };
 
 } // namespace daisytack::direct
--- a/tests/direct/call_pacing_test.cpp
+++ b/tests/direct/call_pacing_test.cpp
@@ -1,4 +1,4 @@
-/// Many processes share the few places of a store's feed of changes.
+/// Many processes share the few slots of a store's feed of changes.
 
 #include "direct/call_pacing.h"
 
@@ -10,52 +10,52 @@
 namespace daisytack::direct {
 namespace {
 
-constexpr uint32_t Places = 12;
+constexpr uint32_t Slots = 12;
 
-TEST(CallPacing, FewProcessesWaitLong) {
+TEST(CallPacing, FewProcessesUseLongCalls) {
   CallPacing pacing({});
-  EXPECT_GE(pacing.wait(4, Places), Duration(900'000));
-  EXPECT_LE(pacing.wait(4, Places), Duration(1'000'000));
+  EXPECT_GE(pacing.wait(4, Slots), Duration(900'000));
+  EXPECT_LE(pacing.wait(4, Slots), Duration(1'000'000));
 }
 
-TEST(CallPacing, ManyProcessesWaitShortAndPauseLonger) {
+TEST(CallPacing, ManyProcessesUseShortCallsAndLongPauses) {
   CallPacing pacing({});
-  EXPECT_EQ(pacing.wait(26, Places), Duration(200'000));
-  uint64_t middle = 512;
-  EXPECT_GT(pacing.pauseAfter(Duration(200'000), 26, Places, middle),
+  EXPECT_EQ(pacing.wait(26, Slots), Duration(200'000));
+  uint64_t noJitter = 512;
+  EXPECT_GT(pacing.pauseAfter(Duration(200'000), 26, Slots, noJitter),
             Duration(600'000));
-  // A call that a change ended at once costs no place.
-  EXPECT_LT(pacing.pauseAfter(Duration(3'000), 26, Places, middle),
+  // A call that a change ended at once has hardly used a slot.
+  EXPECT_LT(pacing.pauseAfter(Duration(3'000), 26, Slots, noJitter),
             Duration(450'000));
 }
 
-TEST(CallPacing, PausesDiffer) {
+TEST(CallPacing, PausesVaryWithTheRandomNumber) {
   CallPacing pacing({});
-  EXPECT_LT(pacing.pauseAfter(Duration(0), 4, Places, 0),
-            pacing.pauseAfter(Duration(0), 4, Places, 1023));
+  EXPECT_LT(pacing.pauseAfter(Duration(0), 4, Slots, 0),
+            pacing.pauseAfter(Duration(0), 4, Slots, 1023));
 }
 
-TEST(CallPacing, NothingKnownIsNoDivisionByZero) {
+TEST(CallPacing, HandlesZeroProcessesAndSlots) {
   CallPacing pacing({});
   EXPECT_GT(pacing.wait(0, 0), Duration::zero());
   EXPECT_GT(pacing.pauseAfter(Duration(1), 0, 0, 7), Duration::zero());
 }
 
-/// The calls that all processes have open on average stay below the places,
-/// however many there are, when every call is kept waiting to its end.
-RC_GTEST_PROP(CallPacing, OpenCallsStayBelowPlaces, ()) {
+/// The average number of open calls stays below the number of slots, whatever
+/// the number of processes, even when no call ends early.
+RC_GTEST_PROP(CallPacing, OpenCallsStayBelowSlots, ()) {
   auto processes = *rc::gen::inRange<size_t>(1, 2000);
-  auto places = *rc::gen::inRange<uint32_t>(2, 64);
+  auto slots = *rc::gen::inRange<uint32_t>(2, 64);
   CallPacing pacing({});
-  Duration wait = pacing.wait(processes, places);
+  Duration wait = pacing.wait(processes, slots);
   double open = 0;
   for (uint64_t random : {0, 256, 512, 768, 1023}) {
-    Duration pause = pacing.pauseAfter(wait, processes, places, random);
+    Duration pause = pacing.pauseAfter(wait, processes, slots, random);
     double cycle = static_cast<double>((wait + pause).count());
     open += static_cast<double>(processes) * static_cast<double>(wait.count()) /
             cycle / 5;
   }
-  RC_ASSERT(open < places);
+  RC_ASSERT(open < slots);
 }
 
 } // namespace
--- a/tests/direct/prefill_rate_test.cpp
+++ b/tests/direct/prefill_rate_test.cpp
@@ -7,33 +7,33 @@
 
 using namespace std::chrono_literals;
 
-TEST(PrefillRate, FollowsTheQuickerOfWhatItSees) {
+TEST(PrefillRate, FollowsTheFasterObservations) {
   PrefillRate rates{{}};
   EXPECT_EQ(rates.tokensPerMs("engines"), 112);
-  // Engines of 55 tokens a millisecond; every second prompt waits for something
-  // else besides, up to a second.
+  // Engines of 55 tokens per millisecond. Every second prompt has another delay
+  // of up to a second.
   for (int i = 0; i < 60; ++i) {
-    auto late = i % 2 ? 0ms : std::chrono::milliseconds(17 * i);
-    rates.observe("engines", 11'000, 0, 250ms + late);
+    auto otherDelay = i % 2 ? 0ms : std::chrono::milliseconds(17 * i);
+    rates.observe("engines", 11'000, 0, 250ms + otherDelay);
   }
   EXPECT_NEAR(rates.tokensPerMs("engines"), 55, 6);
   EXPECT_EQ(rates.tokensPerMs("others"), 112);
 }
 
-TEST(PrefillRate, CorrectsAWrongPriorWithinAFewPrompts) {
+TEST(PrefillRate, CorrectsAWrongInitialEstimateWithinAFewPrompts) {
   PrefillRate rates{{}};
   for (int i = 0; i < 14; ++i)
     rates.observe("engines", 11'000, 0, 250ms);
   EXPECT_NEAR(rates.tokensPerMs("engines"), 55, 8);
 }
 
-TEST(PrefillRate, CountsWhatWaitedBeforeAndLeavesShortPromptsOut) {
+TEST(PrefillRate, CountsQueuedTokensAndIgnoresShortPrompts) {
   PrefillRate rates{{}};
   for (int i = 0; i < 100; ++i) {
     rates.observe("engines", 11'000, 11'000, 450ms);
     rates.observe("engines", 500, 0, 450ms);
     rates.observe("engines", 0, 0, 450ms);
-    rates.observe("engines", 11'000, 0, 10ms); // Less than any answer takes.
+    rates.observe("engines", 11'000, 0, 10ms); // Less than BaseMs.
   }
   EXPECT_NEAR(rates.tokensPerMs("engines"), 55, 3);
 }
--- a/tests/direct/server_loads_test.cpp
+++ b/tests/direct/server_loads_test.cpp
@@ -15,7 +15,7 @@
 
 const TimePoint Start{Duration(1'000'000'000)};
 
-TEST(ServerLoads, NoticesASilentServerOnlyWhileAnAnswerIsDue) {
+TEST(ServerLoads, AvoidsASilentServerOnlyWhileARequestIsInFlight) {
   ServerLoads loads{{}};
   loads.onSent("a", 100, Start);
   EXPECT_FALSE(loads.view("a", Start + 1s).IsAvoided);
@@ -28,8 +28,9 @@
   EXPECT_TRUE(loads.ownLoads().empty());
 }
 
-/// With many entries each is heard seldom, and counts until it is heard again.
-TEST(ServerLoads, RemembersAnEntryAsLongAsItsPeriodAsks) {
+/// With many entries each one reports rarely, and must count until its next
+/// report.
+TEST(ServerLoads, ExpiresReportsByTheirPeriod) {
   ServerLoads loads{{}};
   std::vector<LoadShare> shares{{stableHash("a"), 2, 700, 900}};
   loads.onPeerReport("often", shares, 100ms, Start);
@@ -41,34 +42,36 @@
   EXPECT_EQ(loads.view("a", Start + 11s).Running, 0);
 }
 
-/// What entries said last, each until it lapses, added up at each look.
-class AddedAnew {
+/// Model: keeps the latest report of each entry until it expires, and adds the
+/// reports up at each read.
+class RecomputedSums {
 public:
   void onPeerReport(const std::string &entry, std::vector<LoadShare> shares,
                     TimePoint until) {
-    Said[entry] = {until, std::move(shares)};
+    Reports[entry] = {until, std::move(shares)};
   }
   ServerLoadView view(uint64_t name, TimePoint now) const {
     ServerLoadView out;
-    for (const auto &[entry, said] : Said)
-      for (const LoadShare &it : said.second)
-        if (it.Name == name && now < said.first)
+    for (const auto &[entry, report] : Reports)
+      for (const LoadShare &it : report.second)
+        if (it.ServerKey == name && now < report.first)
           out = {out.Running + it.Running, out.WaitingTokens + it.WaitingTokens,
                  out.HeldTokens + it.HeldTokens, false};
     return out;
   }
 
 private:
-  std::map<std::string, std::pair<TimePoint, std::vector<LoadShare>>> Said;
+  std::map<std::string, std::pair<TimePoint, std::vector<LoadShare>>> Reports;
 };
 
-/// The load: a thousand entries tell of thousands of servers, and each choice
-/// looks at all of these. The sums that are kept must be what adding up anew
-/// gives, whatever came in which order, was repeated or has lapsed.
-RC_GTEST_PROP(ServerLoads, SumsAreWhatAddingUpAnewGives, ()) {
+/// Each placement reads the loads of all servers, which may be thousands with a
+/// thousand entries reporting, so sums are maintained. They must equal sums
+/// that are computed from scratch, in whatever order reports arrive, are
+/// repeated and expire.
+RC_GTEST_PROP(ServerLoads, SumsEqualRecomputedOnes, ()) {
   constexpr int Servers = 4;
   ServerLoads loads{{}};
-  AddedAnew anew;
+  RecomputedSums recomputed;
   TimePoint now = Start;
   auto n = *rc::gen::inRange(1, 60);
   for (int i = 0; i < n; ++i) {
@@ -82,19 +85,20 @@
                           *rc::gen::inRange(0U, 9U), *rc::gen::inRange(0U, 99U),
                           *rc::gen::inRange(0U, 99U)});
     loads.onPeerReport(entry, shares, period, now);
-    Duration counts = std::min<Duration>(5 * period, 10s);
-    anew.onPeerReport(entry, std::move(shares), now + counts);
+    Duration lifetime = std::min<Duration>(5 * period, 10s);
+    recomputed.onPeerReport(entry, std::move(shares), now + lifetime);
     for (int server = 0; server < Servers; ++server) {
       std::string name = std::to_string(server);
-      RC_ASSERT(loads.view({name, 0}, now) == anew.view(stableHash(name), now));
+      RC_ASSERT(loads.view({name, 0}, now) ==
+                recomputed.view(stableHash(name), now));
     }
   }
 }
 
-TEST(ServerLoads, AvoidsAServerLongerEachTimeItTurnsARequestAway) {
+TEST(ServerLoads, AvoidsAServerLongerAfterEachRejection) {
   ServerLoads loads{{}};
   loads.onRejected("a", Start);
-  loads.onRejected("a", Start + 1ms); // Of the same moment.
+  loads.onRejected("a", Start + 1ms); // Counts as one with the first.
   EXPECT_FALSE(loads.view("a", Start + 260ms).IsAvoided);
   loads.onRejected("a", Start + 260ms);
   EXPECT_TRUE(loads.view("a", Start + 700ms).IsAvoided);
@@ -104,19 +108,20 @@
   EXPECT_FALSE(loads.view("a", Start + 1060ms).IsAvoided);
 }
 
-/// Its own word, of one of its starts; the next one may want requests.
-TEST(ServerLoads, KeepsAServerClosedForAsLongAsItSaid) {
+/// Retry-After applies to one start of the server; the next start may accept
+/// requests.
+TEST(ServerLoads, HonoursTheRetryAfterOfAServer) {
   ServerLoads loads{{}};
   ServerRef first{"a", 1};
   loads.onRetryAfter(first, 90s, Start);
-  loads.forgetIdle(Start + 80s); // Nothing was sent to it meanwhile.
+  loads.forgetIdle(Start + 80s); // Kept though nothing was sent.
   EXPECT_EQ(loads.view(first, Start + 80s).RetryAt, Start + 90s);
   EXPECT_EQ(loads.view({"a", 2}, Start).RetryAt, TimePoint());
-  loads.onRetryAfter(first, 1s, Start + 2s); // The newest word counts.
+  loads.onRetryAfter(first, 1s, Start + 2s); // The latest value counts.
   EXPECT_EQ(loads.view(first, Start + 2s).RetryAt, Start + 3s);
 }
 
-TEST(ServerLoads, RemembersThatAServerLeavesAndTellsItForAWhile) {
+TEST(ServerLoads, RemembersLeavingServersAndPassesThemOnBriefly) {
   ServerLoads loads{{}};
   ServerRef first{"a", 1};
   EXPECT_TRUE(loads.onLeaving(first.key(), Start));
@@ -128,9 +133,9 @@
   EXPECT_FALSE(loads.view({"a", 2}, Start).IsLeaving);
 }
 
-/// The record of an instance that was replaced lapses after three heartbeats;
-/// until then every request sent there would be turned away.
-TEST(ServerLoads, AvoidsAReplacedServerUntilItsRecordHasLapsed) {
+/// The record of a replaced instance expires after three heartbeats. Until then
+/// every request sent to its address would be rejected.
+TEST(ServerLoads, AvoidsAReplacedServerUntilItsRecordExpires) {
   ServerLoads loads{{}};
   loads.onRejected("a", Start);
   loads.onReplaced("a", Start);
@@ -138,7 +143,7 @@
   EXPECT_FALSE(loads.view("a", Start + 5s).IsAvoided);
 }
 
-TEST(ServerLoads, AvoidsAServerThatTurnsRequestsAwayForAMoment) {
+TEST(ServerLoads, AvoidsARejectingServerBriefly) {
   ServerLoads loads{{}};
   loads.onRejected("a", Start);
   EXPECT_TRUE(loads.view("a", Start + 100ms).IsAvoided);
--- a/tests/direct/store_links_test.cpp
+++ b/tests/direct/store_links_test.cpp
@@ -9,7 +9,7 @@
 
 const TimePoint Start{Duration(1'000'000'000)};
 
-TEST(StoreLinks, BlamesOnlyWhatOthersDoNotShare) {
+TEST(StoreLinks, CountsOnlyTheExcessOverOtherStores) {
   StoreLinks links{{}};
   Endpoint slow{"10.0.0.1", 1};
   Endpoint sound{"10.0.0.2", 1};
@@ -22,12 +22,12 @@
     links.observe(sound, 20, Start);
   EXPECT_GT(links.excessMs(slow, Start), 400);
   EXPECT_EQ(links.excessMs(sound, Start), 0);
-  EXPECT_LT(links.excessMs(slow, Start + 10s), 5); // It is tried again.
+  EXPECT_LT(links.excessMs(slow, Start + 10s), 5); // Decayed: tried again.
 }
 
-/// All requests are late since the engines are: a store that nobody has fetched
-/// from lately is no sign that the other links are slow.
-TEST(StoreLinks, ComparesOnlyWithWhatWasSeenLately) {
+/// All requests are late because the engines are slow. A store without recent
+/// fetches must not make the links of the others look slow.
+TEST(StoreLinks, ComparesOnlyWithRecentObservations) {
   StoreLinks links{{}};
   Endpoint used{"10.0.0.1", 1};
   Endpoint unused{"10.0.0.2", 1};
@@ -39,9 +39,9 @@
   EXPECT_LT(links.excessMs(used, Start + 5s), 1);
 }
 
-/// One entry of 26 sees a fetch from a store every few seconds, a slow link
-/// lasts for five; together they see it at once.
-TEST(StoreLinks, KnowsOfASlowLinkFromWhatOtherEntriesSaw) {
+/// Each of 26 entries sees a fetch from a store only every few seconds, and a
+/// link is slow for five seconds. Together they notice it at once.
+TEST(StoreLinks, LearnsOfASlowLinkFromOtherEntries) {
   Endpoint slow{"10.0.0.1", 1};
   Endpoint sound{"10.0.0.2", 1};
   StoreLinks here{{}};
@@ -51,36 +51,36 @@
     StoreLinks there{{}};
     there.observe(slow, 1500, Start);
     here.onPeerDelays(there.takeGossip(), Start);
-    EXPECT_TRUE(there.takeGossip().empty()); // Each is told once.
+    EXPECT_TRUE(there.takeGossip().empty()); // Passed on once only.
   }
   EXPECT_GT(here.excessMs(slow, Start), 1000);
   EXPECT_EQ(here.excessMs(sound, Start), 0);
-  EXPECT_TRUE(here.takeGossip().empty()); // And not passed on.
+  EXPECT_TRUE(here.takeGossip().empty()); // Reports are not passed on.
 }
 
-TEST(StoreLinks, TellsTheLatestOfManyObservations) {
+TEST(StoreLinks, PassesOnTheLatestObservations) {
   StoreLinkSettings settings;
   StoreLinks links{settings};
-  for (size_t i = 0; i < settings.MostNews + 5; ++i)
+  for (size_t i = 0; i < settings.MaxGossipDelays + 5; ++i)
     links.observe(std::nullopt, static_cast<double>(i), Start);
-  std::vector<LinkDelay> news = links.takeGossip();
-  ASSERT_EQ(news.size(), settings.MostNews);
-  EXPECT_EQ(news.front(), (LinkDelay{0, 5}));
+  std::vector<LinkDelay> delays = links.takeGossip();
+  ASSERT_EQ(delays.size(), settings.MaxGossipDelays);
+  EXPECT_EQ(delays.front(), (LinkDelay{0, 5}));
 }
 
-/// A delay from outside counts for no more than an own one.
-TEST(StoreLinks, BoundsWhatAnotherEntryTells) {
+/// A delay from another entry counts for no more than one of this entry's own.
+TEST(StoreLinks, BoundsDelaysFromOtherEntries) {
   StoreLinks links{{}};
   Endpoint store{"10.0.0.1", 1};
   links.observe(std::nullopt, 0, Start);
   links.observe(store, 0, Start);
   StoreLinks other{{}};
   other.observe(store, 1, Start);
-  LinkDelay told = other.takeGossip().front();
-  told.LateMs = UINT32_MAX;
+  LinkDelay delay = other.takeGossip().front();
+  delay.LateMs = UINT32_MAX;
   for (int i = 0; i < 100; ++i)
-    links.onPeerDelays({told}, Start);
-  EXPECT_LE(links.excessMs(store, Start), StoreLinkSettings{}.MostMs);
+    links.onPeerDelays({delay}, Start);
+  EXPECT_LE(links.excessMs(store, Start), StoreLinkSettings{}.MaxDelayMs);
 }
 
 } // namespace
