--- a/src/direct/context_planner.h
+++ b/src/direct/context_planner.h
@@ -1,5 +1,5 @@
-/// Where a backend server finds the kept context of a prompt, and where it
-/// leaves what it reads.
+/// Plans from which context stores a backend server fetches the kept context of
+/// a prompt, and to which stores it saves the context that it computes.
 #pragma once
 
 #include "direct/candidate.h"
@@ -13,35 +13,39 @@
 
 namespace daisytack::direct {
 
-/// No fetch that an entry asks for lasts longer; the platform starts none that
-/// would wait for two seconds. Kept context is freed only once that has passed
-/// since the last entry stopped naming it.
+/// Upper bound on the time of a fetch that an entry orders; the platform starts
+/// no fetch that would have to wait for two seconds. Kept context is freed only
+/// after this time has passed since the last entry stopped naming it as a
+/// source.
 constexpr Duration MaxFetchTime{2'000'000};
 
 /// Thread-safe.
 class ContextPlanner {
 public:
-  ContextPlanner(PlacementSettings settings, const Locality &where,
+  ContextPlanner(PlacementSettings settings, const Locality &locality,
                  const StoreLinks &links, KeptContext &kept,
                  const PlacementCost &cost);
 
-  /// Names sources for the parts that are better fetched than read, and
-  /// destinations for those that no store has. Without the servers' clock no
-  /// source is named: a fetch without an end may outlast the wait before its
-  /// part is freed.
+  /// Sets the order's sources for the parts that are faster to fetch than to
+  /// compute, and its destinations for the parts that no store holds. Without
+  /// the servers' clock no source is set: such a fetch would have no deadline
+  /// and might still be running when the part is freed. `home` is the home
+  /// server of the request's session (direct/placement.h).
   void plan(const ForwardRequest &request, const Candidate &server,
             const BackendServer &home, std::optional<int64_t> serversClockMs,
             TimePoint now, AttemptOrder &order);
 
 private:
-  /// What a fetch may wait before reading the parts instead is better.
+  /// How long, in milliseconds, a fetch may take before computing the parts
+  /// instead is better.
   double fetchBudgetMs(const ForwardRequest &request) const;
-  /// Whether the request leaves the congested link alone and reads instead.
+  /// Whether the request avoids a congested link and computes the parts
+  /// instead.
   bool shedsFetch(const ForwardRequest &request, double excessMs,
                   double budgetMs) const;
 
   PlacementSettings Settings;
-  const Locality &Where;
+  const Locality &EntryLocality;
   const StoreLinks &Links;
   KeptContext &Kept;
   const PlacementCost &Cost;
--- a/src/direct/kept_context.cpp
+++ b/src/direct/kept_context.cpp
@@ -12,21 +12,21 @@
 
 namespace {
 
-constexpr char KeySeparator = '\n'; ///< In no scope and no part id.
+constexpr char KeySeparator = '\n'; ///< Occurs in no scope or part id.
 constexpr std::string_view SharedScope = "shared";
-constexpr char VersionMark = '@';
+constexpr char VersionSeparator = '@';
 
 } // namespace
 
 std::string cacheScope(std::string_view organisation, bool isIsolated,
                        uint64_t version) {
   std::string out(isIsolated ? organisation : SharedScope);
-  out += VersionMark;
+  out += VersionSeparator;
   return out + std::to_string(version);
 }
 
 std::optional<uint64_t> versionOfScope(std::string_view scope) {
-  size_t at = scope.rfind(VersionMark);
+  size_t at = scope.rfind(VersionSeparator);
   if (at == std::string_view::npos)
     return std::nullopt;
   uint64_t out = 0;
@@ -60,15 +60,15 @@
 
 void KeptContext::setStores(const std::vector<Service> &services) {
   std::lock_guard guard(Lock);
-  std::set<std::string> listed;
+  std::set<std::string> configured;
   for (const Service &service : services) {
     if (!service.Store)
       continue;
-    listed.insert(service.Name);
+    configured.insert(service.Name);
     Stores[service.Name].Traits = *service.Store;
   }
   std::erase_if(Stores,
-                [&](const auto &it) { return !listed.contains(it.first); });
+                [&](const auto &it) { return !configured.contains(it.first); });
 }
 
 void KeptContext::reset(Store &store, uint64_t epoch) {
@@ -79,9 +79,9 @@
 
 void KeptContext::addPart(Store &store, const std::string &key,
                           uint32_t tokens) {
-  uint32_t &held = store.Parts[key];
-  store.UsedTokens += tokens - held;
-  held = tokens;
+  uint32_t &oldTokens = store.Parts[key];
+  store.UsedTokens += tokens - oldTokens;
+  oldTokens = tokens;
 }
 
 void KeptContext::removePart(Store &store, const std::string &key) {
@@ -108,7 +108,7 @@
       addPart(store, key, change.Tokens);
     else
       removePart(store, key);
-    Saves.erase(key);
+    PendingSaves.erase(key);
   }
   return !isRestarted && !changes.HasGap;
 }
@@ -134,7 +134,7 @@
 std::optional<ContextStoreTraits>
 KeptContext::find(std::string_view scope, const PromptPart &part,
                   std::string_view failureDomain,
-                  const StoreTest &mayUse) const {
+                  const StoreFilter &isAllowed) const {
   std::string key = keyOf(scope, part.Id);
   std::lock_guard guard(Lock);
   if (isRetired(scope, part.Id))
@@ -143,10 +143,10 @@
   for (const auto &[name, store] : Stores) {
     if (!store.IsReachable || !store.Parts.contains(key))
       continue;
-    if (mayUse && !mayUse(store.Traits))
+    if (isAllowed && !isAllowed(store.Traits))
       continue;
-    bool isNear = store.Traits.FailureDomain == failureDomain;
-    if (!out || isNear)
+    bool isSameDomain = store.Traits.FailureDomain == failureDomain;
+    if (!out || isSameDomain)
       out = store.Traits;
   }
   return out;
@@ -159,68 +159,69 @@
   });
 }
 
-uint64_t KeptContext::plannedTokens(const std::string &store) const {
+uint64_t KeptContext::pendingTokens(const std::string &store) const {
   uint64_t out = 0;
-  for (const auto &[key, save] : Saves)
+  for (const auto &[key, save] : PendingSaves)
     if (save.Store == store)
       out += save.Tokens;
   return out;
 }
 
-void KeptContext::forgetOldSaves(TimePoint now) {
-  std::erase_if(Saves, [&](const auto &it) {
-    return now >= it.second.At + Settings.SaveMemory;
+void KeptContext::dropExpiredSaves(TimePoint now) {
+  std::erase_if(PendingSaves, [&](const auto &it) {
+    return now >= it.second.RequestedAt + Settings.SaveRequestTtl;
   });
 }
 
 std::optional<ContextStoreTraits>
 KeptContext::planSave(std::string_view scope, const PromptPart &part,
                       std::string_view failureDomain, TimePoint now,
-                      const StoreTest &mayUse) {
+                      const StoreFilter &isAllowed) {
   std::string key = keyOf(scope, part.Id);
   std::lock_guard guard(Lock);
-  forgetOldSaves(now);
-  if (Saves.contains(key) || isRetired(scope, part.Id))
+  dropExpiredSaves(now);
+  if (PendingSaves.contains(key) || isRetired(scope, part.Id))
     return std::nullopt;
   for (const auto &[name, store] : Stores)
-    if (store.Parts.contains(key) && (!mayUse || mayUse(store.Traits)))
+    if (store.Parts.contains(key) && (!isAllowed || isAllowed(store.Traits)))
       return std::nullopt;
   const std::string *name =
-      bestStore(key, part.Tokens, failureDomain, linkFor(part.Tokens), mayUse);
+      bestStore(key, part.Tokens, failureDomain, preferredLinkMbps(part.Tokens),
+                isAllowed);
   if (!name)
-    name = bestStore(key, part.Tokens, failureDomain, std::nullopt, mayUse);
+    name = bestStore(key, part.Tokens, failureDomain, std::nullopt, isAllowed);
   if (!name)
     return std::nullopt;
   Sizes.observe(part.Tokens);
-  Saves[key] = {now, *name, part.Tokens};
+  PendingSaves[key] = {now, *name, part.Tokens};
   return Stores.at(*name).Traits;
 }
 
-std::optional<double> KeptContext::linkFor(uint32_t tokens) const {
-  struct Group { // Of stores with equally fast links.
+std::optional<double> KeptContext::preferredLinkMbps(uint32_t tokens) const {
+  struct Group { // Stores whose links have the same speed.
     uint64_t Capacity = 0;
     uint64_t LargestStore = 0;
   };
-  std::map<double, Group, std::greater<>> groups; // The fastest first.
-  uint64_t all = 0;
+  std::map<double, Group, std::greater<>> groups; // Fastest first.
+  uint64_t total = 0;
   for (const auto &[name, store] : Stores) {
     Group &group = groups[store.Traits.LinkMbps];
     uint64_t capacity = store.Traits.CapacityTokens;
     group.Capacity += capacity;
     group.LargestStore = std::max(group.LargestStore, capacity);
-    all += capacity;
+    total += capacity;
   }
   if (groups.empty())
     return std::nullopt;
   double rank = Sizes.rank(tokens).value_or(0);
-  uint64_t upTo = 0;
+  uint64_t cumulative = 0;
   for (const auto &[link, group] : groups) {
-    upTo += group.Capacity;
-    bool isInShare =
-        rank * static_cast<double>(all) < static_cast<double>(upTo);
+    cumulative += group.Capacity;
+    bool isWithinShare =
+        rank * static_cast<double>(total) < static_cast<double>(cumulative);
     bool isSmall = tokens <= static_cast<double>(group.LargestStore) *
                                  Settings.SmallPartShare;
-    if (isInShare && isSmall)
+    if (isWithinShare && isSmall)
       return link;
   }
   return groups.rbegin()->first;
@@ -230,21 +231,22 @@
                                           uint32_t tokens,
                                           std::string_view failureDomain,
                                           std::optional<double> linkMbps,
-                                          const StoreTest &mayUse) const {
+                                          const StoreFilter &isAllowed) const {
   const std::string *best = nullptr;
   double bestScore = 0;
   for (const auto &[name, store] : Stores) {
     if (linkMbps && store.Traits.LinkMbps != *linkMbps)
       continue;
-    if (mayUse && !mayUse(store.Traits))
+    if (isAllowed && !isAllowed(store.Traits))
       continue;
     auto capacity = static_cast<double>(store.Traits.CapacityTokens);
-    auto wanted =
-        static_cast<double>(store.UsedTokens + tokens + plannedTokens(name));
-    if (!store.IsReachable || wanted > capacity * Settings.FillShare)
+    auto neededTokens =
+        static_cast<double>(store.UsedTokens + tokens + pendingTokens(name));
+    if (!store.IsReachable || neededTokens > capacity * Settings.MaxFillShare)
       continue;
-    bool isNear = store.Traits.FailureDomain == failureDomain;
-    double weight = isNear ? capacity * Settings.NearWeight : capacity;
+    bool isSameDomain = store.Traits.FailureDomain == failureDomain;
+    double weight =
+        isSameDomain ? capacity * Settings.SameDomainWeight : capacity;
     double score = rendezvousScore(key, name, weight);
     if (best && score <= bestScore)
       continue;
@@ -256,7 +258,7 @@
 
 void KeptContext::cancelSave(std::string_view scope, const PromptPart &part) {
   std::lock_guard guard(Lock);
-  Saves.erase(keyOf(scope, part.Id));
+  PendingSaves.erase(keyOf(scope, part.Id));
 }
 
 void KeptContext::retire(const Retirement &retirement) {
@@ -272,7 +274,7 @@
 
 std::vector<PartRef> KeptContext::partsWhere(
     const std::string &name,
-    const std::function<bool(const PartRef &)> &test) const {
+    const std::function<bool(const PartRef &)> &predicate) const {
   std::lock_guard guard(Lock);
   std::vector<PartRef> out;
   auto it = Stores.find(name);
@@ -281,7 +283,7 @@
   for (const auto &[key, tokens] : it->second.Parts) {
     size_t at = key.find(KeySeparator);
     PartRef part{key.substr(0, at), key.substr(at + 1)};
-    if (test(part))
+    if (predicate(part))
       out.push_back(std::move(part));
   }
   return out;
@@ -299,18 +301,18 @@
 
 double KeptContext::freeToUsedRatio() const {
   std::lock_guard guard(Lock);
-  double held = 0;
-  double room = 0;
+  double used = 0;
+  double free = 0;
   for (const auto &[name, store] : Stores) {
     if (!store.IsReachable)
       continue;
-    auto used = static_cast<double>(store.UsedTokens);
-    held += used;
-    room += std::max(0.0, static_cast<double>(store.Traits.CapacityTokens) *
-                                  Settings.FillShare -
-                              used);
+    auto storeTokens = static_cast<double>(store.UsedTokens);
+    used += storeTokens;
+    free += std::max(0.0, static_cast<double>(store.Traits.CapacityTokens) *
+                                  Settings.MaxFillShare -
+                              storeTokens);
   }
-  return held > 0 ? room / held : 0;
+  return used > 0 ? free / used : 0;
 }
 
 size_t KeptContext::partsKnown() const {
--- a/src/direct/kept_context.h
+++ b/src/direct/kept_context.h
@@ -1,11 +1,12 @@
-/// Which store of kept context holds which part of which prompts, as far as one
-/// entry knows, and which parts it has asked to be saved.
+/// Index of the kept context that one entry knows of: which store holds which
+/// parts of which prompts, and which parts the entry has asked servers to save.
+/// Kept context is what a server's prefill of a prompt part has computed.
 ///
-/// Stores report a part when it is whole, late, and a few reports are lost. A
-/// lost report of a new part costs one prefill. A part that was freed counts as
-/// kept until that is heard; naming it costs the server one failed lookup, so
-/// beliefs need not be exact, but a part that is being written must never be
-/// taken for whole: only reports make a part known.
+/// Stores report a part once it is complete. Reports arrive late, and a few are
+/// lost. A lost report of a new part costs one prefill. A part that was freed
+/// counts as kept until the report of it arrives; naming it as a source costs
+/// the server one failed lookup. So the index may be out of date, but it must
+/// never list a part that is still being written: only reports add parts to it.
 #pragma once
 
 #include "direct/exchange.h"
@@ -22,124 +23,131 @@
 
 namespace daisytack::direct {
 
-/// One change in a store. Scope and part name the kept context.
+/// One change in a store. The scope (cacheScope()) and the part's id together
+/// identify the kept context.
 struct PartChange {
-  uint64_t Number = 0; ///< Consecutive within an epoch.
-  bool IsKept = false; ///< Whole from now on; false: gone.
+  uint64_t Number = 0; ///< Sequence number, consecutive within an epoch.
+  bool IsKept = false; ///< True: now complete in the store. False: removed.
   std::string Scope;
   std::string Part;
   uint32_t Tokens = 0;
   auto operator<=>(const PartChange &) const = default;
 };
 
-/// An answer to the question what has changed since a number.
+/// A store's response with its changes after a given sequence number.
 struct PartChanges {
-  uint64_t Epoch = 0;             ///< Differs after each restart of the store.
-  uint64_t Next = 0;              ///< To ask from next.
-  bool HasGap = false;            ///< Changes are missing.
-  std::optional<int64_t> ClockMs; ///< Of the servers, at the answer.
+  uint64_t Epoch = 0;  ///< Differs after each restart of the store.
+  uint64_t Next = 0;   ///< Sequence number to request changes from next time.
+  bool HasGap = false; ///< Whether changes are missing from the response.
+  std::optional<int64_t> ClockMs; ///< The servers' clock at the response.
   std::vector<PartChange> Changes;
   auto operator<=>(const PartChanges &) const = default;
 };
 
-/// Space that was reserved for a part whose save broke off.
+/// Identifies one part of kept context within a store.
 struct PartRef {
   std::string Scope;
   std::string Part;
   auto operator<=>(const PartRef &) const = default;
 };
 
-/// Everything that a store holds.
+/// Full listing of a store's contents.
 struct PartList {
   uint64_t Epoch = 0;
   uint64_t Next = 0;
-  std::vector<PartChange> Kept; ///< Numbers are not used.
+  std::vector<PartChange> Kept; ///< Complete parts; Number is unused.
+  /// Parts whose save has not completed, and may have been aborted. They take
+  /// up space in the store.
   std::vector<PartRef> Incomplete;
   auto operator<=>(const PartList &) const = default;
 };
 
-/// Whether a part can be freed: it was made for weights before the version that
-/// nobody has had for long enough, or is retired and not read any more.
+/// Whether a part can be freed: it belongs to weights older than version
+/// `freeBelow`, which no server has run for long enough, or it is covered by
+/// one of the retirements that all entries have agreed to, and no longer
+/// fetched.
 bool isUnused(const PartRef &part, uint64_t freeBelow,
               const std::vector<Retirement> &agreed);
 
-/// Text under which kept context is found: apart by weight version, and by
-/// organisation where that is isolated.
+/// Scope that kept context is stored under. It differs by weight version, and
+/// by organisation for organisations that are isolated.
 std::string cacheScope(std::string_view organisation, bool isIsolated,
                        uint64_t version);
-/// The version in such a text; nothing when it is another text.
+/// The weight version in a scope; nullopt when the text is not a scope.
 std::optional<uint64_t> versionOfScope(std::string_view scope);
 
 struct KeptContextSettings {
-  /// A save that was asked for is not asked for again for so long: a prompt's
-  /// prefill, its transfer and the report of it take about a second.
-  Duration SaveMemory{4'000'000};
-  /// Share of a store's capacity that saves may fill, as space is given out in
-  /// blocks and other entries' saves are heard of late.
-  double FillShare = 0.96;
-  /// A part of more than this share of a store's capacity is not kept there
-  /// for the sake of its link: a few of them would fill it, and nothing is
-  /// freed while its weights are in use.
+  /// Time during which the save of a part is not requested again. The prompt's
+  /// prefill, the transfer and the store's report together take about a second.
+  Duration SaveRequestTtl{4'000'000};
+  /// Share of a store's capacity that saves may fill. The rest is a reserve, as
+  /// stores allocate space in blocks and other entries' saves are reported
+  /// late.
+  double MaxFillShare = 0.96;
+  /// A part larger than this share of a store's capacity is not assigned to the
+  /// store because of its fast link: a few such parts would fill the store, and
+  /// nothing is freed while its weights are in use.
   double SmallPartShare = 1.0 / 64;
-  /// A store in the failure domain of the server that will fetch the part is
-  /// chosen so many times as often as another, so nearly always while it has
-  /// room: transfers between domains keep its link busy twice as long.
-  double NearWeight = 100;
+  /// Factor on the weight of stores in the failure domain of the server that
+  /// will fetch the part. So large that such a store is nearly always chosen
+  /// while it has space: a transfer between domains keeps the store's link busy
+  /// twice as long.
+  double SameDomainWeight = 100;
   bool operator==(const KeptContextSettings &) const = default;
 };
 
 /// Thread-safe.
 class KeptContext {
 public:
-  using StoreTest = std::function<bool(const ContextStoreTraits &)>;
+  using StoreFilter = std::function<bool(const ContextStoreTraits &)>;
 
   explicit KeptContext(KeptContextSettings settings) : Settings(settings) {}
 
-  /// Takes over the stores of a configuration; those that are new hold nothing.
+  /// Adopts the stores of a configuration. New stores start out empty.
   void setStores(const std::vector<Service> &services);
-  /// False when the store was restarted or changes are missing: everything that
-  /// it holds should be listed anew.
+  /// Applies reported changes. Returns false when the store was restarted or
+  /// changes are missing; the caller should then request a full listing.
   bool apply(const std::string &store, const PartChanges &changes);
   void apply(const std::string &store, const PartList &list);
-  /// The store does not answer: nothing of it is offered until it does.
+  /// The store does not respond: its parts are not offered until it does.
   void onUnreachable(const std::string &store);
 
-  /// A store that holds the whole part, the nearest first, of those that may be
-  /// used; without a test all may.
-  std::optional<ContextStoreTraits> find(std::string_view scope,
-                                         const PromptPart &part,
-                                         std::string_view failureDomain,
-                                         const StoreTest &mayUse = {}) const;
-  /// Chooses a store for the part, in the failure domain of the server that
-  /// will fetch it if that is known, and remembers that its save was asked for;
-  /// nothing when a store holds it, or it was asked for lately, or none has
-  /// room.
+  /// A store that holds the complete part and passes the filter, preferably one
+  /// in the given failure domain; nullopt when there is none. An empty filter
+  /// accepts all stores.
+  std::optional<ContextStoreTraits>
+  find(std::string_view scope, const PromptPart &part,
+       std::string_view failureDomain, const StoreFilter &isAllowed = {}) const;
+  /// Chooses a store that the part is to be saved to, and records the request.
+  /// Prefers the failure domain of the server that will fetch the part; an
+  /// empty one means that it is not known. Returns nullopt when a store already
+  /// holds the part, its save was requested recently, or no store has space.
   ///
-  /// The smallest parts go to the stores with the fastest links, as many as
-  /// their share of all capacity holds, so that short prompts never wait behind
+  /// The smallest parts go to the stores with the fastest links, up to these
+  /// stores' share of the total capacity. So short prompts do not wait behind
   /// the long transfers of others: a part of 8,600 tokens keeps a slow link
   /// busy for 40 to 80 ms.
   std::optional<ContextStoreTraits> planSave(std::string_view scope,
                                              const PromptPart &part,
                                              std::string_view failureDomain,
                                              TimePoint now,
-                                             const StoreTest &mayUse = {});
-  /// The save was not carried out.
+                                             const StoreFilter &isAllowed = {});
+  /// Withdraws a save that was planned but not carried out.
   void cancelSave(std::string_view scope, const PromptPart &part);
 
-  /// Parts of a share of sessions, made for weights before the version, are not
-  /// offered any more, for good, so that they can be freed for those of newer
-  /// weights.
+  /// Stops offering the parts that the retirement covers, for good, so that
+  /// they can be freed to make space for context of newer weights.
   void retire(const Retirement &retirement);
-  /// Known parts of the store that pass the test.
+  /// Known parts of the store that the predicate accepts.
   std::vector<PartRef>
   partsWhere(const std::string &store,
-             const std::function<bool(const PartRef &)> &test) const;
-  /// The store has freed the parts, by its own answer; its report may be lost.
+             const std::function<bool(const PartRef &)> &predicate) const;
+  /// The store has confirmed that it freed the parts. Its report of the change
+  /// may be lost.
   void onFreed(const std::string &store, const std::vector<PartRef> &parts);
   size_t partsKnown() const;
-  /// Room for further parts, as a share of what is held; over all stores. No
-  /// room while none is known.
+  /// Free space in all reachable stores, divided by the space in use; 0 when no
+  /// part is known.
   double freeToUsedRatio() const;
 
 private:
@@ -148,10 +156,10 @@
     uint64_t Epoch = 0;
     bool IsReachable = false;
     uint64_t UsedTokens = 0;
-    std::unordered_map<std::string, uint32_t> Parts; ///< Tokens by key.
+    std::unordered_map<std::string, uint32_t> Parts; ///< Tokens by keyOf().
   };
-  struct Save {
-    TimePoint At;
+  struct PendingSave {
+    TimePoint RequestedAt;
     std::string Store;
     uint32_t Tokens = 0;
   };
@@ -160,24 +168,26 @@
   void addPart(Store &store, const std::string &key, uint32_t tokens);
   void removePart(Store &store, const std::string &key);
   void reset(Store &store, uint64_t epoch);
-  void forgetOldSaves(TimePoint now);
+  void dropExpiredSaves(TimePoint now);
   bool isRetired(std::string_view scope, std::string_view part) const;
-  uint64_t plannedTokens(const std::string &store) const;
-  /// Speed of the links of the stores that parts of the size belong to; nothing
-  /// without a store.
-  std::optional<double> linkFor(uint32_t tokens) const;
-  /// Name of the reachable store with room, by rendezvous; null when there is
-  /// none. With a speed: only among stores with such a link.
+  /// Tokens of all pending saves to the store.
+  uint64_t pendingTokens(const std::string &store) const;
+  /// Link speed, in Mbit/s, of the stores that parts of this size belong to;
+  /// nullopt when there are no stores.
+  std::optional<double> preferredLinkMbps(uint32_t tokens) const;
+  /// Name of the reachable store with space that rendezvous hashing selects;
+  /// null when there is none. With a link speed, considers only the stores that
+  /// have exactly that speed.
   const std::string *bestStore(const std::string &key, uint32_t tokens,
                                std::string_view failureDomain,
                                std::optional<double> linkMbps,
-                               const StoreTest &mayUse) const;
+                               const StoreFilter &isAllowed) const;
 
   KeptContextSettings Settings;
   mutable std::mutex Lock;
-  std::map<std::string, Store> Stores; ///< By the service's name.
-  std::unordered_map<std::string, Save> Saves;
-  PartSizes Sizes; ///< Of the parts that saves were wanted for.
+  std::map<std::string, Store> Stores; ///< By service name.
+  std::unordered_map<std::string, PendingSave> PendingSaves; ///< By keyOf().
+  PartSizes Sizes; ///< Sizes of the parts whose save was planned.
   std::vector<Retirement> Retired;
 };
 
--- a/src/direct/part_sizes.cpp
+++ b/src/direct/part_sizes.cpp
@@ -3,27 +3,27 @@
 namespace daisytack::direct {
 
 void PartSizes::observe(uint32_t tokens) {
-  if (Sizes.size() < MostObserved) {
+  if (Sizes.size() < MaxSamples) {
     Sizes.push_back(tokens);
     return;
   }
-  Sizes[NextPlace] = tokens;
-  NextPlace = (NextPlace + 1) % MostObserved;
+  Sizes[NextIndex] = tokens;
+  NextIndex = (NextIndex + 1) % MaxSamples;
 }
 
 std::optional<double> PartSizes::rank(uint32_t tokens) const {
-  if (Sizes.size() < LeastObserved)
+  if (Sizes.size() < MinSamples)
     return std::nullopt;
   double smaller = 0;
-  double all = 0;
+  double total = 0;
   for (uint32_t size : Sizes) {
-    all += size;
+    total += size;
     if (size < tokens)
       smaller += size;
     if (size == tokens)
       smaller += size / 2.0;
   }
-  return all > 0 ? smaller / all : 0;
+  return total > 0 ? smaller / total : 0;
 }
 
 } // namespace daisytack::direct
--- a/src/direct/part_sizes.h
+++ b/src/direct/part_sizes.h
@@ -1,5 +1,5 @@
-/// The sizes of the prompt parts that were lately worth keeping, so that stores
-/// with quick links can take the small ones.
+/// Sizes of the prompt parts that were recently saved to stores, from which it
+/// is decided which parts are small enough for the stores with fast links.
 #pragma once
 
 #include <cstddef>
@@ -13,19 +13,20 @@
 class PartSizes {
 public:
   void observe(uint32_t tokens);
-  /// Share of all observed tokens that are in smaller parts and in half of
-  /// those of the same size, from 0 to 1; nothing before enough were observed.
+  /// Share of all observed tokens, from 0 to 1, that belong to smaller parts or
+  /// to half of the parts of the same size; nullopt before enough parts were
+  /// observed.
   std::optional<double> rank(uint32_t tokens) const;
 
 private:
-  /// Enough for a rank that is right to a few hundredths, and few enough for
-  /// one look at all of them with each save.
-  static constexpr size_t MostObserved = 512;
-  /// Fewer say little of what is to come.
-  static constexpr size_t LeastObserved = 16;
+  /// Enough samples for a rank within a few hundredths, and few enough to scan
+  /// all of them for each save.
+  static constexpr size_t MaxSamples = 512;
+  /// With fewer samples the rank predicts little.
+  static constexpr size_t MinSamples = 16;
 
-  std::vector<uint32_t> Sizes; ///< A ring once it is full.
-  size_t NextPlace = 0;
+  std::vector<uint32_t> Sizes; ///< Ring buffer once it is full.
+  size_t NextIndex = 0;
 };
 
 } // namespace daisytack::direct
--- a/tests/direct/kept_context_test.cpp
+++ b/tests/direct/kept_context_test.cpp
@@ -40,21 +40,22 @@
       epoch, 1, false, {}, {{1, kept, std::move(scope), part.Id, part.Tokens}}};
 }
 
-/// An order to free that the store has confirmed needs no report of it.
-TEST(KeptContext, KnowsThatPartsAreGoneByTheStoresAnswer) {
+/// A store's confirmation that it freed parts takes effect without its report.
+TEST(KeptContext, DropsPartsThatTheStoreConfirmedAsFreed) {
   TwoStores kept;
   kept.apply("x", change(true, PartA));
   kept.onFreed("x", {{"s", "a"}, {"s", "unknown"}});
   kept.onFreed("none", {{"s", "a"}});
   EXPECT_EQ(kept.partsKnown(), 0);
   EXPECT_FALSE(kept.find("s", PartA, "d1"));
-  kept.apply("x", change(false, PartA)); // The report after all.
-  EXPECT_TRUE(kept.planSave("s", {"all", 950}, "d1", Start)); // Room again.
+  kept.apply("x", change(false, PartA)); // The late report.
+  EXPECT_TRUE(
+      kept.planSave("s", {"all", 950}, "d1", Start)); // Space is free again.
 }
 
-/// Transfers between domains keep a link busy twice as long, so a part lies
-/// where it will be fetched, as long as there is room.
-TEST(KeptContext, KeepsAPartInTheDomainThatWillFetchIt) {
+/// Transfers between domains keep a link busy twice as long, so a part is saved
+/// in the domain where it will be fetched, as long as there is space.
+TEST(KeptContext, SavesAPartInTheDomainThatWillFetchIt) {
   TwoStores kept;
   for (int i = 0; i < 8; ++i) {
     PromptPart part{"p" + std::to_string(i), 100};
@@ -67,11 +68,11 @@
   EXPECT_EQ(kept.planSave("s", {"r", 100}, "d1", Start)->FailureDomain, "d2");
 }
 
-TEST(KeptContext, OffersAPartOnceAStoreReportsItWhole) {
+TEST(KeptContext, OffersAPartOnceAStoreReportsItComplete) {
   TwoStores kept;
   EXPECT_FALSE(kept.find("s", PartA, "d1"));
   EXPECT_TRUE(kept.planSave("s", PartA, "", Start));
-  EXPECT_FALSE(kept.find("s", PartA, "d1")); // Asked for is not whole.
+  EXPECT_FALSE(kept.find("s", PartA, "d1")); // Requested, but not complete.
   kept.apply("x", change(true, PartA));
   EXPECT_EQ(kept.find("s", PartA, "d2")->FailureDomain, "d1");
   kept.apply("yy", change(true, PartA));
@@ -87,14 +88,14 @@
   EXPECT_FALSE(kept.find("s", PartB, "d1"));
 }
 
-TEST(KeptContext, ForgetsWhatARestartedStoreHeld) {
+TEST(KeptContext, DropsThePartsOfARestartedStore) {
   TwoStores kept;
   kept.apply("x", change(true, PartA));
   EXPECT_FALSE(kept.apply("x", PartChanges{2, 0, false, {}, {}}));
   EXPECT_FALSE(kept.find("s", PartA, "d1"));
 }
 
-TEST(KeptContext, AsksForAListAfterAGap) {
+TEST(KeptContext, RequestsAListingAfterAGap) {
   TwoStores kept;
   EXPECT_TRUE(kept.apply("x", PartChanges{1, 5, false, {}, {}}));
   EXPECT_FALSE(kept.apply("x", PartChanges{1, 9, true, {}, {}}));
@@ -105,7 +106,7 @@
   EXPECT_TRUE(kept.find("s", PartB, "d1"));
 }
 
-TEST(KeptContext, OffersNothingOfAStoreThatDoesNotAnswer) {
+TEST(KeptContext, OffersNothingFromAnUnreachableStore) {
   TwoStores kept;
   kept.apply("x", change(true, PartA));
   kept.onUnreachable("x");
@@ -115,18 +116,18 @@
   EXPECT_TRUE(kept.find("s", PartA, "d1"));
 }
 
-TEST(KeptContext, AsksForEachSaveOnce) {
+TEST(KeptContext, RequestsEachSaveOnce) {
   TwoStores kept;
   EXPECT_TRUE(kept.planSave("s", PartA, "", Start));
   EXPECT_FALSE(kept.planSave("s", PartA, "", Start + 1s));
-  EXPECT_TRUE(kept.planSave("s", PartA, "", Start + 10s)); // It was lost.
+  EXPECT_TRUE(kept.planSave("s", PartA, "", Start + 10s)); // The save was lost.
   kept.cancelSave("s", PartA);
-  EXPECT_TRUE(kept.planSave("s", PartA, "", Start + 10s)); // It was not tried.
+  EXPECT_TRUE(kept.planSave("s", PartA, "", Start + 10s)); // It was cancelled.
   kept.apply("x", change(true, PartA));
   EXPECT_FALSE(kept.planSave("s", PartA, "", Start + 60s));
 }
 
-TEST(KeptContext, SavesNoMoreThanFits) {
+TEST(KeptContext, PlansNoMoreSavesThanFit) {
   KeptContext kept({});
   kept.setStores({storeOf("x", "d1", 250)});
   kept.apply("x", PartChanges{1, 0, false, {}, {}});
@@ -140,9 +141,10 @@
   EXPECT_TRUE(kept.planSave("s", {"c", 100}, "", Start));
 }
 
-/// Short prompts whose parts lie behind the long transfers of others wait for
-/// those. Sizes and capacities as where it was measured: two thirds of the
-/// tokens in parts of 8,600, two small stores with links 2.5 times as fast.
+/// Guards against short prompts waiting for their parts behind the long
+/// transfers of other prompts: two thirds of the tokens are in parts of 8,600
+/// tokens, and the store with the smaller capacity has a link 2.5 times as
+/// fast.
 class FastAndSlowStores : public testing::Test {
 protected:
   FastAndSlowStores() {
@@ -155,8 +157,8 @@
     Kept.apply("yy", PartChanges{1, 0, false, {}, {}});
   }
 
-  /// Whether the part is to be saved in the store with the fast link.
-  bool isSavedFast(const std::string &id, uint32_t tokens) {
+  /// Plans a save of the part; true if it goes to the store with the fast link.
+  bool isSavedToFastStore(const std::string &id, uint32_t tokens) {
     auto place = Kept.planSave("s", {id, tokens}, "", Start);
     return place && place->LinkMbps == 80'000;
   }
@@ -164,60 +166,61 @@
   KeptContext Kept{{}};
 };
 
-TEST_F(FastAndSlowStores, KeepSmallPartsApartFromLargeOnes) {
+TEST_F(FastAndSlowStores, SeparateSmallPartsFromLargeOnes) {
   for (int i = 0; i < 16; ++i)
-    isSavedFast("first" + std::to_string(i), i % 4 == 0 ? 8600 : 1500);
+    isSavedToFastStore("first" + std::to_string(i), i % 4 == 0 ? 8600 : 1500);
   int largeFast = 0;
   int smallFast = 0;
   for (int i = 0; i < 16; ++i) {
-    largeFast += isSavedFast("large" + std::to_string(i), 8600) ? 1 : 0;
-    smallFast += isSavedFast("small" + std::to_string(i), 500) ? 1 : 0;
+    largeFast += isSavedToFastStore("large" + std::to_string(i), 8600) ? 1 : 0;
+    smallFast += isSavedToFastStore("small" + std::to_string(i), 500) ? 1 : 0;
   }
   EXPECT_EQ(largeFast, 0);
   EXPECT_EQ(smallFast, 16);
 }
 
-/// Before enough sizes are known, and when all of them are large.
-TEST_F(FastAndSlowStores, KeepAPartThatWouldFillThemOutOfTheFastOnes) {
-  EXPECT_FALSE(isSavedFast("large", 8600));
-  EXPECT_TRUE(isSavedFast("small", 500));
+/// Also before enough sizes are known, and when all parts are large.
+TEST_F(FastAndSlowStores, AssignNoPartToAFastStoreThatItWouldFill) {
+  EXPECT_FALSE(isSavedToFastStore("large", 8600));
+  EXPECT_TRUE(isSavedToFastStore("small", 500));
   for (int i = 0; i < 16; ++i)
-    EXPECT_FALSE(isSavedFast("large" + std::to_string(i), 8600 + 10 * i));
-  EXPECT_FALSE(isSavedFast("less", 3000));
+    EXPECT_FALSE(
+        isSavedToFastStore("large" + std::to_string(i), 8600 + 10 * i));
+  EXPECT_FALSE(isSavedToFastStore("less", 3000));
 }
 
-TEST_F(FastAndSlowStores, TakeWhateverHasRoomWhenTheRightOnesAreFull) {
+TEST_F(FastAndSlowStores, UseAnyStoreWithSpaceWhenThePreferredOnesAreFull) {
   for (int i = 0; i < 16; ++i)
-    isSavedFast("first" + std::to_string(i), 8600);
-  EXPECT_TRUE(isSavedFast("early", 500));
+    isSavedToFastStore("first" + std::to_string(i), 8600);
+  EXPECT_TRUE(isSavedToFastStore("early", 500));
   Kept.apply("x", change(true, {"whatever", 95'600}));
-  EXPECT_FALSE(isSavedFast("late", 500));
+  EXPECT_FALSE(isSavedToFastStore("late", 500));
   EXPECT_TRUE(Kept.planSave("s", {"later", 500}, "", Start));
 }
 
-TEST(PartSizes, RankByTheTokensInSmallerParts) {
+TEST(PartSizes, RankByTokensInSmallerParts) {
   PartSizes sizes;
   for (int i = 0; i < 8; ++i)
     sizes.observe(100);
-  EXPECT_FALSE(sizes.rank(100)); // Too few to tell.
+  EXPECT_FALSE(sizes.rank(100)); // Too few samples.
   for (int i = 0; i < 8; ++i)
     sizes.observe(300);
   EXPECT_EQ(sizes.rank(50), 0);
   EXPECT_EQ(sizes.rank(300), 0.625);
   EXPECT_EQ(sizes.rank(301), 1);
   for (int i = 0; i < 512; ++i)
-    sizes.observe(1000); // Older ones are forgotten.
+    sizes.observe(1000); // Replaces the older samples.
   EXPECT_EQ(sizes.rank(1000), 0.5);
 }
 
-TEST(KeptContext, DropsAStoreThatTheConfigurationNoLongerNames) {
+TEST(KeptContext, DropsStoresThatLeaveTheConfiguration) {
   TwoStores kept;
   kept.apply("x", change(true, PartA));
   kept.setStores({storeOf("yy", "d2")});
   EXPECT_FALSE(kept.find("s", PartA, "d1"));
 }
 
-TEST(KeptContext, OffersNothingThatIsRetired) {
+TEST(KeptContext, OffersNoRetiredParts) {
   TwoStores kept;
   kept.apply("x", change(true, PartA, 1, "s@1"));
   kept.apply("yy", change(true, PartA, 1, "s@2"));
@@ -243,8 +246,8 @@
   EXPECT_NEAR(covered, 250, 50);
 }
 
-/// Agreement on some parts must not let go of others before their time.
-TEST(IsUnused, FreesByAgreementOnlyWhatWasAgreedOn) {
+/// An agreement on some parts must not cause others to be freed too early.
+TEST(IsUnused, FreesByAgreementOnlyWhatTheAgreementCovers) {
   std::vector<Retirement> agreed{{2, 1}};
   EXPECT_TRUE(isUnused({"s@1", "a"}, 0, agreed));
   EXPECT_FALSE(isUnused({"s@2", "a"}, 0, agreed));
@@ -254,22 +257,22 @@
   EXPECT_FALSE(isUnused({"s@3", "a"}, 3, {}));
 }
 
-TEST(KeptContext, ListsWhatNobodyCanUse) {
+TEST(KeptContext, ListsPartsThatMatchThePredicate) {
   TwoStores kept;
   kept.apply("x", change(true, PartA, 1, "old"));
   kept.apply("x", change(true, PartB, 1, "new"));
-  auto unused =
+  auto matching =
       kept.partsWhere("x", [](const PartRef &it) { return it.Scope != "new"; });
-  EXPECT_EQ(unused, (std::vector<PartRef>{{"old", "a"}}));
+  EXPECT_EQ(matching, (std::vector<PartRef>{{"old", "a"}}));
 }
 
-/// Against a model of one store: saves, completions, frees, restarts and late
-/// reports in any order. A part is never offered that the store did not hold
-/// whole, under that scope, at the time of its last report.
-RC_GTEST_PROP(KeptContext, NeverOffersWhatTheStoreDidNotReportWhole, ()) {
+/// Compares with a model of one store under saves, completions, frees, restarts
+/// and late reports in any order. A part is offered only if, at the time of its
+/// last report, the store held it complete under that scope.
+RC_GTEST_PROP(KeptContext, NeverOffersAPartThatIsNotReportedComplete, ()) {
   struct Model {
     uint64_t Epoch = 1;
-    std::set<std::pair<std::string, std::string>> Whole;
+    std::set<std::pair<std::string, std::string>> Complete;
   };
   KeptContext kept({});
   kept.setStores({storeOf("x", "d1", 100'000)});
@@ -288,16 +291,16 @@
       kept.planSave(scope, {part, 10}, "", Start + Duration(step));
       break;
     case 1:
-      model.Whole.insert({scope, part});
+      model.Complete.insert({scope, part});
       unreported.push_back({++number, true, scope, part, 10});
       break;
     case 2:
-      model.Whole.erase({scope, part});
+      model.Complete.erase({scope, part});
       unreported.push_back({++number, false, scope, part, 10});
       break;
     case 3:
       ++model.Epoch;
-      model.Whole.clear();
+      model.Complete.clear();
       unreported.clear();
       number = 0;
       break;
@@ -313,7 +316,7 @@
           reported.erase({it.Scope, it.Part});
       }
       unreported.clear();
-      RC_ASSERT(reported == model.Whole);
+      RC_ASSERT(reported == model.Complete);
     }
     for (const char *s : {"s@1", "s@2", "t@1"})
       for (const char *p : {"a", "b", "c"})
