--- a/src/direct/admission.cpp
+++ b/src/direct/admission.cpp
@@ -14,15 +14,16 @@
   const Service *service = catalog.Config->findService(request.Service);
   if (!service || !service->Engine || service->Engine->ContextTokens == 0)
     return true;
-  double room = static_cast<double>(service->Engine->ContextTokens) *
-                Settings.MemoryShare;
-  uint64_t wanted = load.HeldTokens + request.Head.PromptTokens;
-  // The longest prompts fit only where nothing else runs.
-  return load.HeldTokens == 0 || static_cast<double>(wanted) <= room;
+  double capacity = static_cast<double>(service->Engine->ContextTokens) *
+                    Settings.MemoryShare;
+  uint64_t needed = load.HeldTokens + request.Head.PromptTokens;
+  // A server without running requests accepts prompts of any length: the
+  // longest would fit nowhere else.
+  return load.HeldTokens == 0 || static_cast<double>(needed) <= capacity;
 }
 
-std::optional<double> Admission::mostQueueMs(const ForwardRequest &request,
-                                             const Catalog &catalog) const {
+std::optional<double> Admission::maxQueueMs(const ForwardRequest &request,
+                                            const Catalog &catalog) const {
   Duration target = catalog.Config->tightestTarget(request.Service);
   if (Settings.QueueShare <= 0 || target <= Duration::zero())
     return std::nullopt;
@@ -36,31 +37,31 @@
     return false;
   if (!hasMemory(request, catalog, load))
     return true;
-  std::optional<double> most = mostQueueMs(request, catalog);
-  if (most &&
-      Cost.prefillMs(request, static_cast<double>(load.WaitingTokens)) > *most)
+  std::optional<double> maxMs = maxQueueMs(request, catalog);
+  if (maxMs &&
+      Cost.prefillMs(request, static_cast<double>(load.WaitingTokens)) > *maxMs)
     return true;
   Duration patience = request.Deadline - now;
   if (request.Via.FirstEventPatience > Duration::zero())
     patience = std::min(patience, request.Via.FirstEventPatience);
   if (patience <= Duration::zero())
     return false;
-  double least = Cost.firstTokenMs(request, load, 0);
-  return least * 1000 >
+  double earliestMs = Cost.firstTokenMs(request, load, 0);
+  return earliestMs * 1000 >
          static_cast<double>(patience.count()) * Settings.PatienceShare;
 }
 
 Duration Admission::retryAfter(const ForwardRequest &request,
                                const Catalog &catalog,
                                const ServerLoadView &load) const {
-  Duration soon =
+  Duration minDelay =
       scaled(request.Via.TargetLatency, Settings.OverloadRetryShare);
-  std::optional<double> most = mostQueueMs(request, catalog);
-  if (!most)
-    return soon;
+  std::optional<double> maxMs = maxQueueMs(request, catalog);
+  if (!maxMs)
+    return minDelay;
   double excessMs =
-      Cost.prefillMs(request, static_cast<double>(load.WaitingTokens)) - *most;
-  return std::max(soon, Duration(static_cast<int64_t>(excessMs * 1000)));
+      Cost.prefillMs(request, static_cast<double>(load.WaitingTokens)) - *maxMs;
+  return std::max(minDelay, Duration(static_cast<int64_t>(excessMs * 1000)));
 }
 
 } // namespace daisytack::direct
--- a/src/direct/admission.h
+++ b/src/direct/admission.h
@@ -1,5 +1,5 @@
-/// Whether a request is accepted by the best backend server that it may go to,
-/// or refused at once, and when its caller is told to come back.
+/// Admission control: whether a request is accepted for its best eligible
+/// backend server or refused at once, and when a refused caller should retry.
 #pragma once
 
 #include "direct/catalog.h"
@@ -14,19 +14,22 @@
 public:
   Admission(PlacementSettings settings, const PlacementCost &cost);
 
-  /// Whether the server's memory is full or its queue too long, or the answer
-  /// would begin after the caller has left even if all goes well.
+  /// Whether the server's memory is full, its queue is too long, or the answer
+  /// would begin after the caller's wait is over even in the best case. Always
+  /// false for a request without a prompt.
   bool isTooBusy(const ForwardRequest &request, const Catalog &catalog,
                  const ServerLoadView &load, TimePoint now) const;
-  /// When a caller that the server is too busy for should come back.
+  /// Delay after which a caller should retry when the server is too busy.
   Duration retryAfter(const ForwardRequest &request, const Catalog &catalog,
                       const ServerLoadView &load) const;
 
 private:
-  /// How long what waits at a server may take to read; nothing without a limit.
-  std::optional<double> mostQueueMs(const ForwardRequest &request,
-                                    const Catalog &catalog) const;
-  /// Whether the server's memory holds the prompt beside those that run.
+  /// Longest prefill time, in milliseconds, that may be queued at a server;
+  /// nullopt when queues are not limited.
+  std::optional<double> maxQueueMs(const ForwardRequest &request,
+                                   const Catalog &catalog) const;
+  /// Whether the prompt fits into the server's memory next to the prompts of
+  /// the requests that are running there.
   bool hasMemory(const ForwardRequest &request, const Catalog &catalog,
                  const ServerLoadView &load) const;
 
--- a/src/direct/candidate.h
+++ b/src/direct/candidate.h
@@ -1,5 +1,5 @@
-/// A backend server and what is believed of it at the moment of one choice.
-/// Looked up once, so that all parts of a choice decide on the same belief.
+/// A backend server with its state as known when a request is placed. The state
+/// is looked up once, so that all steps of a placement use the same values.
 #pragma once
 
 #include "direct/facts.h"
@@ -10,11 +10,13 @@
 namespace daisytack::direct {
 
 struct Candidate {
-  const BackendServer *Server = nullptr; ///< Of the catalog; never null.
+  const BackendServer *Server = nullptr; ///< Points into the catalog.
   ServerLoadView Load;
-  /// How long its weights have been older than wanted.
+  /// How long a newer version than the server's weights has been wanted; zero
+  /// when its weights are current.
   Duration OutdatedFor{0};
-  /// It has just started, or is cold again, or may be: it takes few requests.
+  /// The server has just started or lost its warm state, or this can't be
+  /// ruled out. It is subject to slow start.
   bool IsCold = false;
   auto operator<=>(const Candidate &) const = default;
 };
--- a/src/direct/eligibility.cpp
+++ b/src/direct/eligibility.cpp
@@ -14,19 +14,22 @@
 
 } // namespace
 
-Eligibility::Eligibility(PlacementSettings settings, const Locality &where,
-                         ServerBeliefs beliefs, const PlacementCost &cost)
-    : Settings(settings), Where(where), Beliefs(beliefs), Cost(cost) {}
+Eligibility::Eligibility(PlacementSettings settings, const Locality &locality,
+                         ServerTrackers trackers, const PlacementCost &cost)
+    : Settings(settings), EntryLocality(locality), Trackers(trackers),
+      Cost(cost) {}
 
-Candidate Eligibility::look(const ForwardRequest &request,
-                            const Catalog &catalog, const BackendServer &server,
-                            TimePoint now) const {
-  Candidate out{&server, Beliefs.Loads.view(server.ref(), now), {}, false};
+Candidate Eligibility::makeCandidate(const ForwardRequest &request,
+                                     const Catalog &catalog,
+                                     const BackendServer &server,
+                                     TimePoint now) const {
+  Candidate out{&server, Trackers.Loads.view(server.ref(), now), {}, false};
   const std::string &model = request.Head.Model;
   if (!model.empty())
     if (auto since = catalog.behindSince(model, server.versionOf(model)))
       out.OutdatedFor = now - *since;
-  // One that becomes cold while nobody can say so is not to be flooded.
+  // While no source reports what servers write, any server may have become
+  // cold, and must not be flooded.
   out.IsCold = (now < server.ColdUntil || catalog.IsServiceSilent) &&
                coldRateOf(catalog, server) > 0;
   return out;
@@ -38,39 +41,42 @@
   if (candidate.Load.IsLeaving)
     return std::nullopt;
   const BackendServer &server = *candidate.Server;
-  std::optional<TimePoint> limited =
-      Beliefs.Limits.availableAt(server, catalog, now);
-  if (!limited)
+  std::optional<TimePoint> limitAt =
+      Trackers.Limits.availableAt(server, catalog, now);
+  if (!limitAt)
     return std::nullopt;
-  TimePoint out = std::max({now, candidate.Load.RetryAt, *limited});
+  TimePoint out = std::max({now, candidate.Load.RetryAt, *limitAt});
   if (!candidate.IsCold)
     return out;
-  std::optional<TimePoint> share = Beliefs.ColdServers.availableAt(
+  std::optional<TimePoint> slowStartAt = Trackers.ColdServers.availableAt(
       server, coldRateOf(catalog, server), catalog);
-  // It takes as much as before once it is known to be warm.
+  // Slow start ends at ColdUntil. While no source reports what servers write,
+  // the server may have become cold again, so that its slow start has no known
+  // end.
   if (catalog.IsServiceSilent)
-    return share ? std::optional(std::max(out, *share)) : std::nullopt;
-  return std::max(out,
-                  std::min(share.value_or(server.ColdUntil), server.ColdUntil));
+    return slowStartAt ? std::optional(std::max(out, *slowStartAt))
+                       : std::nullopt;
+  return std::max(
+      out, std::min(slowStartAt.value_or(server.ColdUntil), server.ColdUntil));
 }
 
-Eligibility::Care Eligibility::careFor(const ForwardRequest &request,
-                                       const Candidate &candidate,
-                                       TimePoint now) const {
+Eligibility::Tier Eligibility::tierOf(const ForwardRequest &request,
+                                      const Candidate &candidate,
+                                      TimePoint now) const {
   const ServerLoadView &load = candidate.Load;
   uint64_t key = candidate.Server->ref().key();
-  if (load.IsAvoided || Beliefs.Ejected.isEjected(key, now))
-    return Care::Any;
+  if (load.IsAvoided || Trackers.Ejected.isEjected(key, now))
+    return Tier::Unhealthy;
   if (candidate.OutdatedFor == Duration::zero())
-    return Care::Full;
-  // What counts is when it begins to run.
+    return Tier::Preferred;
+  // The weights must still be recent enough when the request begins to run.
   double waitMs =
       Cost.firstTokenMs(request, load, 0) * Settings.OldWeightsWaitFactor;
   auto wait = Duration(static_cast<int64_t>(waitMs * 1000));
   bool isInTime =
-      candidate.OutdatedFor + std::min(wait, Settings.OldWeightsWait) <
+      candidate.OutdatedFor + std::min(wait, Settings.OldWeightsMaxWait) <
       Settings.OldWeightsLimit;
-  return isInTime ? Care::Full : Care::AnyVersion;
+  return isInTime ? Tier::Preferred : Tier::OutdatedWeights;
 }
 
 Candidates Eligibility::servers(const ForwardRequest &request,
@@ -78,45 +84,46 @@
                                 const std::vector<std::string> &tried,
                                 TimePoint now, Error &reason) const {
   Candidates out;
-  Care least = Care::Any;
-  std::optional<TimePoint> soonest;
+  Tier best = Tier::Unhealthy;
+  std::optional<TimePoint> earliest;
   for (const BackendServer &server : catalog.serversOf(request.Service)) {
-    if (!Where.allows(request.Regions, server.FailureDomain))
+    if (!EntryLocality.allows(request.Regions, server.FailureDomain))
       continue;
-    Candidate candidate = look(request, catalog, server, now);
-    std::optional<TimePoint> opens = availableAt(candidate, catalog, now);
-    if (!opens)
+    Candidate candidate = makeCandidate(request, catalog, server, now);
+    std::optional<TimePoint> availableFrom =
+        availableAt(candidate, catalog, now);
+    if (!availableFrom)
       continue;
-    if (now < *opens) {
-      soonest = std::min(soonest.value_or(*opens), *opens);
+    if (now < *availableFrom) {
+      earliest = std::min(earliest.value_or(*availableFrom), *availableFrom);
       continue;
     }
     if (std::find(tried.begin(), tried.end(), server.Id) != tried.end())
       continue;
-    Care care = careFor(request, candidate, now);
-    if (care > least)
+    Tier tier = tierOf(request, candidate, now);
+    if (tier > best)
       continue;
-    if (care < least)
+    if (tier < best)
       out.clear();
-    least = care;
+    best = tier;
     out.push_back(candidate);
   }
   if (!out.empty())
     return out;
   reason = {ErrorKind::NoServer,
             "no backend server of " + request.Service + " is left to ask"};
-  if (soonest)
-    reason.RetryAfter = *soonest - now;
+  if (earliest)
+    reason.RetryAfter = *earliest - now;
   return out;
 }
 
 bool Eligibility::tryAcquire(const Candidate &candidate, const Catalog &catalog,
                              TimePoint now) const {
   const BackendServer &server = *candidate.Server;
-  bool isTaken = !candidate.IsCold ||
-                 Beliefs.ColdServers.tryAcquire(
-                     server, coldRateOf(catalog, server), catalog, now);
-  return isTaken && Beliefs.Limits.tryAcquire(server, catalog, now);
+  bool isAcquired = !candidate.IsCold ||
+                    Trackers.ColdServers.tryAcquire(
+                        server, coldRateOf(catalog, server), catalog, now);
+  return isAcquired && Trackers.Limits.tryAcquire(server, catalog, now);
 }
 
 } // namespace daisytack::direct
--- a/src/direct/eligibility.h
+++ b/src/direct/eligibility.h
@@ -1,10 +1,11 @@
 /// Which backend servers a request may be sent to now.
 ///
-/// Never sent to: servers of an evacuated failure domain (the catalog leaves
-/// them out), those that want nothing new by their own word, those outside of
-/// the regions that the request is confined to, and cold ones and those that
-/// named a limit beyond this entry's share of what they take. Silent, ejected
-/// and outdated servers are used only where no better one is left.
+/// Never eligible are servers of an evacuated failure domain (the catalog
+/// leaves them out), servers that asked for no new requests, servers outside
+/// the regions that the request is confined to, and servers for which this
+/// entry has used up its share of the slow start or of the server's request
+/// limit. Unresponsive, ejected and outdated servers are used only when no
+/// better server is left.
 #pragma once
 
 #include "decide/ejection.h"
@@ -21,8 +22,8 @@
 
 namespace daisytack::direct {
 
-/// What is believed of servers; all thread-safe.
-struct ServerBeliefs {
+/// Sources of the servers' state; all thread-safe.
+struct ServerTrackers {
   const ServerLoads &Loads;
   const Ejector &Ejected;
   SlowStart &ColdServers;
@@ -32,37 +33,39 @@
 /// Thread-safe.
 class Eligibility {
 public:
-  Eligibility(PlacementSettings settings, const Locality &where,
-              ServerBeliefs beliefs, const PlacementCost &cost);
+  Eligibility(PlacementSettings settings, const Locality &locality,
+              ServerTrackers trackers, const PlacementCost &cost);
 
-  /// Servers that were tried are left out. Empty, with the reason and when one
-  /// may be asked, when none is left.
+  /// The eligible servers of the best tier, without those already tried. When
+  /// none is left, returns an empty list and sets the reason, with the delay
+  /// until a server becomes available if that is known.
   Candidates servers(const ForwardRequest &request, const Catalog &catalog,
                      const std::vector<std::string> &tried, TimePoint now,
                      Error &reason) const;
-  /// Counts a request that is about to be sent against this entry's share of
-  /// what the server takes; false when that is used up.
+  /// Counts a request that is about to be sent against this entry's shares of
+  /// the server's slow start and request limit. False when a share is used up.
   bool tryAcquire(const Candidate &server, const Catalog &catalog,
                   TimePoint now) const;
 
 private:
-  /// How picky a choice is; each level is tried before the next.
-  enum class Care : uint8_t { Full, AnyVersion, Any };
+  /// Preference for a server, best first. A tier is used only when every
+  /// better tier is empty.
+  enum class Tier : uint8_t { Preferred, OutdatedWeights, Unhealthy };
 
-  Candidate look(const ForwardRequest &request, const Catalog &catalog,
-                 const BackendServer &server, TimePoint now) const;
-  /// When the server may be asked by its own word, its limit and its slow
-  /// start: now or earlier for at once, nothing when that is not known.
+  Candidate makeCandidate(const ForwardRequest &request, const Catalog &catalog,
+                          const BackendServer &server, TimePoint now) const;
+  /// When the server may be sent a request, given its own Retry-After, its
+  /// request limit and its slow start. A time that is not after `now` means at
+  /// once; nullopt means that the time is unknown.
   std::optional<TimePoint> availableAt(const Candidate &server,
                                        const Catalog &catalog,
                                        TimePoint now) const;
-  /// The pickiest level at which the server is used.
-  Care careFor(const ForwardRequest &request, const Candidate &server,
-               TimePoint now) const;
+  Tier tierOf(const ForwardRequest &request, const Candidate &server,
+              TimePoint now) const;
 
   PlacementSettings Settings;
-  const Locality &Where;
-  ServerBeliefs Beliefs;
+  const Locality &EntryLocality;
+  ServerTrackers Trackers;
   const PlacementCost &Cost;
 };
 
--- a/src/direct/locality.h
+++ b/src/direct/locality.h
@@ -1,4 +1,5 @@
-/// Where an entry stands, and which failure domains a request may reach.
+/// The failure domain of an entry, and the failure domains that a request may
+/// use.
 #pragma once
 
 #include "daisytack/types.h"
@@ -12,16 +13,16 @@
 
 namespace daisytack::direct {
 
-/// Regions that a request is confined to; nothing: it is not confined.
+/// Regions that a request is confined to; nullopt: the request is not confined.
 using AllowedRegions = std::optional<std::vector<std::string>>;
 
-/// The regions that both allow. May be empty: then no region is allowed.
+/// Regions that are in both sets. An empty result allows no region.
 AllowedRegions intersect(const AllowedRegions &a, const AllowedRegions &b);
 
 struct Locality {
-  std::string FailureDomain; ///< Of this entry.
-  /// Of each failure domain, as the settings say. A failure domain that is not
-  /// among them is in no region that anything can be confined to.
+  std::string FailureDomain; ///< Failure domain of this entry.
+  /// Region of each failure domain, from the settings. A request that is
+  /// confined to regions may not use a failure domain that is missing here.
   std::map<std::string, std::string, std::less<>> RegionOf{};
   auto operator<=>(const Locality &) const = default;
 
--- a/src/direct/placement.cpp
+++ b/src/direct/placement.cpp
@@ -10,74 +10,79 @@
 
 namespace {
 
-constexpr uint32_t LeastUrgent = 9;
+constexpr uint32_t LowestPriority = 9; ///< 0 is the most urgent.
 
-/// The part that prompts of one session or subject have in common: all but the
-/// last belong to more than one request.
-std::string_view homeKey(const CallerHead &head) {
+/// Key that determines the session's home server: the id of the longest prefix
+/// that is shared with other requests, which ends with the last part but one.
+/// Without shared parts, the request's only part or the request itself.
+std::string_view affinityKey(const CallerHead &head) {
   if (head.Parts.size() >= 2)
     return head.Parts[head.Parts.size() - 2].Id;
   return head.Parts.empty() ? std::string_view(head.RequestId)
                             : std::string_view(head.Parts.front().Id);
 }
 
-/// Servers by rendezvous for a key, the first one first. Few of many are
-/// wanted, so that they are not sorted.
+/// Servers in rendezvous order for a key. Kept in a heap rather than sorted,
+/// since only a few of many servers are needed.
 class RankedServers {
 public:
   RankedServers(std::string_view key, const Candidates &servers) {
     uint64_t hash = stableHash(key);
-    Rest.reserve(servers.size());
+    Heap.reserve(servers.size());
     for (const Candidate &it : servers)
-      Rest.emplace_back(rendezvousRank(hash, it.Server->Id), &it);
-    std::make_heap(Rest.begin(), Rest.end());
+      Heap.emplace_back(rendezvousRank(hash, it.Server->Id), &it);
+    std::make_heap(Heap.begin(), Heap.end());
   }
 
-  /// Null when there is none left.
+  /// The next server; null when none is left.
   const Candidate *next() {
-    if (Rest.empty())
+    if (Heap.empty())
       return nullptr;
-    std::pop_heap(Rest.begin(), Rest.end());
-    const Candidate *out = Rest.back().second;
-    Rest.pop_back();
+    std::pop_heap(Heap.begin(), Heap.end());
+    const Candidate *out = Heap.back().second;
+    Heap.pop_back();
     return out;
   }
 
 private:
-  std::vector<std::pair<uint64_t, const Candidate *>> Rest; ///< A heap.
+  /// Max-heap of the remaining servers by rank.
+  std::vector<std::pair<uint64_t, const Candidate *>> Heap;
 };
 
 } // namespace
 
-Placement::Placement(PlacementSettings settings, Locality where,
-                     PlacementInputs view)
-    : Settings(settings), Where(std::move(where)), Rates(view.Rates),
-      Cost(settings, Where.FailureDomain, view.Rates, view.Kept),
-      Eligible(settings, Where,
-               {view.Loads, view.Ejected, view.ColdServers, view.Limits}, Cost),
-      Admit(settings, Cost),
-      Contexts(settings, Where, view.Links, view.Kept, Cost) {}
-
-Candidates Placement::ofSession(const ForwardRequest &request,
-                                const Candidates &servers) const {
+Placement::Placement(PlacementSettings settings, Locality locality,
+                     PlacementInputs inputs)
+    : Settings(settings), EntryLocality(std::move(locality)),
+      Rates(inputs.Rates),
+      Cost(settings, EntryLocality.FailureDomain, inputs.Rates, inputs.Kept),
+      Eligible(
+          settings, EntryLocality,
+          {inputs.Loads, inputs.Ejected, inputs.ColdServers, inputs.Limits},
+          Cost),
+      AdmissionControl(settings, Cost),
+      Planner(settings, EntryLocality, inputs.Links, inputs.Kept, Cost) {}
+
+Candidates Placement::sessionCandidates(const ForwardRequest &request,
+                                        const Candidates &servers) const {
   Candidates out;
-  size_t current = 0;
-  RankedServers ranked(homeKey(request.Head), servers);
+  size_t currentCount = 0;
+  RankedServers ranked(affinityKey(request.Head), servers);
   while (const Candidate *it = ranked.next()) {
     bool isCurrent = it->OutdatedFor == Duration::zero();
-    bool hasAll = out.size() >= Settings.SessionCandidates;
-    if (hasAll && current >= Settings.CurrentCandidates)
+    bool isFull = out.size() >= Settings.SessionCandidates;
+    if (isFull && currentCount >= Settings.CurrentCandidates)
       break;
-    if (hasAll && !isCurrent)
+    if (isFull && !isCurrent)
       continue;
-    current += isCurrent ? 1 : 0;
+    currentCount += isCurrent ? 1 : 0;
     out.push_back(*it);
   }
   return out;
 }
 
-Candidates Placement::spares(const ForwardRequest &request,
-                             const Candidates &servers) const {
+Candidates Placement::spareCandidates(const ForwardRequest &request,
+                                      const Candidates &servers) const {
   Candidates out;
   RankedServers ranked(request.Head.RequestId, servers);
   while (out.size() < Settings.SpareCandidates) {
@@ -93,36 +98,37 @@
                                      const Candidates &servers,
                                      const BackendServer *home) const {
   PlacementCost::UnsavedTokens unsaved;
-  size_t best = 0;
-  double least = std::numeric_limits<double>::infinity();
+  size_t bestIndex = 0;
+  double leastCost = std::numeric_limits<double>::infinity();
   for (size_t i = 0; i < servers.size(); ++i) {
     double cost = Cost.costMs(request, servers[i], home, unsaved);
-    if (cost >= least)
+    if (cost >= leastCost)
       continue;
-    best = i;
-    least = cost;
+    bestIndex = i;
+    leastCost = cost;
   }
-  return servers[best];
+  return servers[bestIndex];
 }
 
 std::optional<Placement::Choice>
-Placement::best(const ForwardRequest &request, const Catalog &catalog,
-                const Candidates &servers, TimePoint now, Error &reason) const {
+Placement::selectServer(const ForwardRequest &request, const Catalog &catalog,
+                        const Candidates &servers, TimePoint now,
+                        Error &reason) const {
   Choice out;
   if (request.Head.Parts.empty()) {
     out.Server = cheapest(request, servers, nullptr);
   } else {
-    Candidates few = ofSession(request, servers);
-    out.Home = few.front().Server;
-    out.Server = cheapest(request, few, out.Home);
+    Candidates candidates = sessionCandidates(request, servers);
+    out.Home = candidates.front().Server;
+    out.Server = cheapest(request, candidates, out.Home);
   }
-  if (Admit.isTooBusy(request, catalog, out.Server.Load, now))
-    out.Server = cheapest(request, spares(request, servers), out.Home);
-  if (!Admit.isTooBusy(request, catalog, out.Server.Load, now))
+  if (AdmissionControl.isTooBusy(request, catalog, out.Server.Load, now))
+    out.Server = cheapest(request, spareCandidates(request, servers), out.Home);
+  if (!AdmissionControl.isTooBusy(request, catalog, out.Server.Load, now))
     return out;
   reason = {ErrorKind::Overloaded,
             "every backend server that may be asked is too busy",
-            Admit.retryAfter(request, catalog, out.Server.Load)};
+            AdmissionControl.retryAfter(request, catalog, out.Server.Load)};
   return std::nullopt;
 }
 
@@ -131,7 +137,8 @@
                           TimePoint now) const {
   Error unused;
   Candidates servers = Eligible.servers(request, catalog, tried, now, unused);
-  return !servers.empty() && best(request, catalog, servers, now, unused);
+  return !servers.empty() &&
+         selectServer(request, catalog, servers, now, unused);
 }
 
 std::optional<AttemptChoice>
@@ -139,13 +146,14 @@
                   const std::vector<std::string> &tried,
                   std::optional<int64_t> serversClockMs, TimePoint now,
                   Error &reason) {
-  // Another thread may take the last request of a server's share meanwhile;
-  // then the others are looked at anew.
+  // Another thread may use up this entry's quota for the chosen server in the
+  // meantime. Then the remaining servers are considered again.
   for (;;) {
     Candidates servers = Eligible.servers(request, catalog, tried, now, reason);
     if (servers.empty())
       return std::nullopt;
-    std::optional<Choice> choice = best(request, catalog, servers, now, reason);
+    std::optional<Choice> choice =
+        selectServer(request, catalog, servers, now, reason);
     if (!choice)
       return std::nullopt;
     if (!Eligible.tryAcquire(choice->Server, catalog, now))
@@ -169,7 +177,7 @@
   const CallerHead &head = request.Head;
   if (!service || !service->Engine || head.Model.empty())
     return out;
-  out.Priority = std::min(request.Priority, LeastUrgent);
+  out.Priority = std::min(request.Priority, LowestPriority);
   out.WeightVersion = server.versionOf(head.Model);
   out.CacheScope =
       cacheScope(request.Organisation, request.IsIsolated, out.WeightVersion);
@@ -178,7 +186,7 @@
   out.HeldBefore = candidate.Load.HeldTokens;
   out.TokensPerMs = Rates.tokensPerMs(request.Service);
   if (service->Engine->HasManagedContext && head.Parts.size() >= 2)
-    Contexts.plan(request, candidate, *home, serversClockMs, now, out);
+    Planner.plan(request, candidate, *home, serversClockMs, now, out);
   out.FirstTokenMs =
       Cost.firstTokenMs(request, candidate.Load, out.QueuedTokens);
   return out;
--- a/src/direct/placement.h
+++ b/src/direct/placement.h
@@ -1,9 +1,11 @@
-/// Which backend server a request is sent to, where the server finds the kept
-/// context of its prompt, and where it leaves what it reads.
+/// Placement: which backend server a request is sent to, from which stores the
+/// server fetches the kept context of its prompt, and to which stores it saves
+/// the context that it computes.
 ///
-/// Requests whose prompts begin alike meet at the same server, their home, so
-/// that kept context is found there. One cost, in milliseconds until the first
-/// token, decides when another server is better.
+/// Requests whose prompts share their leading parts belong to one session. Each
+/// session has a home server, chosen by rendezvous hashing, so that context
+/// which is still in a server's memory is found there. A single cost, in
+/// milliseconds until the first token, decides when another server is better.
 #pragma once
 
 #include "direct/admission.h"
@@ -17,10 +19,10 @@
 
 namespace daisytack::direct {
 
-/// What a choice is made on; all thread-safe.
+/// State that placements are based on; all thread-safe.
 struct PlacementInputs {
-  const ServerLoads &Loads; ///< Of backend servers.
-  const StoreLinks &Links;  ///< To the stores.
+  const ServerLoads &Loads; ///< Loads of backend servers.
+  const StoreLinks &Links;  ///< Links of the context stores.
   const Ejector &Ejected;
   const PrefillRate &Rates;
   KeptContext &Kept;
@@ -31,41 +33,46 @@
 /// Thread-safe.
 class Placement {
 public:
-  Placement(PlacementSettings settings, Locality where, PlacementInputs view);
-  // Its parts refer to one another.
+  Placement(PlacementSettings settings, Locality locality,
+            PlacementInputs inputs);
+  // The members refer to one another.
   Placement(const Placement &) = delete;
   Placement &operator=(const Placement &) = delete;
 
-  /// Servers that were tried are left out. Plans saves, and takes from the
-  /// share of a cold or limited server, as side effects.
+  /// Chooses a server that was not tried yet; nullopt, with the reason, when
+  /// there is none. As side effects, records the saves that it plans and counts
+  /// the request against the quota of a cold or rate-limited server.
   std::optional<AttemptChoice> choose(const ForwardRequest &request,
                                       const Catalog &catalog,
                                       const std::vector<std::string> &tried,
                                       std::optional<int64_t> serversClockMs,
                                       TimePoint now, Error &reason);
 
-  /// Whether choose would find a server; without effect.
+  /// Whether choose() would find a server. Has no side effects.
   bool canChoose(const ForwardRequest &request, const Catalog &catalog,
                  const std::vector<std::string> &tried, TimePoint now) const;
 
 private:
   struct Choice {
     Candidate Server;
-    /// That may hold the session's context in its memory; null for a request
-    /// without a prompt.
+    /// Home server of the request's session, which may hold the session's
+    /// context in its memory; null for a request without a prompt.
     const BackendServer *Home = nullptr;
   };
 
-  /// The best of the servers; nothing, with the reason, when it is too busy.
-  std::optional<Choice> best(const ForwardRequest &request,
-                             const Catalog &catalog, const Candidates &servers,
-                             TimePoint now, Error &reason) const;
-  /// Servers for the request's session, its home first.
-  Candidates ofSession(const ForwardRequest &request,
-                       const Candidates &servers) const;
-  Candidates spares(const ForwardRequest &request,
-                    const Candidates &servers) const;
-  /// Of one server at least.
+  /// The best of the servers; nullopt, with the reason, when it is too busy.
+  std::optional<Choice> selectServer(const ForwardRequest &request,
+                                     const Catalog &catalog,
+                                     const Candidates &servers, TimePoint now,
+                                     Error &reason) const;
+  /// Servers for the request's session, the home server first.
+  Candidates sessionCandidates(const ForwardRequest &request,
+                               const Candidates &servers) const;
+  /// Servers to use when the session's servers are too busy; other ones for
+  /// each request.
+  Candidates spareCandidates(const ForwardRequest &request,
+                             const Candidates &servers) const;
+  /// The server with the lowest cost. `servers` must not be empty.
   const Candidate &cheapest(const ForwardRequest &request,
                             const Candidates &servers,
                             const BackendServer *home) const;
@@ -74,12 +81,12 @@
                         std::optional<int64_t> serversClockMs, TimePoint now);
 
   PlacementSettings Settings;
-  Locality Where;
+  Locality EntryLocality;
   const PrefillRate &Rates;
   PlacementCost Cost;
   Eligibility Eligible;
-  Admission Admit;
-  ContextPlanner Contexts;
+  Admission AdmissionControl;
+  ContextPlanner Planner;
 };
 
 } // namespace daisytack::direct
--- a/src/direct/placement_cost.cpp
+++ b/src/direct/placement_cost.cpp
@@ -25,15 +25,15 @@
 
 double PlacementCost::firstTokenMs(const ForwardRequest &request,
                                    const ServerLoadView &load,
-                                   uint64_t readTokens) const {
-  auto queued = static_cast<double>(load.WaitingTokens + readTokens);
+                                   uint64_t prefillTokens) const {
+  auto waitingTokens = static_cast<double>(load.WaitingTokens + prefillTokens);
   bool hasPrompt = !request.Head.Model.empty();
   return (hasPrompt ? Settings.MinFirstTokenMs : 0) +
-         prefillMs(request, queued) + load.Running * Settings.RunningMs;
+         prefillMs(request, waitingTokens) + load.Running * Settings.RunningMs;
 }
 
-uint64_t PlacementCost::tokensToRead(const ForwardRequest &request,
-                                     const BackendServer &server) const {
+uint64_t PlacementCost::tokensToPrefill(const ForwardRequest &request,
+                                        const BackendServer &server) const {
   const CallerHead &head = request.Head;
   std::string scope = cacheScope(request.Organisation, request.IsIsolated,
                                  server.versionOf(head.Model));
@@ -50,18 +50,20 @@
                              UnsavedTokens &unsaved) const {
   const BackendServer &server = *candidate.Server;
   const ServerLoadView &load = candidate.Load;
-  bool isFar = server.FailureDomain != FailureDomain;
+  bool isOtherDomain = server.FailureDomain != FailureDomain;
   if (request.Head.Model.empty())
     return load.Running * Settings.CallRunningMs +
-           (isFar ? Settings.CallOtherDomainMs : 0);
-  auto [toRead, isNew] =
+           (isOtherDomain ? Settings.CallOtherDomainMs : 0);
+  auto [toPrefill, isNew] =
       unsaved.try_emplace(server.versionOf(request.Head.Model));
   if (isNew)
-    toRead->second = tokensToRead(request, server);
-  double out = firstTokenMs(request, load, toRead->second);
-  if (isFar)
+    toPrefill->second = tokensToPrefill(request, server);
+  double out = firstTokenMs(request, load, toPrefill->second);
+  if (isOtherDomain)
     out += Settings.OtherDomainMs;
-  if (&server != home) // What the home may still have is read or fetched.
+  // Any other server fetches or prefills what the home server may still have in
+  // its memory.
+  if (&server != home)
     out += prefillMs(request, sharedTokens(request.Head));
   if (candidate.OutdatedFor > Settings.OldWeightsGrace)
     out += Settings.OldWeightsMs;
--- a/src/direct/placement_cost.h
+++ b/src/direct/placement_cost.h
@@ -1,5 +1,5 @@
-/// What it costs to send a request to a backend server, in milliseconds until
-/// the first token.
+/// Cost of sending a request to a backend server: the predicted time until the
+/// first token, in milliseconds, plus penalties in the same unit.
 #pragma once
 
 #include "direct/candidate.h"
@@ -16,26 +16,28 @@
 /// Thread-safe.
 class PlacementCost {
 public:
-  /// Tokens that no store holds, by weight version; one choice's own.
+  /// Tokens of the request's prompt that no store holds, by weight version. A
+  /// cache for one placement.
   using UnsavedTokens = std::map<uint64_t, uint64_t>;
 
   PlacementCost(PlacementSettings settings, std::string failureDomain,
                 const PrefillRate &rates, const KeptContext &kept);
 
-  /// The home is the server that may hold the session's context in its memory;
-  /// null for a request without a prompt.
+  /// Cost in milliseconds. `home` is the home server of the request's session
+  /// (direct/placement.h); null for a request without a prompt.
   double costMs(const ForwardRequest &request, const Candidate &server,
                 const BackendServer *home, UnsavedTokens &unsaved) const;
-  /// What so many tokens take to read, alone.
+  /// Prefill time of this many tokens on an idle server, in milliseconds.
   double prefillMs(const ForwardRequest &request, double tokens) const;
-  /// Until the first token of a prompt of which so much has to be read.
+  /// Predicted time until the first token, in milliseconds, when
+  /// `prefillTokens` of the request's own tokens have to be computed.
   double firstTokenMs(const ForwardRequest &request, const ServerLoadView &load,
-                      uint64_t readTokens) const;
+                      uint64_t prefillTokens) const;
 
 private:
-  /// Of the prompt, what no store holds for the server's weights.
-  uint64_t tokensToRead(const ForwardRequest &request,
-                        const BackendServer &server) const;
+  /// Tokens of the prompt that no store holds for the server's weights.
+  uint64_t tokensToPrefill(const ForwardRequest &request,
+                           const BackendServer &server) const;
 
   PlacementSettings Settings;
   std::string FailureDomain;
@@ -43,7 +45,8 @@
   const KeptContext &Kept;
 };
 
-/// Tokens of all parts that prompts of several requests have in common.
+/// Number of tokens in all parts of a prompt but the last, which are shared by
+/// several requests.
 uint32_t sharedTokens(const CallerHead &head);
 
 } // namespace daisytack::direct
--- a/src/direct/placement_settings.h
+++ b/src/direct/placement_settings.h
@@ -1,4 +1,4 @@
-/// Settings of the choice of a backend server, for all its parts.
+/// Settings of placement, shared by all its modules.
 #pragma once
 
 #include "daisytack/types.h"
@@ -9,78 +9,92 @@
 namespace daisytack::direct {
 
 struct PlacementSettings {
-  /// Least time until a first token, without reading and queues.
+  /// Time until the first token, in milliseconds, that remains on an idle
+  /// server when nothing has to be prefilled.
   double MinFirstTokenMs = 50;
-  /// Servers that one session's prompts may go to, the first by rendezvous over
-  /// all failure domains, and so many with the wanted weights. The same ones
-  /// for every entry: a home in each entry's own domain would hold each
-  /// session's context in several servers' memory. Few, as many entries that
-  /// all sought the least loaded server on old loads would meet there.
+  /// Number of servers that the prompts of one session may go to: the first in
+  /// rendezvous order over all failure domains. Further servers with current
+  /// weights are added until there are CurrentCandidates of them. Every entry
+  /// uses the same servers: with a home server in each entry's own domain,
+  /// several servers would hold the same session's context in memory. Only a
+  /// few, because many entries that all chose the least loaded of all servers
+  /// by outdated loads would overload that server.
   size_t SessionCandidates = 3;
   size_t CurrentCandidates = 3;
-  /// Further servers, other ones for each request, that are asked when the
-  /// session's own are too busy; four find a free one of a fleet that is half
-  /// busy in 15 of 16 cases, by arithmetic.
+  /// Number of further servers, different for each request, that are considered
+  /// when the session's servers are too busy. If half of a fleet is busy, four
+  /// servers include a free one in 15 of 16 cases.
   size_t SpareCandidates = 4;
-  /// What a token that is fetched counts in a queue, against one that is read.
-  /// Weighed in full it has prompts refused that would only wait for a link.
+  /// Weight of a fetched token in a server's queue, relative to a token that
+  /// has to be prefilled. At full weight, prompts would be refused that only
+  /// have to wait for a link.
   double FetchedWeight = 0.5;
   /// Share of a server's memory that the prompts of its running requests may
-  /// fill; a prompt beyond it goes to a spare server or is refused. Kept
-  /// context gives way to running prompts, and what was evicted is fetched or
-  /// read again, so that prompts run longer and fill more.
+  /// fill. A prompt beyond it goes to a spare server or is refused. Running
+  /// prompts evict kept context from memory, which then has to be fetched or
+  /// computed again, so that prompts run longer and fill even more memory.
   double MemoryShare = 0.85;
-  /// Of one running request on a server, as the pace of all slows down.
+  /// Cost of each request that runs on a server, in milliseconds, as it slows
+  /// down all requests there.
   double RunningMs = 0.5;
-  /// A server of another failure domain costs so much more: what bytes between
-  /// domains cost, as time. Small beside the reading of a long prompt, so that
-  /// its session has one home; enough to keep short ones near.
+  /// Cost of a server in another failure domain, in milliseconds, standing for
+  /// the price of traffic between domains. Small compared with the prefill of a
+  /// long prompt, so that a session keeps one home server; large enough to keep
+  /// short prompts in the entry's own domain.
   double OtherDomainMs = 30;
-  /// The same for calls without a prompt, which are small and short.
+  /// The costs of another failure domain and of each running request, in
+  /// milliseconds, for calls without a prompt, which are small and short.
   double CallOtherDomainMs = 40;
   double CallRunningMs = 15;
-  /// A server on weights that are older than wanted costs so much more, from
-  /// the grace on. Not so much that the first servers with new weights, which
-  /// have all context to read anew, are asked for more than they can read in
-  /// time. Past the limit it is used only if there is no other.
+  /// Cost, in milliseconds, of a server whose weights have been outdated for
+  /// longer than the grace. Limited, so that the first servers with new
+  /// weights, which have to prefill all context again, do not get more prompts
+  /// than they can prefill in time. Once its weights have been outdated for
+  /// OldWeightsLimit, a server is used only if there is no other.
   double OldWeightsMs = 150;
   Duration OldWeightsGrace{1'200'000};
   Duration OldWeightsLimit{11'000'000};
-  /// The predicted wait counts so many times towards the limit: first bytes
-  /// come later than predicted where servers were lost.
+  /// Factor on the predicted wait of a request, which counts towards
+  /// OldWeightsLimit: where servers were lost, first bytes arrive later than
+  /// predicted.
   double OldWeightsWaitFactor = 2;
-  /// Of the predicted wait counts so much at most towards the limit: a caller
-  /// that waits longer has left, and its request never begins.
-  Duration OldWeightsWait{3'200'000};
+  /// Upper bound on the wait that counts towards OldWeightsLimit: a caller that
+  /// would wait longer gives up, and its request never begins to run.
+  Duration OldWeightsMaxWait{3'200'000};
   /// A prompt is refused when even the best server is predicted to begin its
-  /// answer only after this share of the time that its caller will wait, since
-  /// reading it would delay others in vain.
+  /// answer only after this share of the time that the caller will wait:
+  /// prefilling it would delay other requests for nothing.
   double PatienceShare = 0.9;
-  /// A prompt is also refused when what waits at the best server takes longer
-  /// to read than this share of the tightest target of the service's routes,
-  /// longer by a factor for the most urgent, who overtake it; 0: no limit.
-  /// Beyond it queues feed themselves: fetches come too late, memory runs out,
-  /// and both have prompts read again.
+  /// A prompt is also refused when the tokens queued at the best server take
+  /// longer to prefill than this share of the tightest latency target of the
+  /// service's routes; 0: no limit. For requests of the most urgent priority,
+  /// which overtake the queue, the limit is multiplied by UrgentQueueFactor.
+  /// Longer queues reinforce themselves: fetches are late and memory is
+  /// exhausted, and both cause prompts to be prefilled again.
   double QueueShare = 0.6;
   double UrgentQueueFactor = 1.5;
-  /// When a caller refused for that, or for memory, is told to come back: this
-  /// share of its target after now, so that it can still be answered within it,
-  /// and later only where the queue is known to last longer. Room comes free
-  /// with each prompt that ends, some ten times a second at each server.
+  /// Retry-After, as a share of the target latency, for callers refused because
+  /// of a queue or of memory. A retry after this time can still be answered
+  /// within the target. The delay is longer only if the queue is known to last
+  /// longer. Capacity becomes free whenever a prompt ends, some ten times per
+  /// second on each server.
   double OverloadRetryShare = 0.3;
-  /// Share of the target latency that the reading of a prompt and its fetches
-  /// may take up together. From half of what reading leaves on, but never
-  /// before reading the parts would take as long, fetches from a congested link
-  /// are given up for reading, so that its queue shrinks and the answer is in
-  /// time. A much smaller share takes usual waits for congestion.
+  /// Share of the target latency that the prefill of a prompt and its fetches
+  /// may take together; the fetch budget is what the prefill leaves of it, but
+  /// at least the time that computing the shared parts would take. Once the
+  /// delay of a congested link exceeds half of the budget, a growing share of
+  /// requests computes the parts instead, so that the link's queue shrinks and
+  /// answers are in time. With a much smaller share, normal waits would be
+  /// treated as congestion.
   double FetchShare = 0.75;
-  /// A fetch is given up after this at the soonest, however it delays its own
-  /// request: one that is cut short has kept its link busy in vain.
+  /// Minimum time, in milliseconds, before a fetch is aborted, even if it
+  /// delays its own request: an aborted fetch has used its link for nothing.
   double MinFetchMs = 2000;
-  /// Requests that go on fetching from the most congested link, so that its
-  /// recovery is seen.
+  /// Share of requests that keep fetching over even the most congested link, so
+  /// that its recovery is noticed.
   double ProbeShare = 0.1;
-  /// Parts with fewer tokens are not worth a transfer of their own.
+  /// Parts with fewer tokens are not saved, as a transfer of their own is not
+  /// worth its cost.
   uint32_t MinPartTokens = 64;
   bool operator==(const PlacementSettings &) const = default;
 };
--- a/src/direct/rendezvous.h
+++ b/src/direct/rendezvous.h
@@ -1,5 +1,5 @@
-/// Rendezvous hashing: every process ranks the same members for a key in the
-/// same order, and a member that comes or goes moves only its own keys.
+/// Rendezvous hashing: every process ranks the members for a key in the same
+/// order, and adding or removing a member moves only that member's keys.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +10,18 @@
 /// 64-bit hash, the same in every process (FNV-1a with a final mix).
 uint64_t stableHash(std::string_view text, uint64_t seed = 0);
 
-/// The hash as a number in (0, 1).
+/// Maps the hash to the open interval (0, 1).
 double unitHash(std::string_view text, uint64_t seed = 0);
 
-/// Orders members of equal weight for a key as their scores do, without a
-/// logarithm. The key is given as stableHash(key), taken once for all members.
+/// Rank of a member for a key. Orders members of equal weight as
+/// rendezvousScore() does, without computing a logarithm. `keyHash` is
+/// stableHash(key), computed once for all members.
 inline uint64_t rendezvousRank(uint64_t keyHash, std::string_view member) {
   return stableHash(member, keyHash);
 }
 
-/// Score of the member for the key; the highest wins. A member's share of keys
-/// is proportional to its weight.
+/// Score of the member for the key; the highest score wins. A member's share of
+/// keys is proportional to its weight.
 double rendezvousScore(std::string_view key, std::string_view member,
                        double weight = 1);
 
--- a/tests/direct/placement_fixture.h
+++ b/tests/direct/placement_fixture.h
@@ -1,5 +1,5 @@
-/// Six engines in two failure domains, one store of kept context, and what an
-/// entry believes of them.
+/// Six engines in two failure domains, one context store, and the state that an
+/// entry keeps of them.
 #pragma once
 
 #include "direct/placement.h"
@@ -18,7 +18,7 @@
 inline const TimePoint Start{Duration(1'000'000'000)};
 inline constexpr int64_t ClockMs = 5'000'000;
 
-/// The entry is in d1.
+/// Placement by an entry in the failure domain d1.
 class PlacementTest : public testing::Test {
 protected:
   PlacementTest() {
@@ -103,7 +103,8 @@
   SlowStart ColdServers{{}, {"10.0.0.1", 7000}, TimePoint()};
   RequestLimits Limits{{}, {"10.0.0.1", 7000}, TimePoint()};
   direct::Catalog Catalog;
-  /// Without a bound on queues, so that each test sees the weight it is about.
+  /// Settings without a queue limit, so that each test sees only the cost that
+  /// it is about.
   static PlacementSettings unboundedQueues() {
     PlacementSettings out;
     out.QueueShare = 0;
--- a/tests/direct/placement_load_test.cpp
+++ b/tests/direct/placement_load_test.cpp
@@ -1,5 +1,5 @@
-/// Patterns of load that deployments met: what each does to the placement of
-/// prompts, and what is decided then.
+/// Load patterns that occur in production, and how prompts are placed under
+/// them.
 #include "direct/placement_fixture.h"
 
 #include <array>
@@ -9,8 +9,8 @@
 namespace {
 
 /// A quarter of the engines is lost: prompts run longer, fill the memory of the
-/// others, push kept context out, and are read again. Nothing waits to be read
-/// here, so that the bound on queues does not see it.
+/// other engines, evict kept context, and are prefilled again. No prompt is
+/// queued for prefill, so the queue limit does not apply.
 class FullMemory : public PlacementTest {
 protected:
   FullMemory() {
@@ -19,7 +19,7 @@
     Catalog.Config = std::make_shared<const ConfigIndex>(config);
   }
 
-  /// Running prompts of 3,000 tokens that have been read.
+  /// Adds running requests whose prompts of 3,000 tokens have been prefilled.
   void run(const std::string &server, int n) {
     for (int i = 0; i < n; ++i) {
       Loads.onSent(server, 3000, Start);
@@ -33,10 +33,10 @@
   }
 };
 
-TEST_F(FullMemory, SendsAPromptElsewhere) {
+TEST_F(FullMemory, SendsAPromptToAnotherServer) {
   std::string home = ask(prompt("s"))->Order.ServerId;
   run(home, 4);
-  EXPECT_EQ(ask(prompt("s"))->Order.ServerId, home); // 15,000 of 17,000.
+  EXPECT_EQ(ask(prompt("s"))->Order.ServerId, home); // 15,000 of 17,000 tokens.
   run(home, 1);
   EXPECT_NE(ask(prompt("s"))->Order.ServerId, home);
   for (int i = 0; i < 5; ++i)
@@ -44,32 +44,32 @@
   EXPECT_EQ(ask(prompt("s"))->Order.ServerId, home);
 }
 
-TEST_F(FullMemory, RefusesAtOnceWhereNoServerHasRoom) {
+TEST_F(FullMemory, RefusesAPromptWhenNoServerHasMemory) {
   for (const BackendServer &it : Catalog.Servers["engines"])
     run(it.Id, 5);
   EXPECT_FALSE(ask(prompt("s")));
-  ForwardRequest brief = prompt("s");
-  brief.Head.PromptTokens = 1500;
-  EXPECT_TRUE(ask(brief)); // It still fits.
+  ForwardRequest shorter = prompt("s");
+  shorter.Head.PromptTokens = 1500;
+  EXPECT_TRUE(ask(shorter)); // It still fits.
 }
 
-TEST_F(FullMemory, TakesAPromptThatFillsAServerWhereNothingRuns) {
-  ForwardRequest whole = prompt("s");
-  whole.Head.PromptTokens = 19'000;
-  EXPECT_TRUE(ask(whole));
+TEST_F(FullMemory, AcceptsAPromptThatFillsAnIdleServer) {
+  ForwardRequest largest = prompt("s");
+  largest.Head.PromptTokens = 19'000;
+  EXPECT_TRUE(ask(largest));
   for (const BackendServer &it : Catalog.Servers["engines"])
     run(it.Id, 1);
-  EXPECT_FALSE(ask(whole));
+  EXPECT_FALSE(ask(largest));
 }
 
-/// A quarter of the servers goes dark: they take no connection, so that each
-/// request which tries one waits for the limit on connecting, and finds out by
-/// itself what the one before it found out. Seen: 1,350 attempts in six seconds
-/// to servers of a day with a quarter of them lost.
-TEST_F(PlacementTest, TriesServersThatTakeNoConnectionSeldom) {
+/// A quarter of the servers accept no connections, so each request that tries
+/// one waits for the connection timeout. Guards against every request finding
+/// this out by itself: that caused 1,350 attempts at such servers within six
+/// seconds.
+TEST_F(PlacementTest, SeldomTriesServersThatRefuseConnections) {
   for (int i = 6; i < 40; ++i)
     addServer("engines", "e" + std::to_string(i), i % 2 ? "d1" : "d2");
-  auto isDark = [](const std::string &id) {
+  auto isUnreachable = [](const std::string &id) {
     return std::stoi(id.substr(1)) % 4 == 0;
   };
   std::map<std::string, int> attempts;
@@ -78,20 +78,21 @@
   for (int i = 0; i < PerSecond * Seconds; ++i) {
     TimePoint now = Start + i * Duration(1'000'000 / PerSecond);
     AttemptOrder order = choose(prompt(std::to_string(i % 97)), {}, now);
-    if (!isDark(order.ServerId))
+    if (!isUnreachable(order.ServerId))
       continue;
     ++attempts[order.ServerId];
     Loads.onRejected(order.server(), now);
   }
-  // One at once, and then after 0.25, 0.5, 1 and each further 2 seconds.
+  // One attempt at once, then after 0.25, 0.5 and 1 s, and every 2 s after
+  // that.
   for (const auto &[id, n] : attempts)
     EXPECT_LE(n, 3 + Seconds / 2 + 1) << id;
 }
 
-/// Long prompts of which one part lies at a fast store and one at a slow one,
-/// as where the smallest parts go to the fastest links. One of two slow links
-/// turns four times slower: by arithmetic it then carries a third of what is
-/// asked of it (75% of its rate before), and each fetch waits for seconds.
+/// Long prompts with one part in a store with a fast link and one in a store
+/// with a slow link, as the smallest parts go to the fastest links. One of two
+/// slow links then drops to a quarter of its rate. With a load of 75% before,
+/// it can carry only a third of the load, and each fetch waits for seconds.
 class TwoLinks : public PlacementTest {
 protected:
   TwoLinks() {
@@ -108,53 +109,54 @@
     Kept.setStores(config.Services);
     for (const std::string name : {"large1", "large2"})
       Kept.apply(name, PartChanges{1, 0, false, {}, {}});
-    keep("store", "system", 500);
+    addKeptPart("store", "system", 500);
   }
 
-  void keep(const std::string &store, const std::string &part, uint32_t n) {
-    PartChanges changes{1, ++Next[store], false, {}, {}};
-    changes.Changes = {{Next[store], true, "shared@1", part, n}};
+  void addKeptPart(const std::string &store, const std::string &part,
+                   uint32_t n) {
+    PartChanges changes{1, ++NextNumber[store], false, {}, {}};
+    changes.Changes = {{NextNumber[store], true, "shared@1", part, n}};
     Kept.apply(store, changes);
   }
 
-  /// Answers the request late if it waits for the slow link; what was ordered
-  /// tells whose delay it was.
-  void answer(const ForwardRequest &request) {
+  /// Records the delay of the request's first byte, which is late if the
+  /// request fetches over the slow link.
+  void observeDelay(const ForwardRequest &request) {
     AttemptOrder order = choose(request);
     bool isSlow = order.Sources[1] == Endpoint{"10.9.0.2", 80};
     Links.observe(order.SlowestSource, isSlow ? 1500 : 20, Start);
   }
 
-  std::map<std::string, uint64_t> Next;
+  std::map<std::string, uint64_t> NextNumber;
 };
 
-TEST_F(TwoLinks, PutsTheDelayDownToTheLinkThatIsBusyForLongest) {
-  keep("large1", "s", 8600);
+TEST_F(TwoLinks, AttributesTheDelayToTheLinkThatIsBusyLongest) {
+  addKeptPart("large1", "s", 8600);
   AttemptOrder order = choose(prompt("s"));
   EXPECT_EQ(order.Sources[0], (Endpoint{"10.9.0.1", 80}));
   EXPECT_EQ(order.Sources[1], (Endpoint{"10.9.0.2", 80}));
   EXPECT_EQ(order.SlowestSource, order.Sources[1]);
 }
 
-TEST_F(TwoLinks, ReadsInsteadOfWaitingForTheSlowLinkAlone) {
+TEST_F(TwoLinks, PrefillsInsteadOfFetchingOverTheSlowLinkOnly) {
   constexpr int Sessions = 200;
   for (int i = 0; i < Sessions; ++i)
-    keep(i % 2 ? "large1" : "large2", "s" + std::to_string(i), 8600);
-  for (int i = 0; i < 60; ++i) // Of either store's sessions.
-    answer(prompt("s" + std::to_string(i)));
+    addKeptPart(i % 2 ? "large1" : "large2", "s" + std::to_string(i), 8600);
+  for (int i = 0; i < 60; ++i) // Sessions of both stores.
+    observeDelay(prompt("s" + std::to_string(i)));
   std::array<int, 2> fetched{};
   for (int i = 0; i < Sessions; ++i)
     fetched[i % 2] +=
         choose(prompt("s" + std::to_string(i))).Sources[1] ? 1 : 0;
   EXPECT_EQ(fetched[0], Sessions / 2);
   EXPECT_LT(fetched[1], Sessions / 10);
-  EXPECT_GT(fetched[1], 0); // Some go on, so that its recovery is seen.
+  EXPECT_GT(fetched[1], 0); // Some probe for recovery.
 }
 
 /// Long prompts of many sessions keep the links of two large stores busy three
-/// quarters of the time; two thirds of the transfers crossed domains, and so
-/// took twice as long.
-TEST_F(TwoLinks, KeepsASessionsContextWhereItsHomeIs) {
+/// quarters of the time. Guards against transfers between domains, which take
+/// twice as long, and were two thirds of all transfers.
+TEST_F(TwoLinks, SavesASessionsContextInTheDomainOfItsHomeServer) {
   ServingConfig config = Catalog.Config->config();
   config.Services.back().Store->FailureDomain = "d2"; // large2
   Catalog.Config = std::make_shared<const ConfigIndex>(config);
@@ -163,19 +165,20 @@
     ForwardRequest request = prompt("n" + std::to_string(i));
     request.Head.Parts[1].Tokens = 8600; // Too large for the fast store.
     AttemptOrder order = choose(request);
-    Endpoint near{server(order.ServerId).FailureDomain == "d1" ? "10.9.0.2"
-                                                               : "10.9.0.3",
-                  80};
-    EXPECT_EQ(order.Destinations[1], near);
+    Endpoint sameDomain{
+        server(order.ServerId).FailureDomain == "d1" ? "10.9.0.2" : "10.9.0.3",
+        80};
+    EXPECT_EQ(order.Destinations[1], sameDomain);
   }
 }
 
-/// A fetch that waits no longer than reading would take costs nothing.
-TEST_F(TwoLinks, GoesOnFetchingWhileReadingWouldTakeLonger) {
-  keep("large1", "s", 60'000);
+/// A fetch that takes no longer than prefill has no cost.
+TEST_F(TwoLinks, KeepsFetchingWhilePrefillWouldTakeLonger) {
+  addKeptPart("large1", "s", 60'000);
   ForwardRequest longest = prompt("s");
   longest.Head.PromptTokens = 61'000;
-  longest.Head.Parts[1].Tokens = 60'000; // 536 ms to read, of 600 in budget.
+  // 536 ms of prefill; with its fetches it may take 600 ms.
+  longest.Head.Parts[1].Tokens = 60'000;
   for (int i = 0; i < 40; ++i)
     Links.observe(Endpoint{"10.9.0.2", 80}, 250, Start);
   Links.observe(std::nullopt, 0, Start);
--- a/tests/direct/placement_test.cpp
+++ b/tests/direct/placement_test.cpp
@@ -7,8 +7,8 @@
 namespace daisytack::direct {
 namespace {
 
-/// Many entries that sought the least loaded of all servers on old news would
-/// all find the same one.
+/// If many entries chose the least loaded of all servers by outdated loads, all
+/// would choose the same server.
 TEST_F(PlacementTest, KeepsASessionToFewServersWhateverTheLoads) {
   for (int i = 6; i < 40; ++i)
     addServer("engines", "e" + std::to_string(i), i % 2 ? "d1" : "d2");
@@ -22,7 +22,7 @@
   EXPECT_EQ(used.size(), defaults.SessionCandidates);
 }
 
-TEST_F(PlacementTest, AlwaysKnowsServersWithTheWantedWeights) {
+TEST_F(PlacementTest, AlwaysConsidersServersWithTheWantedWeights) {
   for (int i = 6; i < 40; ++i)
     addServer("engines", "e" + std::to_string(i), i % 2 ? "d1" : "d2");
   Catalog.Wanted["model"] = {{2, Start}};
@@ -32,7 +32,7 @@
               "e33");
 }
 
-TEST_F(PlacementTest, RefusesAPromptWhereEveryQueueIsLong) {
+TEST_F(PlacementTest, RefusesAPromptWhenEveryQueueIsLong) {
   auto refuses = [&](uint32_t priority) {
     ForwardRequest request = prompt("s");
     request.Priority = priority;
@@ -46,38 +46,40 @@
   for (const BackendServer &it : Catalog.Servers["engines"])
     Loads.onSent(it.Id, 30'000, Start); // 268 ms, of 240 allowed.
   EXPECT_TRUE(refuses(1));
-  EXPECT_FALSE(refuses(0)); // The most urgent overtake what waits.
+  EXPECT_FALSE(refuses(0)); // The most urgent overtake the queue.
   for (const BackendServer &it : Catalog.Servers["engines"])
     Loads.onSent(it.Id, 80'000, Start);
   EXPECT_TRUE(refuses(0));
 }
 
-/// The same queue is too long for engines that read it at half the rate: what a
-/// deployment's queues may hold follows from its engines and targets.
-TEST_F(PlacementTest, AllowsSlowerEnginesShorterQueues) {
+/// A queue that is short enough for some engines is too long for engines with
+/// half their prefill rate: the limit in tokens follows from rate and targets.
+TEST_F(PlacementTest, AllowsShorterQueuesOnSlowerEngines) {
   for (const BackendServer &it : Catalog.Servers["engines"])
-    Loads.onSent(it.Id, 14'000, Start); // 125 ms at the prior's rate.
+    Loads.onSent(it.Id, 14'000, Start); // 125 ms at the initial rate.
   ForwardRequest request = prompt("s");
   request.Priority = 1;
   Error reason;
   EXPECT_TRUE(
       BoundedPlace.choose(request, Catalog, {}, ClockMs, Start, reason));
   for (int i = 0; i < 100; ++i)
-    Rates.observe("engines", 12'000, 0, 290ms); // 50 tokens a millisecond.
+    Rates.observe("engines", 12'000, 0, 290ms); // 50 tokens per millisecond.
   EXPECT_FALSE(
       BoundedPlace.choose(request, Catalog, {}, ClockMs, Start, reason));
 }
 
-TEST_F(PlacementTest, KnowsWhatCertainlyHasToBeRead) {
+TEST_F(PlacementTest, KnowsWhatCertainlyHasToBePrefilled) {
   Loads.onPeerReport("other", {}, 100ms, Start);
   AttemptOrder first = choose(prompt("s"));
   EXPECT_EQ(first.UnreadTokens, 3000);
-  // Asked to be saved just now: the server's memory may have the shared parts.
+  // The save was just requested, so the shared parts may be in the server's
+  // memory.
   EXPECT_EQ(choose(prompt("s")).UnreadTokens, 0);
 }
 
-/// Room comes free within the target: who comes back in time is served in time.
-TEST_F(PlacementTest, TellsRefusedCallersToComeBackWithinTheirTarget) {
+/// Capacity becomes free within the target latency, so a retry within it can be
+/// served in time.
+TEST_F(PlacementTest, SetsRetryAfterOfRefusedPromptsWithinTheirTarget) {
   for (const BackendServer &it : Catalog.Servers["engines"])
     Loads.onSent(it.Id, 30'000, Start); // 268 ms, of 240 allowed.
   ForwardRequest request = prompt("s");
@@ -88,10 +90,10 @@
   EXPECT_EQ(reason.RetryAfter, 240ms); // 0.3 of 800 ms.
 }
 
-/// A queue that is known to last longer is not worth coming back to before.
-TEST_F(PlacementTest, TellsCallersToComeBackLaterWhereTheQueueLasts) {
+/// A retry before the queue has shrunk below its limit would be refused again.
+TEST_F(PlacementTest, SetsALaterRetryAfterForALongQueue) {
   for (const BackendServer &it : Catalog.Servers["engines"])
-    Loads.onSent(it.Id, 112'000, Start); // A second, of 240 ms allowed.
+    Loads.onSent(it.Id, 112'000, Start); // One second, of 240 ms allowed.
   ForwardRequest request = prompt("s");
   request.Priority = 1;
   Error reason;
@@ -100,7 +102,7 @@
   EXPECT_EQ(reason.RetryAfter, 760ms);
 }
 
-TEST_F(PlacementTest, AsksSpareServersBeforeItRefuses) {
+TEST_F(PlacementTest, TriesSpareServersBeforeItRefuses) {
   for (int i = 6; i < 40; ++i)
     addServer("engines", "e" + std::to_string(i), i % 2 ? "d1" : "d2");
   PlacementSettings defaults;
@@ -117,7 +119,7 @@
       BoundedPlace.choose(prompt("s"), Catalog, {}, ClockMs, Start, reason));
 }
 
-TEST_F(PlacementTest, CountsWhatIsFetchedForLessThanWhatIsRead) {
+TEST_F(PlacementTest, CountsFetchedTokensForLessThanPrefilledOnes) {
   uint64_t read = choose(prompt("s")).QueuedTokens;
   PartChanges changes{1, 1, false, {}, {}};
   changes.Changes = {{1, true, "shared@1", "system", 500}};
@@ -128,8 +130,8 @@
   EXPECT_GT(withFetch, read - 500);
 }
 
-/// An entry that has just started doesn't know the servers' clock. A fetch
-/// without an end may outlast the wait before its part is freed.
+/// An entry that has just started does not know the servers' clock. A fetch
+/// without a deadline might still be running when its part is freed.
 TEST_F(PlacementTest, NamesNoSourceWithoutTheServersClock) {
   PartChanges changes{1, 1, false, {}, {}};
   changes.Changes = {{1, true, "shared@1", "system", 500}};
@@ -146,10 +148,11 @@
   EXPECT_TRUE(choice->Order.FetchUntilMs);
 }
 
-/// Long prompts that return through any entry find their context in one
-/// server's memory; with a home in each failure domain it was in several, and
-/// each server remembered fewer sessions.
-TEST_F(PlacementTest, LongPromptsOfASessionMeetAtOneHomeFromEveryDomain) {
+/// Long prompts of a session find their context in one server's memory whatever
+/// entry they come through. With a home server in each failure domain, several
+/// servers would hold the same context, and each would have memory for fewer
+/// sessions.
+TEST_F(PlacementTest, SendsLongPromptsOfASessionToOneHomeFromEveryDomain) {
   Placement elsewhere{
       {}, {"d2"}, {Loads, Links, Ejected, Rates, Kept, ColdServers, Limits}};
   std::map<std::string, int> homes;
@@ -170,9 +173,10 @@
     EXPECT_GT(n, 3) << home;
 }
 
-/// Short ones cost as many bytes between domains and are read in no time.
-TEST_F(PlacementTest, ShortPromptsStayInTheEntrysFailureDomain) {
-  int near = 0;
+/// Short prompts cause as much traffic between domains, and their prefill takes
+/// little time.
+TEST_F(PlacementTest, KeepsShortPromptsInTheEntrysFailureDomain) {
+  int sameDomain = 0;
   for (int i = 0; i < 60; ++i) {
     ForwardRequest request = prompt("session" + std::to_string(i));
     request.Head.PromptTokens = 800;
@@ -180,28 +184,29 @@
         {"system", 100}, {"s" + std::to_string(i), 500}, {"own", 200}};
     std::string first = choose(request).ServerId;
     EXPECT_EQ(choose(request).ServerId, first);
-    near += server(first).FailureDomain == "d1" ? 1 : 0;
+    sameDomain += server(first).FailureDomain == "d1" ? 1 : 0;
   }
-  EXPECT_GT(near, 50); // Of three servers a session, one is near for 19 of 20.
+  // Each session has three servers, and 19 of 20 sessions one in this domain.
+  EXPECT_GT(sameDomain, 50);
 }
 
-TEST_F(PlacementTest, GoesElsewhereWhenTheHomeHasALongQueue) {
+TEST_F(PlacementTest, UsesAnotherServerWhenTheHomeHasALongQueue) {
   ForwardRequest request = prompt("s");
   std::string home = choose(request).ServerId;
   Loads.onSent(home, 50'000, Start);
   EXPECT_NE(choose(request).ServerId, home);
 }
 
-TEST_F(PlacementTest, CountsWhatOtherEntriesHaveUnderWay) {
+TEST_F(PlacementTest, CountsTheLoadsOfOtherEntries) {
   ForwardRequest request = prompt("s");
   std::string home = choose(request).ServerId;
   Loads.onPeerReport("other", {{stableHash(home), 5, 50'000, 50'000}}, 100ms,
                      Start);
   EXPECT_NE(choose(request).ServerId, home);
-  EXPECT_EQ(choose(request, {}, Start + 2s).ServerId, home); // Old news.
+  EXPECT_EQ(choose(request, {}, Start + 2s).ServerId, home); // Expired.
 }
 
-TEST_F(PlacementTest, LeavesOutServersThatWereTriedFailOrAreSilent) {
+TEST_F(PlacementTest, SkipsTriedEjectedAndSilentServers) {
   ForwardRequest request = prompt("s");
   std::string first = choose(request).ServerId;
   std::string second = choose(request, {first}).ServerId;
@@ -212,7 +217,7 @@
   EXPECT_NE(choose(request, {}, Start + 2s).ServerId, second);
 }
 
-TEST_F(PlacementTest, PrefersAnAvoidedServerToNone) {
+TEST_F(PlacementTest, UsesAnAvoidedServerWhenThereIsNoOther) {
   for (const BackendServer &it : Catalog.Servers["plain"])
     Loads.avoidUntil(it.Id, Start + 10s);
   ForwardRequest request = prompt("s");
@@ -223,7 +228,7 @@
   EXPECT_EQ(choose(request, {"p0", "p1"}).ServerId, "");
 }
 
-TEST_F(PlacementTest, RefusesAPromptThatCouldOnlyBeginTooLate) {
+TEST_F(PlacementTest, RefusesAPromptWhoseAnswerWouldBeginTooLate) {
   ForwardRequest request = prompt("s");
   request.Via.FirstEventPatience = 3200ms;
   for (const BackendServer &it : Catalog.Servers["engines"])
@@ -237,7 +242,7 @@
   EXPECT_GT(reason.RetryAfter, Duration::zero());
 }
 
-TEST_F(PlacementTest, KeepsCallsNearUntilServersThereAreBusier) {
+TEST_F(PlacementTest, KeepsCallsInTheEntrysDomainUntilItIsBusier) {
   ForwardRequest request = prompt("s");
   request.Service = "plain";
   request.Head.Model.clear();
@@ -255,7 +260,7 @@
   for (auto &it : Catalog.Servers["engines"])
     if (it.Id != home && it.FailureDomain == "d1")
       it.Weights = {{"model", 2}};
-  EXPECT_EQ(choose(request).ServerId, home); // Within the grace.
+  EXPECT_EQ(choose(request).ServerId, home); // Within the grace period.
   EXPECT_NE(choose(request, {}, Start + 5s).ServerId, home);
   for (auto &it : Catalog.Servers["engines"])
     it.Weights = {{"model", it.Id == "e5" ? 2U : 1U}};
@@ -263,9 +268,10 @@
   EXPECT_EQ(choose(request, {}, Start + 20s).ServerId, "e5");
 }
 
-/// A request counts by when it begins to run, which a long queue puts off past
-/// the limit though it was sent in time.
-TEST_F(PlacementTest, SendsNothingToOldWeightsThatWouldBeginTooLate) {
+/// The age of weights counts at the time when the request begins to run. A long
+/// queue may put that off beyond the limit although the request was sent in
+/// time.
+TEST_F(PlacementTest, AvoidsOldWeightsWhenTheRequestWouldBeginTooLate) {
   Catalog.Wanted["model"] = {{2, Start}};
   for (auto &it : Catalog.Servers["engines"]) {
     it.Weights = {{"model", it.Id == "e5" ? 2U : 1U}};
@@ -275,7 +281,7 @@
   EXPECT_EQ(choose(prompt("s"), {}, Start + 9400ms).ServerId, "e5");
 }
 
-TEST_F(PlacementTest, CountsTheAgeOfWeightsFromTheFirstNewerWish) {
+TEST_F(PlacementTest, CountsTheAgeOfWeightsFromTheFirstNewerVersion) {
   Catalog.Wanted["model"] = {{2, Start}, {3, Start + 11s}};
   for (auto &it : Catalog.Servers["engines"])
     it.Weights = {{"model", it.Id == "e5" ? 2U : 1U}};
@@ -283,7 +289,7 @@
   EXPECT_EQ(choose(prompt("s"), {}, Start + 12s).ServerId, "e5");
 }
 
-TEST_F(PlacementTest, AsksTheServerForItsVersionAndScope) {
+TEST_F(PlacementTest, OrdersTheServersVersionAndScope) {
   AttemptOrder order = choose(prompt("s"));
   EXPECT_EQ(order.WeightVersion, 1);
   EXPECT_EQ(order.CacheScope, "shared@1");
@@ -292,14 +298,14 @@
   EXPECT_EQ(choose(isolated).CacheScope, "org@1");
 }
 
-TEST_F(PlacementTest, ReadsTheVersionOfAScope) {
+TEST_F(PlacementTest, ParsesTheVersionOfAScope) {
   EXPECT_EQ(versionOfScope(cacheScope("org@9", true, 12)), 12);
   EXPECT_EQ(versionOfScope("none"), std::nullopt);
   EXPECT_EQ(versionOfScope("org@x"), std::nullopt);
   EXPECT_EQ(versionOfScope("org@"), std::nullopt);
 }
 
-TEST_F(PlacementTest, SavesSharedPartsOnceAndNeverTheRequestsOwn) {
+TEST_F(PlacementTest, SavesSharedPartsOnceAndNeverTheRequestsOwnPart) {
   AttemptOrder first = choose(prompt("s"));
   ASSERT_EQ(first.Destinations.size(), 3);
   EXPECT_TRUE(first.Destinations[0]);
@@ -310,7 +316,7 @@
   EXPECT_FALSE(second.Destinations[1]);
 }
 
-TEST_F(PlacementTest, NamesSourcesForWhatStoresHoldAndBoundsTheFetch) {
+TEST_F(PlacementTest, NamesSourcesForKeptPartsAndBoundsTheFetch) {
   PartChanges changes{1, 2, false, {}, {}};
   changes.Changes = {{1, true, "shared@1", "system", 500},
                      {2, true, "shared@1", "s", 2000}};
@@ -327,9 +333,9 @@
   EXPECT_FALSE(choose(isolated).Sources[1]);
 }
 
-/// Not even where no other one is left: it ends with what it gets, or gets what
-/// it can't serve.
-TEST_F(PlacementTest, SendsNothingToServersThatWantNothingByTheirOwnWord) {
+/// Not even when no other server is left: a leaving server would end under the
+/// request, and a server that set Retry-After could not serve it.
+TEST_F(PlacementTest, SendsNothingToLeavingServersOrBeforeTheirRetryAfter) {
   ForwardRequest call;
   call.Service = "plain";
   Loads.onLeaving(server("p0").ref().key(), Start);
@@ -338,11 +344,11 @@
   Error reason;
   EXPECT_FALSE(Place.choose(call, Catalog, {}, ClockMs, Start + 1s, reason));
   EXPECT_EQ(reason.Kind, ErrorKind::NoServer);
-  EXPECT_EQ(reason.RetryAfter, 4s); // Then one is open again.
+  EXPECT_EQ(reason.RetryAfter, 4s); // Then p1 is available again.
   EXPECT_EQ(choose(call, {}, Start + 5s).ServerId, "p1");
 }
 
-TEST_F(PlacementTest, NamesNoTimeWhereAllServersLeave) {
+TEST_F(PlacementTest, SetsNoRetryAfterWhenAllServersAreLeaving) {
   ForwardRequest call;
   call.Service = "plain";
   for (const char *id : {"p0", "p1"})
--- a/tests/direct/rendezvous_test.cpp
+++ b/tests/direct/rendezvous_test.cpp
@@ -8,7 +8,7 @@
 namespace daisytack::direct {
 namespace {
 
-TEST(Rendezvous, MovesOnlyTheKeysOfAMemberThatLeaves) {
+TEST(Rendezvous, MovesOnlyTheKeysOfARemovedMember) {
   std::vector<std::string> members{"a", "b", "c", "d"};
   auto best = [&](const std::string &key, size_t n) {
     size_t out = 0;
@@ -30,7 +30,7 @@
   EXPECT_NEAR(moved, 250, 60);
 }
 
-/// Processes that compare ranks and others that compare scores agree.
+/// Processes that compare ranks agree with processes that compare scores.
 TEST(Rendezvous, RanksMembersOfEqualWeightAsTheirScoresDo) {
   for (int i = 0; i < 500; ++i) {
     std::string key = std::to_string(i);
@@ -42,7 +42,7 @@
   }
 }
 
-TEST(Rendezvous, FollowsWeights) {
+TEST(Rendezvous, SharesAreProportionalToWeights) {
   int large = 0;
   for (int i = 0; i < 2000; ++i) {
     std::string key = std::to_string(i);
