--- a/tests/platform/kv_store_test.cpp
+++ b/tests/platform/kv_store_test.cpp
@@ -1,4 +1,4 @@
-/// The adapter to the key-value service against a scripted server.
+/// Tests the adapter of the key-value service against a scripted server.
 #include "platform/kv_store.h"
 
 #include "direct/revision.h"
@@ -20,7 +20,8 @@
 
 constexpr Duration CallTimeout{2'000'000};
 
-/// Answers requests from a script, and keeps their targets and bodies.
+/// Answers requests with a function and records the requests. An answer with
+/// status 0 closes the connection instead.
 class ScriptedService {
 public:
   using Answer = std::function<HttpResponse(const HttpRequest &)>;
@@ -93,7 +94,7 @@
                         std::move(done));
   });
   ASSERT_EQ(result.Header.Status, KvStatus::Ok);
-  // Changes after the first page was read may be missing from it.
+  // The first page may lack changes made after it was read.
   EXPECT_EQ(result.Header.Revision, 10);
   ASSERT_EQ(result.Entries.size(), 2);
   EXPECT_EQ(result.Entries[1].Key, "b c");
@@ -101,11 +102,11 @@
   EXPECT_EQ(service.requests()[1].Query, "path-prefix=&after=a");
 }
 
-/// Seen: a server whose record was overwritten with bytes that aren't base64
-/// stayed in use, and a page of such records ended the reading, so that all
-/// servers of later pages were taken for gone. Items that could not be read
-/// were left out, and the next page was asked for after the last one that
-/// could; the two tests below showed both.
+/// Guards against two failures caused by items that can't be decoded: a server
+/// whose record was overwritten with invalid base64 stayed in use, because the
+/// item was skipped; and a page of such items ended the range, so that the
+/// servers of later pages looked deleted. The next page was requested after the
+/// last decoded item. This test and the next one cover both.
 TEST(KvStore, ReadsTheRangeDespiteInvalidValues) {
   ScriptedService service([](const HttpRequest &request) {
     if (request.Query.find("after=") == std::string::npos)
@@ -169,7 +170,7 @@
             R"("value":"dmFsdWU=","lease":9}],"remove":[]})");
 }
 
-/// Which answers of a write leave open whether it was carried out.
+/// Unavailable: the write was not applied. Unknown: it may have been.
 TEST(KvStore, DistinguishesFailedFromUnknownWrites) {
   struct Case {
     HttpResponse Response;
@@ -224,7 +225,7 @@
   EXPECT_EQ(lapsed.Lease, 0);
 }
 
-/// What a watch reports, until it has ended.
+/// What a watch reported before it ended.
 struct WatchOutcome {
   std::vector<edge::KvChange> Changes;
   uint64_t Revision = 0;
@@ -232,6 +233,7 @@
   KvStatus Status = KvStatus::Ok;
 };
 
+/// Watches all keys from revision 11 until the watch ends.
 WatchOutcome watch(ScriptedService &service) {
   auto outcome = std::make_shared<WatchOutcome>();
   auto ended = std::make_shared<std::promise<void>>();
@@ -319,7 +321,7 @@
   edge::KvRangeResult after = read();
   EXPECT_EQ(service.Store.LatestEra(), 2);
   EXPECT_GT(after.Entries[0].ModRevision, before.Entries[0].ModRevision);
-  // Sent before the restore, answered after one.
+  // An answer of an earlier era that arrives after one of a later era.
   era = 1;
   EXPECT_EQ(read().Header.Status, KvStatus::Unavailable);
 }
@@ -339,8 +341,8 @@
   EXPECT_EQ(result.Header.Status, KvStatus::Unavailable);
 }
 
-/// Its revisions have passed the one that the watch asks from, so that the
-/// service itself does not notice.
+/// The restored service has already grown beyond the revision that the watch
+/// starts from, so the service itself does not detect the lost history.
 TEST(KvStore, EndsAWatchWhoseEraHasPassed) {
   ScriptedService service([&](const HttpRequest &) {
     return okIn(3,
@@ -351,8 +353,8 @@
   EXPECT_GT(outcome.CompactRevision, 0);
 }
 
-/// A condition on a revision of an earlier era may hold by chance, as revisions
-/// are given out again.
+/// A restored service assigns the same revisions again, so a condition on a
+/// revision of an earlier era may hold by coincidence.
 TEST(KvStore, FailsConditionsOfAnEarlierEra) {
   std::atomic<int> era{1};
   ScriptedService service(
@@ -369,10 +371,10 @@
             direct::lastingRevision(1, 70));
   EXPECT_NE(service.requests()[0].Body.find(R"("revision":62)"),
             std::string::npos);
-  // The restore is found out by the answer, and was carried out or not.
+  // The answer reveals the restore; the transaction may have been applied.
   era = 2;
   EXPECT_EQ(commitAtRevision(known).Header.Status, KvStatus::Unknown);
-  // From then on nothing is sent.
+  // Once the restore is known, such transactions are not sent.
   EXPECT_EQ(commitAtRevision(known).Header.Status, KvStatus::CompareFailed);
   EXPECT_EQ(service.requests().size(), 2);
   EXPECT_EQ(commitAtRevision(0).Header.Status, KvStatus::Ok);
