--- a/tests/platform/format_test.cpp
+++ b/tests/platform/format_test.cpp
@@ -75,7 +75,7 @@
   EXPECT_FALSE(server.IsDraining);
 }
 
-/// The key says it all: no value takes the operator's word back.
+/// The key alone names the evacuated domain; no value revokes the evacuation.
 TEST(DecodeRecord, ReadsAnEvacuationRegardlessOfItsValue) {
   for (const char *value : {"{}", R"({"since":1})", "[]", "", "{"})
     EXPECT_EQ(
@@ -155,7 +155,7 @@
   direct::OrderHolder holder{"e", {"10.0.0.1", 7580}};
   EXPECT_EQ(decodeAs<direct::OrderHolder>(holderKey(), encodeHolder(holder)),
             holder);
-  // Of a version that named no instance.
+  // Records of earlier versions have no peer.
   EXPECT_EQ(decodeAs<direct::OrderHolder>(holderKey(), R"({"entry":"e"})"),
             direct::OrderHolder{"e"});
 }
--- a/tests/platform/server_record_test.cpp
+++ b/tests/platform/server_record_test.cpp
@@ -1,11 +1,11 @@
-/// Records that other writers put under the keys of servers.
+/// Invalid records under the keys of servers, as other writers may put them
+/// there.
 ///
-/// Seen: a record without a state took part as a server that drains, one whose
-/// service was a number kept the server that had the key before in use, and an
-/// id with a line break went into a header. The decoder had fallbacks for
-/// fields that are missing, and a record that it refused left the older one in
-/// force. The tables below, played against it, showed which records named a
-/// server.
+/// Guards against three failures: a record without a state counted as a
+/// draining server, a record whose service was a number kept the previous
+/// server of the key in use, and a server id with a line break was sent in a
+/// header. The decoder used fallbacks for missing fields, and a rejected record
+/// left the older one in effect.
 #include "platform/record_format.h"
 
 #include <boost/json.hpp>
@@ -35,6 +35,7 @@
   return decodeRecord({key, value, 5, false}, reason);
 }
 
+/// Whether the decoder accepts the value as the record of a server.
 bool isAccepted(const std::string &value, const std::string &id = "i-1") {
   Error reason;
   bool out = decode("servers/" + id, value, reason).has_value();
@@ -62,9 +63,9 @@
   };
   EXPECT_EQ(startOf(CompleteRecord), 1'700'000'000'123);
   json::object record = completeRecord();
-  record["born"] = 1.7e12; // Whole, however it is written.
+  record["born"] = 1.7e12; // A whole number, in any notation.
   EXPECT_EQ(startOf(json::serialize(record)), 1'700'000'000'000);
-  record.erase("born"); // Not every deployment's servers say so.
+  record.erase("born"); // Optional: not all servers write it.
   EXPECT_EQ(startOf(json::serialize(record)), 0);
 }
 
@@ -141,7 +142,7 @@
     EXPECT_FALSE(isAccepted(bytes));
 }
 
-/// The id goes into headers and logs.
+/// The id is written to headers and logs.
 TEST(ServerRecord, IsRejectedUnderAnIdThatNoHeaderCanCarry) {
   for (const std::string &id :
        {std::string(), std::string("a b"), std::string("a\r\nX-Evil: 1"),
@@ -150,7 +151,7 @@
   EXPECT_TRUE(isAccepted(CompleteRecord, "i-7f3a91c2/x:y_z.1"));
 }
 
-/// The store holds whatever was written there.
+/// Anyone may write any bytes to the key-value service.
 RC_GTEST_PROP(ServerRecord, IsAcceptedOrRejectedWithAReasonForAnyBytes,
               (const std::string &bytes)) {
   Error reason;
@@ -158,6 +159,7 @@
   RC_ASSERT(decoded.has_value() == (reason.Kind == ErrorKind::None));
 }
 
+/// A random JSON value, nested up to two levels deep.
 json::value anyValue(int depth = 0) {
   switch (*rc::gen::inRange(0, depth < 2 ? 8 : 6)) {
   case 0:
@@ -181,7 +183,8 @@
   }
 }
 
-/// Whatever stands in one field, what is decoded can be used as it is.
+/// Replaces one field with a random value: a record that is still accepted must
+/// have valid fields.
 RC_GTEST_PROP(ServerRecord, HoldsValidFieldsWhenAccepted, ()) {
   json::object record = completeRecord();
   std::vector<std::string> fields;
