--- a/tests/platform/entry_fixture.h
+++ b/tests/platform/entry_fixture.h
@@ -1,5 +1,5 @@
 /// Entries without a network: each decodes the platform's records into its own
-/// catalog and chooses servers from it.
+/// catalog and selects servers from it.
 #pragma once
 
 #include "direct/placement.h"
@@ -24,8 +24,8 @@
   return {std::move(key), "", revision, true};
 }
 
-/// A service of engines that tolerate 17 requests a second while they are cold,
-/// and a plain service that is never cold.
+/// Configures a service of engines that tolerate 17 requests per second while
+/// they are cold, and a plain service whose servers are never cold.
 inline direct::StoreRecord configRecord(uint64_t revision) {
   return record("op/config",
                 R"({"version":1,"routes":[
@@ -63,6 +63,7 @@
                 R"({"peer":")" + address + R"("})", revision);
 }
 
+/// The part of an entry that selects servers, with its own address.
 class Entry {
 public:
   explicit Entry(int number = 0, direct::Locality locality = {"a"})
@@ -113,8 +114,8 @@
     return out;
   }
 
-  /// The server that one attempt is sent to; empty, with the reason, when none
-  /// may be asked.
+  /// The id of the server selected for one attempt; empty when there is no
+  /// eligible server, with the cause in Reason.
   std::string send(direct::ForwardRequest request, TimePoint now,
                    const std::vector<std::string> &tried = {}) {
     request.Arrived = now;
--- a/tests/platform/evacuation_test.cpp
+++ b/tests/platform/evacuation_test.cpp
@@ -1,8 +1,9 @@
 /// Evacuation of a failure domain.
 ///
-/// Seen: 915 requests on one day reached servers of a domain after its
-/// evacuation was acknowledged and before it was taken back; the operator's key
-/// was read and dropped as of no known kind.
+/// Guards against sending requests to servers of an evacuated domain: 915
+/// requests reached such servers after the evacuation was acknowledged and
+/// before it was revoked, because the operator's key was dropped as a key of an
+/// unknown kind.
 #include "platform/entry_fixture.h"
 
 #include <gtest/gtest.h>
@@ -27,8 +28,8 @@
     TestEntry.Catalog.applyAll(all, revision, Start);
   }
 
-  /// Domains that a hundred prompts and calls are sent to, by the second letter
-  /// of their servers' names.
+  /// Sends 100 prompts and 100 plain requests. Returns the domains of the
+  /// servers that were selected: the second letter of each server's name.
   std::set<char> usedDomains(TimePoint now,
                              const std::vector<std::string> &tried) {
     std::set<char> out;
@@ -50,7 +51,8 @@
   EXPECT_TRUE(usedDomains(Start, {}).contains('b'));
   TestEntry.Catalog.apply({record("op/evacuate/b", "{}", 100)}, Start + 1s);
   EXPECT_EQ(usedDomains(Start + 1s, {}), (std::set<char>{'a', 'c'}));
-  // Nor when every other server was tried: a retry, or a stream that goes on.
+  // The same holds when all other servers have been tried, as by a retry or a
+  // resumed stream.
   EXPECT_EQ(usedDomains(Start + 9s, {"ea0", "ea1", "ea2", "ec0", "ec1", "ec2",
                                      "pa0", "pa1", "pa2", "pc0", "pc1", "pc2"}),
             std::set<char>());
--- a/tests/platform/regions_test.cpp
+++ b/tests/platform/regions_test.cpp
@@ -1,5 +1,5 @@
-/// Routes and organisations that are confined to regions: where a request may
-/// run, and where the kept context of its prompt may lie.
+/// Routes and organisations that are restricted to regions: where their
+/// requests may run, and where the kept context of their prompts may be stored.
 #include "platform/entry_fixture.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace daisytack::platform {
 namespace {
 
-/// Domains a and b are in north, c in south, d in west.
+/// Domains a and b are in region north, c is in south, and d is in west.
 const direct::Locality TestLocality{
     "a", {{"a", "north"}, {"b", "north"}, {"c", "south"}, {"d", "west"}}};
 
@@ -35,6 +35,8 @@
                 1);
 }
 
+/// An entry with servers in all domains and stores in a, c and d. The arguments
+/// are JSON fields added to its route and its organisation.
 class ConfinedSetup {
 public:
   ConfinedSetup(const std::string &route, const std::string &organisation)
@@ -59,10 +61,11 @@
   }
 
   struct Used {
-    std::set<std::string> Domains;      ///< Of servers.
-    std::set<std::string> Destinations; ///< Domains of stores.
+    std::set<std::string> Domains;      ///< Domains of selected servers.
+    std::set<std::string> Destinations; ///< Domains of stores to save to.
   };
 
+  /// Sends 200 prompts of different sessions.
   Used send() {
     Used out;
     for (int i = 0; i < 200; ++i) {
@@ -131,8 +134,8 @@
   EXPECT_EQ(nowhere.TestEntry.Reason.Kind, ErrorKind::NoServer);
 }
 
-/// What another request left in a store of a foreign region is not fetched for
-/// a confined one.
+/// Kept context in a store outside the allowed regions is not fetched for a
+/// restricted request.
 TEST(Regions, RestrictSourcesOfKeptContext) {
   ConfinedSetup confined(R"(,"allowed-regions":["north"])", "");
   std::string scope = direct::cacheScope("", false, 1);
--- a/tests/platform/request_head_test.cpp
+++ b/tests/platform/request_head_test.cpp
@@ -81,7 +81,8 @@
   }
 }
 
-/// Headers that only this system may set, whatever their case, and the key.
+/// Drops the headers that only this system may set, in any letter case, and the
+/// API key.
 TEST(WriteAttempt, DropsHeadersThatACallerMayNotSet) {
   for (const char *name :
        {"X-Daisytack-Cache-Salt", "x-daisytack-kv-source",
--- a/tests/platform/slow_start_test.cpp
+++ b/tests/platform/slow_start_test.cpp
@@ -1,7 +1,9 @@
-/// Servers that are cold tolerate a bounded rate of requests, over all entries.
+/// Cold servers get at most a bounded rate of requests from all entries
+/// together.
 ///
-/// Seen: cold servers got 32 requests in a second where 30.5 are allowed; that
-/// a server is cold was checked for in its record and dropped.
+/// Guards against exceeding the bound: cold servers got 32 requests in a second
+/// where 30.5 are allowed, because the decoder checked the field that says that
+/// a server is cold, but did not store it.
 #include "platform/entry_fixture.h"
 
 #include <gtest/gtest.h>
@@ -13,10 +15,11 @@
 namespace {
 
 constexpr int EntryCount = 26;
-/// cold-per-s x cold-overshoot + cold-slack of the deployment.
+/// cold-per-s x cold-overshoot + cold-slack, rounded down: 17 x 1.5 + 5.
 constexpr size_t MaxRequestsPerSecond = 30;
 
-/// Entries that know the same records, and what they send to two servers.
+/// Entries that know the same records, and two servers, "one" and "other", of
+/// which only "one" may be cold.
 class ColdServerSetup {
 public:
   explicit ColdServerSetup(int coldMs) {
@@ -32,10 +35,11 @@
     }
   }
 
-  /// Fifty requests a second for each server, of many sessions. The most that
-  /// the first one gets in a second.
+  /// Sends 250 requests of 61 sessions within 2.5 s, which is 50 requests per
+  /// second for each server. Returns the most requests that "one" gets in a
+  /// second.
   size_t sendLoad(TimePoint from) {
-    std::deque<TimePoint> sent; ///< To the first server in the last second.
+    std::deque<TimePoint> sent; ///< To "one" in the last second.
     size_t maxSent = 0;
     for (int i = 0; i < 250; ++i) {
       TimePoint now = from + i * Duration(10'000);
@@ -53,20 +57,20 @@
   }
 
   std::vector<std::unique_ptr<Entry>> EntryList;
-  std::map<std::string, int> RequestCounts; ///< Empty name: refused.
+  std::map<std::string, int> RequestCounts; ///< By server id; empty: rejected.
 };
 
 TEST(SlowStart, BoundsTheTotalRateOfAllEntriesToAColdServer) {
   ColdServerSetup setup(3000);
   EXPECT_LE(setup.sendLoad(Start), MaxRequestsPerSecond);
   EXPECT_GT(setup.RequestCounts["one"], 0);
-  // The others are served elsewhere.
+  // The other requests go to the other server.
   EXPECT_EQ(setup.RequestCounts[""], 0);
 }
 
-/// Seen: a domain's servers became cold while the key-value service was silent,
-/// so that no record could say so, and got 32 and 37 requests in a second. The
-/// bound holds for entries in touch or not.
+/// While the key-value service is silent, servers may become cold without a
+/// record that says so; such servers got 32 and 37 requests in a second. The
+/// bound must hold whether or not entries can reach the service.
 TEST(SlowStart, BoundsServersThatMayBeColdWhileTheStoreIsLost) {
   ColdServerSetup setup(0);
   for (auto &it : setup.EntryList)
@@ -74,7 +78,8 @@
   EXPECT_LE(setup.sendLoad(Start + 4s), MaxRequestsPerSecond);
 }
 
-/// After an evacuation servers are cold, and say so up to a heartbeat later.
+/// Servers are cold after an evacuation, but their records say so only up to a
+/// heartbeat later.
 TEST(SlowStart, CountsServersAsColdAfterAnEvacuation) {
   auto coldUntil = [](const Entry &entry) {
     return entry.Catalog.view()->serversOf("engines").at(0).ColdUntil;
@@ -86,13 +91,13 @@
                          4, Start);
   entry.Catalog.apply({deletedRecord("op/evacuate/a", 5)}, Start + 8s);
   EXPECT_EQ(coldUntil(entry), Start + 11s);
-  // Its own later word goes first.
+  // A later record of the server takes precedence.
   entry.Catalog.apply({serverRecord("e", "engines", "a", 0, 6)}, Start + 9s);
   EXPECT_EQ(coldUntil(entry), Start + 9s);
   entry.Catalog.apply({serverRecord("e", "engines", "a", 2500, 7)},
                       Start + 10s);
   EXPECT_EQ(coldUntil(entry), Start + 12500ms);
-  // An entry that was cut off hears of the end alone.
+  // An entry that was disconnected learns only of the end of the evacuation.
   Entry late;
   late.Catalog.applyAll(
       {configRecord(1), serverRecord("e", "engines", "a", 0, 3)}, 3, Start);
