--- a/src/direct/crash_suspects.cpp
+++ b/src/direct/crash_suspects.cpp
@@ -8,32 +8,36 @@
 
 namespace {
 
-/// Occasions that it takes, so that servers that end together accuse nobody.
-constexpr uint32_t OccasionsToQuarantine = 2;
-/// What a living server sent before is read within this time of the break; so
-/// long a suspicion of this entry's own is also kept to itself, since most
-/// broken connections are explained by then.
-constexpr Duration SignOfLifeAfter{100'000};
-/// Older reports, still on their way, are dropped for so long: some rounds of
-/// datagrams.
-constexpr Duration ReliefMemory{5'000'000};
-/// Answers are remembered for this long to twice as long: between two of a
-/// request that many callers send alike, with some to spare.
-constexpr Duration AnswerMemory{30'000'000};
-/// One datagram in a hundred lost, and some entries busy for a moment.
-constexpr double Tells = 3;
-/// Told and kept of one request: more than it takes, and few enough for a
-/// datagram to hold the reports of a server's requests.
-constexpr size_t MostServers = 8;
-/// One report with that many servers takes up to 132 bytes.
-constexpr size_t MostReports = 7;
-constexpr size_t MostReliefs = 12;
-
-TimePoint momentOf(uint32_t agoMs, TimePoint now) {
-  return now - std::chrono::milliseconds(agoMs);
+/// Minimum number of incidents; with one, an outage of several servers at once
+/// would quarantine requests.
+constexpr uint32_t IncidentsToQuarantine = 2;
+/// Data that a server sent before its crash may be read this long after the
+/// connection broke, so only later data shows that the server is alive. This
+/// entry also delays reports of its own by this time, since most broken
+/// connections are explained by then.
+constexpr Duration LateDataWindow{100'000};
+/// How long evidence is kept to discard older reports that are still in
+/// flight: a few rounds of datagrams.
+constexpr Duration RefutationRetention{5'000'000};
+/// Answers are remembered for one to two times this duration, longer than the
+/// gap between two answers to a request that many callers send identically.
+constexpr Duration AnswerRetention{30'000'000};
+/// How often each item is sent to every entry: allows for 1% datagram loss and
+/// for entries that are briefly busy.
+constexpr double SendsPerEntry = 3;
+/// Crashed servers kept and reported per request: more than a quarantine needs,
+/// and few enough that the reports on a server's requests fit into a datagram.
+constexpr size_t MaxCrashedServers = 8;
+/// Reports per datagram; one with MaxCrashedServers takes up to 132 bytes.
+constexpr size_t MaxReports = 7;
+/// Cleared requests per datagram, and also live servers per datagram.
+constexpr size_t MaxRefutations = 12;
+
+TimePoint timeOf(uint32_t ageMs, TimePoint now) {
+  return now - std::chrono::milliseconds(ageMs);
 }
 
-uint32_t agoMs(TimePoint at, TimePoint now) {
+uint32_t ageMs(TimePoint at, TimePoint now) {
   auto since = std::chrono::duration_cast<std::chrono::milliseconds>(now - at);
   return static_cast<uint32_t>(
       std::clamp<int64_t>(since.count(), 0, UINT32_MAX));
@@ -41,9 +45,9 @@
 
 } // namespace
 
-void CrashSuspects::count() {
-  Count.store(Suspects.size() + Cleared.size() + Living.size(),
-              std::memory_order_release);
+void CrashSuspects::updateItemCount() {
+  ItemCount.store(Suspects.size() + ClearedRequests.size() + LiveServers.size(),
+                  std::memory_order_release);
 }
 
 uint32_t CrashSuspects::incidents(const Id128 &request) const {
@@ -51,7 +55,7 @@
     return 0;
   std::lock_guard guard(Lock);
   auto it = Suspects.find(request);
-  return it == Suspects.end() ? 0 : it->second.Occasions;
+  return it == Suspects.end() ? 0 : it->second.Incidents;
 }
 
 std::optional<Duration> CrashSuspects::quarantineLeft(const Id128 &request,
@@ -79,41 +83,44 @@
 
 bool CrashSuspects::wasCleared(const Id128 &request, TimePoint now) const {
   std::lock_guard guard(Lock);
-  auto it = Cleared.find(request);
-  return it != Cleared.end() && now < it->second.At + ReliefMemory;
+  auto it = ClearedRequests.find(request);
+  return it != ClearedRequests.end() &&
+         now < it->second.At + RefutationRetention;
 }
 
 bool CrashSuspects::isBlamedOnAnother(const Id128 &request,
                                       uint64_t server) const {
   return std::any_of(Suspects.begin(), Suspects.end(), [&](const auto &it) {
     return it.first != request && it.second.QuarantinedUntil &&
-           std::any_of(
-               it.second.Servers.begin(), it.second.Servers.end(),
-               [&](const EndedServer &ended) { return ended.Name == server; });
+           std::any_of(it.second.CrashedServers.begin(),
+                       it.second.CrashedServers.end(),
+                       [&](const CrashedServer &crashed) {
+                         return crashed.Key == server;
+                       });
   });
 }
 
-void CrashSuspects::addServer(Suspect &suspect, uint64_t server,
-                              TimePoint endedAt) {
+void CrashSuspects::addCrashedServer(Suspect &suspect, uint64_t server,
+                                     TimePoint crashedAt) {
   bool isKnown = std::any_of(
-      suspect.Servers.begin(), suspect.Servers.end(),
-      [&](const EndedServer &ended) { return ended.Name == server; });
+      suspect.CrashedServers.begin(), suspect.CrashedServers.end(),
+      [&](const CrashedServer &crashed) { return crashed.Key == server; });
   if (isKnown)
     return;
-  if (suspect.Servers.size() >= MostServers)
-    suspect.Servers.erase(suspect.Servers.begin());
-  suspect.Servers.push_back({server, endedAt});
-  suspect.LastAt = std::max(suspect.LastAt, endedAt);
+  if (suspect.CrashedServers.size() >= MaxCrashedServers)
+    suspect.CrashedServers.erase(suspect.CrashedServers.begin());
+  suspect.CrashedServers.push_back({server, crashedAt});
+  suspect.LastAt = std::max(suspect.LastAt, crashedAt);
 }
 
-void CrashSuspects::tell(Suspect &suspect, TimePoint from) {
-  suspect.TellsLeft = Tells;
-  suspect.TellFrom = from;
+void CrashSuspects::scheduleReport(Suspect &suspect, TimePoint from) {
+  suspect.SendsLeft = SendsPerEntry;
+  suspect.SendFrom = from;
 }
 
 std::vector<Id128> CrashSuspects::onConnectionBroken(const Id128 &request,
                                                      uint64_t server,
-                                                     uint32_t occasionsWhenSent,
+                                                     uint32_t incidentsWhenSent,
                                                      TimePoint now) {
   if (Settings.ServersToQuarantine == 0)
     return {};
@@ -121,23 +128,24 @@
   if (wasAnswered(request) || isBlamedOnAnother(request, server))
     return {};
   Suspect &suspect = Suspects[request];
-  // What was known when it was sent may have been cleared since.
-  uint32_t before = std::min(occasionsWhenSent, suspect.Occasions);
-  suspect.Occasions = std::max(suspect.Occasions, before + 1);
-  addServer(suspect, server, now);
-  tell(suspect, now + SignOfLifeAfter);
-  std::vector<Id128> out = judge(request, now);
+  // Incidents known when the attempt was sent may have been cleared since.
+  uint32_t before = std::min(incidentsWhenSent, suspect.Incidents);
+  suspect.Incidents = std::max(suspect.Incidents, before + 1);
+  addCrashedServer(suspect, server, now);
+  scheduleReport(suspect, now + LateDataWindow);
+  std::vector<Id128> out = quarantineIfDue(request, now);
   if (suspect.QuarantinedUntil)
-    acquitOthers(request);
-  makeRoom();
-  count();
+    removeExplainedCrashes(request);
+  evictIfFull();
+  updateItemCount();
   return out;
 }
 
-std::vector<Id128> CrashSuspects::judge(const Id128 &request, TimePoint now) {
+std::vector<Id128> CrashSuspects::quarantineIfDue(const Id128 &request,
+                                                  TimePoint now) {
   Suspect &suspect = Suspects[request];
-  if (suspect.QuarantinedUntil || suspect.Occasions < OccasionsToQuarantine ||
-      suspect.Servers.size() < Settings.ServersToQuarantine)
+  if (suspect.QuarantinedUntil || suspect.Incidents < IncidentsToQuarantine ||
+      suspect.CrashedServers.size() < Settings.ServersToQuarantine)
     return {};
   quarantine(request, Settings.QuarantineDuration, now);
   return {request};
@@ -148,55 +156,56 @@
   Suspect &suspect = Suspects[request];
   suspect.QuarantinedUntil = now + std::min(left, Settings.QuarantineDuration);
   suspect.LastAt = now;
-  tell(suspect, now);
-  acquitOthers(request);
+  scheduleReport(suspect, now);
+  removeExplainedCrashes(request);
 }
 
-void CrashSuspects::acquitOthers(const Id128 &guilty) {
-  const std::vector<EndedServer> servers = Suspects[guilty].Servers;
-  auto isExplained = [&](const EndedServer &ended) {
+void CrashSuspects::removeExplainedCrashes(const Id128 &culprit) {
+  const std::vector<CrashedServer> servers = Suspects[culprit].CrashedServers;
+  auto isExplained = [&](const CrashedServer &crashed) {
     return std::any_of(
         servers.begin(), servers.end(),
-        [&](const EndedServer &it) { return it.Name == ended.Name; });
+        [&](const CrashedServer &it) { return it.Key == crashed.Key; });
   };
   for (auto &[request, suspect] : Suspects)
-    if (request != guilty && !suspect.QuarantinedUntil)
-      std::erase_if(suspect.Servers, isExplained);
-  dropUnfounded();
+    if (request != culprit && !suspect.QuarantinedUntil)
+      std::erase_if(suspect.CrashedServers, isExplained);
+  dropEmptySuspects();
 }
 
-void CrashSuspects::dropUnfounded() {
+void CrashSuspects::dropEmptySuspects() {
   std::erase_if(Suspects, [](const auto &it) {
-    return it.second.Servers.empty() && !it.second.QuarantinedUntil;
+    return it.second.CrashedServers.empty() && !it.second.QuarantinedUntil;
   });
 }
 
 bool CrashSuspects::isRefuted(const Id128 &request, uint64_t server,
-                              TimePoint endedAt) const {
-  auto cleared = Cleared.find(request);
-  if (cleared != Cleared.end() && endedAt <= cleared->second.At)
+                              TimePoint crashedAt) const {
+  auto cleared = ClearedRequests.find(request);
+  if (cleared != ClearedRequests.end() && crashedAt <= cleared->second.At)
     return true;
-  auto living = Living.find(server);
-  if (living != Living.end() && endedAt + SignOfLifeAfter <= living->second.At)
+  auto alive = LiveServers.find(server);
+  if (alive != LiveServers.end() &&
+      crashedAt + LateDataWindow <= alive->second.At)
     return true;
   return isBlamedOnAnother(request, server);
 }
 
 void CrashSuspects::merge(const CrashReport &report, TimePoint now) {
   Suspect &suspect = Suspects[report.Request];
-  bool isWhole = true;
-  for (const Aged<uint64_t> &ended : report.Servers) {
-    TimePoint at = momentOf(ended.AgoMs, now);
-    if (isRefuted(report.Request, ended.What, at))
-      isWhole = false;
+  bool hasAllServers = true;
+  for (const PastEvent<uint64_t> &crashed : report.CrashedServers) {
+    TimePoint at = timeOf(crashed.AgeMs, now);
+    if (isRefuted(report.Request, crashed.Subject, at))
+      hasAllServers = false;
     else
-      addServer(suspect, ended.What, at);
+      addCrashedServer(suspect, crashed.Subject, at);
   }
-  // Its occasions are those of all its servers.
-  if (isWhole)
-    suspect.Occasions = std::max(suspect.Occasions, report.Occasions);
-  else if (!suspect.Servers.empty())
-    suspect.Occasions = std::max(suspect.Occasions, 1U);
+  // The number of incidents in the report only holds for all of its servers.
+  if (hasAllServers)
+    suspect.Incidents = std::max(suspect.Incidents, report.Incidents);
+  else if (!suspect.CrashedServers.empty())
+    suspect.Incidents = std::max(suspect.Incidents, 1U);
 }
 
 std::vector<Id128> CrashSuspects::onPeerReports(const CrashReports &reports,
@@ -205,37 +214,37 @@
     return {};
   std::vector<Id128> out;
   std::lock_guard guard(Lock);
-  for (const Aged<Id128> &it : reports.Cleared)
-    clear(it.What, 0, momentOf(it.AgoMs, now));
-  for (const Aged<uint64_t> &it : reports.Living)
-    live(it.What, 0, momentOf(it.AgoMs, now));
+  for (const PastEvent<Id128> &it : reports.ClearedRequests)
+    clearRequest(it.Subject, 0, timeOf(it.AgeMs, now));
+  for (const PastEvent<uint64_t> &it : reports.LiveServers)
+    markAlive(it.Subject, 0, timeOf(it.AgeMs, now));
   for (const CrashReport &report : reports.Suspects) {
     if (wasAnswered(report.Request)) {
-      clear(report.Request, Tells, now);
+      clearRequest(report.Request, SendsPerEntry, now);
       continue;
     }
     merge(report, now);
     Suspect &suspect = Suspects[report.Request];
-    bool isQuarantineNews = report.QuarantineLeft > 0 &&
-                            !suspect.QuarantinedUntil &&
-                            !Cleared.contains(report.Request);
-    if (isQuarantineNews) {
-      quarantine(report.Request, Duration(report.QuarantineLeft), now);
-      suspect.TellsLeft = 0; // Whoever told goes on telling.
+    bool isNewQuarantine = report.QuarantineLeftUs > 0 &&
+                           !suspect.QuarantinedUntil &&
+                           !ClearedRequests.contains(report.Request);
+    if (isNewQuarantine) {
+      quarantine(report.Request, Duration(report.QuarantineLeftUs), now);
+      suspect.SendsLeft = 0; // The entry that reported it goes on sending it.
       out.push_back(report.Request);
     } else if (suspect.QuarantinedUntil) {
-      acquitOthers(report.Request);
-      // An entry that has only just started doesn't know.
-      if (report.QuarantineLeft == 0 && suspect.TellsLeft <= 0)
-        tell(suspect, now);
+      removeExplainedCrashes(report.Request);
+      // The reporting entry started recently and doesn't know the quarantine.
+      if (report.QuarantineLeftUs == 0 && suspect.SendsLeft <= 0)
+        scheduleReport(suspect, now);
     } else {
-      std::vector<Id128> judged = judge(report.Request, now);
-      out.insert(out.end(), judged.begin(), judged.end());
+      std::vector<Id128> quarantined = quarantineIfDue(report.Request, now);
+      out.insert(out.end(), quarantined.begin(), quarantined.end());
     }
   }
-  dropUnfounded();
-  makeRoom();
-  count();
+  dropEmptySuspects();
+  evictIfFull();
+  updateItemCount();
   return out;
 }
 
@@ -245,127 +254,132 @@
   auto it = Suspects.find(request);
   bool isKnown = it != Suspects.end() && it->second.QuarantinedUntil;
   if (wasAnswered(request))
-    clear(request, Tells, now);
-  count();
-  if (Settings.ServersToQuarantine == 0 || isKnown || Cleared.contains(request))
+    clearRequest(request, SendsPerEntry, now);
+  updateItemCount();
+  if (Settings.ServersToQuarantine == 0 || isKnown ||
+      ClearedRequests.contains(request))
     return {};
-  Suspects[request].Occasions = OccasionsToQuarantine;
+  Suspects[request].Incidents = IncidentsToQuarantine;
   quarantine(request, Settings.QuarantineDuration, now);
-  Suspects[request].TellsLeft = 0; // The others read the same record.
-  count();
+  Suspects[request].SendsLeft = 0; // All entries read the same record.
+  updateItemCount();
   return {request};
 }
 
-void CrashSuspects::clear(const Id128 &request, double tells, TimePoint at) {
-  Relief &relief = Cleared[request];
-  relief.At = std::max(relief.At, at);
-  relief.TellsLeft = std::max(relief.TellsLeft, tells);
+void CrashSuspects::clearRequest(const Id128 &request, double sends,
+                                 TimePoint at) {
+  Refutation &refutation = ClearedRequests[request];
+  refutation.At = std::max(refutation.At, at);
+  refutation.SendsLeft = std::max(refutation.SendsLeft, sends);
   auto it = Suspects.find(request);
   if (it == Suspects.end())
     return;
   Suspect &suspect = it->second;
-  std::erase_if(suspect.Servers,
-                [&](const EndedServer &ended) { return ended.At <= at; });
-  if (suspect.Servers.empty()) {
+  std::erase_if(suspect.CrashedServers,
+                [&](const CrashedServer &crashed) { return crashed.At <= at; });
+  if (suspect.CrashedServers.empty()) {
     Suspects.erase(it);
     return;
   }
-  // What came after the answer begins anew.
+  // Crashes after the answer form a new first incident.
   suspect.QuarantinedUntil.reset();
-  suspect.Occasions = 1;
+  suspect.Incidents = 1;
 }
 
 bool CrashSuspects::wasAnswered(const Id128 &request) const {
-  return Answered.contains(request) || AnsweredBefore.contains(request);
+  return RecentAnswers.contains(request) || OlderAnswers.contains(request);
 }
 
-void CrashSuspects::forgetAnswers(TimePoint now) {
-  bool isFull = Answered.size() >= Settings.MostAnswered;
-  if (!isFull && now < AnsweredSince + AnswerMemory)
+void CrashSuspects::rotateAnswers(TimePoint now) {
+  bool isFull = RecentAnswers.size() >= Settings.MaxAnswers;
+  if (!isFull && now < RecentAnswersSince + AnswerRetention)
     return;
-  AnsweredBefore = std::exchange(Answered, {});
-  AnsweredSince = now;
+  OlderAnswers = std::exchange(RecentAnswers, {});
+  RecentAnswersSince = now;
 }
 
 void CrashSuspects::onAnswered(const Id128 &request, TimePoint now) {
   if (Settings.ServersToQuarantine == 0)
     return;
   std::lock_guard guard(Lock);
-  forgetAnswers(now);
-  Answered.insert(request);
+  rotateAnswers(now);
+  RecentAnswers.insert(request);
   if (!Suspects.contains(request))
     return;
-  clear(request, Tells, now);
-  count();
+  clearRequest(request, SendsPerEntry, now);
+  updateItemCount();
 }
 
-bool CrashSuspects::dropServer(uint64_t server, TimePoint heardAt) {
+bool CrashSuspects::removeCrashesOf(uint64_t server, TimePoint aliveAt) {
   bool out = false;
   std::vector<Id128> lifted;
   for (auto &[request, suspect] : Suspects) {
-    size_t n = std::erase_if(suspect.Servers, [&](const EndedServer &ended) {
-      return ended.Name == server && ended.At + SignOfLifeAfter <= heardAt;
-    });
+    size_t n = std::erase_if(suspect.CrashedServers,
+                             [&](const CrashedServer &crashed) {
+                               return crashed.Key == server &&
+                                      crashed.At + LateDataWindow <= aliveAt;
+                             });
     out |= n > 0;
-    bool isUnproved = suspect.Servers.size() < Settings.ServersToQuarantine;
-    if (n > 0 && suspect.QuarantinedUntil && isUnproved)
+    bool hasTooFewServers =
+        suspect.CrashedServers.size() < Settings.ServersToQuarantine;
+    if (n > 0 && suspect.QuarantinedUntil && hasTooFewServers)
       lifted.push_back(request);
   }
   for (const Id128 &request : lifted)
-    clear(request, Tells, heardAt);
-  dropUnfounded();
+    clearRequest(request, SendsPerEntry, aliveAt);
+  dropEmptySuspects();
   return out;
 }
 
-void CrashSuspects::live(uint64_t server, double tells, TimePoint at) {
-  dropServer(server, at);
-  Relief &relief = Living[server];
-  relief.At = std::max(relief.At, at);
-  relief.TellsLeft = std::max(relief.TellsLeft, tells);
+void CrashSuspects::markAlive(uint64_t server, double sends, TimePoint at) {
+  removeCrashesOf(server, at);
+  Refutation &refutation = LiveServers[server];
+  refutation.At = std::max(refutation.At, at);
+  refutation.SendsLeft = std::max(refutation.SendsLeft, sends);
 }
 
 void CrashSuspects::onServerAlive(uint64_t server, TimePoint now) {
   if (isEmpty())
     return;
   std::lock_guard guard(Lock);
-  if (!dropServer(server, now))
+  if (!removeCrashesOf(server, now))
     return;
-  live(server, Tells, now);
-  count();
+  markAlive(server, SendsPerEntry, now);
+  updateItemCount();
 }
 
 void CrashSuspects::onTimer(TimePoint now) {
   std::lock_guard guard(Lock);
-  forgetAnswers(now);
+  rotateAnswers(now);
   for (auto &[request, suspect] : Suspects) {
     if (!suspect.QuarantinedUntil || now < *suspect.QuarantinedUntil)
       continue;
     suspect.QuarantinedUntil.reset();
     suspect.LastAt = now;
     size_t kept = Settings.ServersToQuarantine - 1;
-    if (suspect.Servers.size() > kept)
-      suspect.Servers.resize(kept);
+    if (suspect.CrashedServers.size() > kept)
+      suspect.CrashedServers.resize(kept);
   }
   std::erase_if(Suspects, [&](const auto &it) {
     return !it.second.QuarantinedUntil &&
            now >= it.second.LastAt + Settings.QuarantineDuration;
   });
   auto isOver = [&](const auto &it) {
-    return now >= it.second.At + ReliefMemory;
+    return now >= it.second.At + RefutationRetention;
   };
-  std::erase_if(Cleared, isOver);
-  std::erase_if(Living, isOver);
-  count();
+  std::erase_if(ClearedRequests, isOver);
+  std::erase_if(LiveServers, isOver);
+  updateItemCount();
 }
 
-void CrashSuspects::makeRoom() {
-  if (Suspects.size() <= Settings.MostSuspects)
+void CrashSuspects::evictIfFull() {
+  if (Suspects.size() <= Settings.MaxSuspects)
     return;
   auto isLess = [](const auto &a, const auto &b) {
-    bool isHeldA = a.second.QuarantinedUntil.has_value();
-    bool isHeldB = b.second.QuarantinedUntil.has_value();
-    return std::pair(isHeldA, a.second.LastAt) <
-           std::pair(isHeldB, b.second.LastAt);
+    bool isQuarantinedA = a.second.QuarantinedUntil.has_value();
+    bool isQuarantinedB = b.second.QuarantinedUntil.has_value();
+    return std::pair(isQuarantinedA, a.second.LastAt) <
+           std::pair(isQuarantinedB, b.second.LastAt);
   };
   Suspects.erase(std::min_element(Suspects.begin(), Suspects.end(), isLess));
 }
@@ -377,38 +391,38 @@
   std::lock_guard guard(Lock);
   std::vector<std::pair<const Id128, Suspect> *> due;
   for (auto &it : Suspects)
-    if (it.second.TellsLeft > 0 && now >= it.second.TellFrom)
+    if (it.second.SendsLeft > 0 && now >= it.second.SendFrom)
       due.push_back(&it);
-  auto isGraver = [](const auto *a, const auto *b) {
-    auto weight = [](const Suspect &it) {
-      return std::tuple(it.QuarantinedUntil.has_value(), it.Servers.size(),
-                        it.LastAt);
+  auto isMoreSevere = [](const auto *a, const auto *b) {
+    auto severity = [](const Suspect &it) {
+      return std::tuple(it.QuarantinedUntil.has_value(),
+                        it.CrashedServers.size(), it.LastAt);
     };
-    return weight(a->second) > weight(b->second);
+    return severity(a->second) > severity(b->second);
   };
-  std::sort(due.begin(), due.end(), isGraver);
+  std::sort(due.begin(), due.end(), isMoreSevere);
   for (auto *it : due) {
-    if (out.Suspects.size() >= MostReports)
+    if (out.Suspects.size() >= MaxReports)
       break;
     Suspect &suspect = it->second;
-    suspect.TellsLeft -= shareOfEntries;
-    CrashReport report{it->first, suspect.Occasions, {}, 0};
-    for (const EndedServer &ended : suspect.Servers)
-      report.Servers.push_back({ended.Name, agoMs(ended.At, now)});
+    suspect.SendsLeft -= shareOfEntries;
+    CrashReport report{it->first, suspect.Incidents, {}, 0};
+    for (const CrashedServer &crashed : suspect.CrashedServers)
+      report.CrashedServers.push_back({crashed.Key, ageMs(crashed.At, now)});
     if (suspect.QuarantinedUntil)
-      report.QuarantineLeft = (*suspect.QuarantinedUntil - now).count();
+      report.QuarantineLeftUs = (*suspect.QuarantinedUntil - now).count();
     out.Suspects.push_back(std::move(report));
   }
-  auto takeReliefs = [&](auto &reliefs, auto &into) {
-    for (auto &[name, relief] : reliefs) {
-      if (relief.TellsLeft <= 0 || into.size() >= MostReliefs)
+  auto takeRefutations = [&](auto &refutations, auto &into) {
+    for (auto &[key, refutation] : refutations) {
+      if (refutation.SendsLeft <= 0 || into.size() >= MaxRefutations)
         continue;
-      relief.TellsLeft -= shareOfEntries;
-      into.push_back({name, agoMs(relief.At, now)});
+      refutation.SendsLeft -= shareOfEntries;
+      into.push_back({key, ageMs(refutation.At, now)});
     }
   };
-  takeReliefs(Cleared, out.Cleared);
-  takeReliefs(Living, out.Living);
+  takeRefutations(ClearedRequests, out.ClearedRequests);
+  takeRefutations(LiveServers, out.LiveServers);
   return out;
 }
 
