--- a/src/direct/drain_plan.cpp
+++ b/src/direct/drain_plan.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-/// The time so long before; a limit that is never reached stays so.
+/// The limit minus the lead; TimePoint::max() means no limit and stays.
 TimePoint before(TimePoint limit, Duration lead) {
   return limit == TimePoint::max() ? limit : limit - lead;
 }
 
-/// The process stood still until it saw the signal: of its time to end, that
-/// much is gone.
-TimePoint endOf(TimePoint sent, TimePoint seen, TimePoint end) {
+/// The end of the process, earlier by the time from the sending of the signal
+/// until the stalled process saw it, but not before it was seen.
+TimePoint adjustedEnd(TimePoint sent, TimePoint seen, TimePoint end) {
   return std::max(before(end, std::max(seen - sent, Duration::zero())), seen);
 }
 
@@ -21,12 +21,13 @@
 
 DrainPlan::DrainPlan(DrainSettings settings, TimePoint sent, TimePoint seen,
                      TimePoint end)
-    : Seen(seen), End(endOf(sent, seen, end)),
-      LastWordAt(std::max(before(End, settings.FinalAnswerLead), seen)),
-      AttemptsUntil(std::max(before(LastWordAt, settings.LeastAttempt), seen)),
-      TakesUntil(
+    : SignalSeen(seen), End(adjustedEnd(sent, seen, end)),
+      FinalAnswersAt(std::max(before(End, settings.FinalAnswerLead), seen)),
+      AttemptsUntil(
+          std::max(before(FinalAnswersAt, settings.MinAttemptTime), seen)),
+      AcceptsUntil(
           std::min(seen + settings.NoticePeriod + settings.LateRequestGrace,
                    AttemptsUntil)),
-      CloseAt(std::max(TakesUntil - settings.LateRequestGrace, seen)) {}
+      CloseAt(std::max(AcceptsUntil - settings.LateRequestGrace, seen)) {}
 
 } // namespace daisytack::direct
--- a/src/direct/drain_plan.h
+++ b/src/direct/drain_plan.h
@@ -1,8 +1,9 @@
-/// What an entry that was told to stop still does, and until when.
+/// Schedule of an entry that was told to stop: what it still does, and until
+/// when.
 ///
-/// Its moments are fixed when the signal is seen, and asked of each request and
-/// of each attempt: closing what was idle at one moment let requests in on
-/// connections that became idle later.
+/// All times are fixed when the stop signal is seen, and checked for each
+/// request and each attempt. Closing the idle connections only once is not
+/// enough: connections that become idle later would still take requests.
 #pragma once
 
 #include "daisytack/types.h"
@@ -10,54 +11,58 @@
 namespace daisytack::direct {
 
 struct DrainSettings {
-  /// New connections are accepted for so long, until the balancer has noticed:
-  /// it asks once a second and believes the second miss.
+  /// How long new connections are still accepted, so that the load balancer can
+  /// notice the drain: it probes once a second and reacts to the second failed
+  /// probe.
   Duration NoticePeriod{2'500'000};
-  /// Before the end every request whose answer has not begun gets a final one:
-  /// the entry's processor and the way to the caller take tens of
-  /// milliseconds, with hundreds of answers at once a few hundred.
+  /// How long before the end of the process every request whose answer has not
+  /// begun gets its final answer. Processing and the path to the caller take
+  /// tens of milliseconds, and a few hundred when hundreds of answers are due
+  /// at once.
   Duration FinalAnswerLead{500'000};
-  /// After the listener is closed, requests that were on their way are still
-  /// taken for so long: some round trips to callers.
+  /// How long after the listener is closed requests that were already in flight
+  /// are still accepted: a few round trips to callers.
   Duration LateRequestGrace{250'000};
-  /// No attempt begins with less time than this before the last word: without
-  /// one a caller is told truly that its request has not run. A short answer
-  /// takes 10 to 200 ms.
-  Duration LeastAttempt{200'000};
+  /// Minimum time that an attempt must have before the final answers are due. A
+  /// request that was not attempted can still be answered with a status that
+  /// promises that it did not run. A short answer takes 10 to 200 ms.
+  Duration MinAttemptTime{200'000};
   bool operator==(const DrainSettings &) const = default;
 };
 
 /// Immutable.
 class DrainPlan {
 public:
-  /// The signal was seen at one moment and sent no sooner than at another. A
-  /// process that saw it when it was sent ends at the third, whatever is left;
-  /// one that saw it late ends so much sooner.
+  /// The signal was seen at `seen` and sent no earlier than at `sent`. `end` is
+  /// when a process that sees the signal at once ends, whatever is unfinished;
+  /// TimePoint::max() means never. A process that saw the signal late ends
+  /// earlier by that delay.
   DrainPlan(DrainSettings settings, TimePoint sent, TimePoint seen,
             TimePoint end);
 
-  /// Since the signal was seen.
-  Duration elapsed(TimePoint now) const { return now - Seen; }
-  /// Whether new connections are still taken.
+  /// Time since the signal was seen.
+  Duration elapsed(TimePoint now) const { return now - SignalSeen; }
+  /// Whether new connections are still accepted.
   bool isListening(TimePoint now) const { return now < CloseAt; }
-  /// Requests that are whole later are refused.
-  TimePoint acceptsRequestsUntil() const { return TakesUntil; }
-  /// Whether a request may still be passed on to a backend server.
+  /// Time from which on newly completed requests are refused.
+  TimePoint acceptsRequestsUntil() const { return AcceptsUntil; }
+  /// Whether a request may still be sent to a backend server.
   bool mayAttempt(TimePoint now) const { return now < AttemptsUntil; }
-  /// Whether requests without an answer have to be told that there will be
-  /// none.
-  bool isFinalAnswerDue(TimePoint now) const { return now >= LastWordAt; }
-  /// Whether the process ends with what is left.
+  /// Whether all requests whose answer has not begun must get their final
+  /// answer now.
+  bool isFinalAnswerDue(TimePoint now) const { return now >= FinalAnswersAt; }
+  /// Whether the process must end now, even with unfinished requests.
   bool isOver(TimePoint now) const { return now >= End; }
+  /// Time at which the process ends; TimePoint::max() if there is no limit.
   TimePoint end() const { return End; }
 
 private:
-  TimePoint Seen;
+  TimePoint SignalSeen;
   TimePoint End;
-  TimePoint LastWordAt;
+  TimePoint FinalAnswersAt;
   TimePoint AttemptsUntil;
-  TimePoint TakesUntil;
-  TimePoint CloseAt;
+  TimePoint AcceptsUntil;
+  TimePoint CloseAt; ///< The listener is closed at this time.
 };
 
 } // namespace daisytack::direct
