--- a/src/direct/event_splitter.cpp
+++ b/src/direct/event_splitter.cpp
@@ -9,32 +9,32 @@
 
 constexpr std::string_view IdField = "id:";
 
-/// Bytes up to and with the last blank line; 0 when there is none.
+/// Number of bytes up to and including the last blank line; 0 if there is none.
 size_t endOfLastEvent(std::string_view text) {
-  size_t plain = text.rfind("\n\n");
-  size_t wide = text.rfind("\r\n\r\n");
-  size_t out = plain == std::string_view::npos ? 0 : plain + 2;
-  if (wide != std::string_view::npos)
-    out = std::max(out, wide + 4);
+  size_t lfEnd = text.rfind("\n\n");
+  size_t crlfEnd = text.rfind("\r\n\r\n");
+  size_t out = lfEnd == std::string_view::npos ? 0 : lfEnd + 2;
+  if (crlfEnd != std::string_view::npos)
+    out = std::max(out, crlfEnd + 4);
   return out;
 }
 
 } // namespace
 
 std::string EventSplitter::feed(std::string_view data) {
-  Held += data;
-  size_t end = endOfLastEvent(Held);
-  if (end == 0 && Held.size() > MaxHeldBytes)
-    end = Held.size();
+  Buffer += data;
+  size_t end = endOfLastEvent(Buffer);
+  if (end == 0 && Buffer.size() > MaxBufferedBytes)
+    end = Buffer.size();
   if (end == 0)
     return {};
-  std::string out = Held.substr(0, end);
-  Held.erase(0, end);
-  noteIds(out);
+  std::string out = Buffer.substr(0, end);
+  Buffer.erase(0, end);
+  updateLastId(out);
   return out;
 }
 
-void EventSplitter::noteIds(std::string_view events) {
+void EventSplitter::updateLastId(std::string_view events) {
   while (!events.empty()) {
     size_t end = events.find('\n');
     std::string_view line = events.substr(0, end);
@@ -51,6 +51,6 @@
   }
 }
 
-std::string EventSplitter::takeRest() { return std::exchange(Held, {}); }
+std::string EventSplitter::takeRest() { return std::exchange(Buffer, {}); }
 
 } // namespace daisytack::direct
--- a/src/direct/event_splitter.h
+++ b/src/direct/event_splitter.h
@@ -1,5 +1,5 @@
-/// Cuts a stream of server-sent events into whole events, so that nothing of an
-/// event is passed on before all of it is there. Pure.
+/// Splits a stream of server-sent events into whole events, so that a caller
+/// never receives part of an event. Performs no I/O.
 #pragma once
 
 #include <optional>
@@ -8,23 +8,25 @@
 
 namespace daisytack::direct {
 
-/// Not thread-safe. Bytes are kept as they are.
+/// Not thread-safe. Bytes are not changed.
 class EventSplitter {
 public:
-  /// An event longer than this is passed on in pieces.
-  static constexpr size_t MaxHeldBytes = 256U << 10;
+  /// An event longer than this is returned in pieces.
+  static constexpr size_t MaxBufferedBytes = 256U << 10;
 
-  /// The bytes that may be passed on now: those of whole events.
+  /// Adds received data and returns the whole events that are now available;
+  /// empty if there are none.
   std::string feed(std::string_view data);
-  /// What is left of an event whose end has not come.
+  /// Removes and returns the buffered bytes of an incomplete event.
   std::string takeRest();
-  /// Id of the last event that was passed on.
+  /// Id of the last event that feed() returned; empty if none had an id.
   const std::optional<std::string> &lastId() const { return LastId; }
 
 private:
-  void noteIds(std::string_view events);
+  /// Sets LastId to the last id in the events, if they have any.
+  void updateLastId(std::string_view events);
 
-  std::string Held;
+  std::string Buffer;
   std::optional<std::string> LastId;
 };
 
--- a/src/direct/exchange.h
+++ b/src/direct/exchange.h
@@ -1,5 +1,5 @@
-/// What one request, one attempt at it and the head of one answer say, once the
-/// adapter has decoded their headers.
+/// The decoded heads of requests, attempts and answers. The protocol adapter
+/// translates between these and HTTP headers.
 #pragma once
 
 #include "direct/server_start.h"
@@ -13,17 +13,18 @@
 
 namespace daisytack::direct {
 
-/// A part of a prompt. Requests that begin with the same parts share their kept
-/// context; the last part belongs to one request or session.
+/// One part of a prompt. Requests whose prompts begin with the same parts share
+/// the kept context of these parts; the last part belongs to a single request
+/// or session.
 struct PromptPart {
   std::string Id;
   uint32_t Tokens = 0;
   auto operator<=>(const PromptPart &) const = default;
 };
 
-/// What the caller's headers ask for.
+/// The head of a caller's request.
 struct CallerHead {
-  std::string RequestId; ///< The caller's name for this attempt of its own.
+  std::string RequestId; ///< A caller's retry has another id.
   std::string Host;
   std::string Method;
   std::string Target; ///< Path and query as received.
@@ -34,72 +35,82 @@
   uint32_t PromptTokens = 0;
   uint32_t MaxOutputTokens = 0;
   std::vector<PromptPart> Parts;
-  /// The caller has the stream's events up to this id.
+  /// Id of the last event that the caller has received of the stream; the
+  /// answer is to continue after it.
   std::optional<std::string> LastEventId;
-  /// To be forwarded as they are.
+  /// Headers to forward to the server unchanged.
   std::vector<net::HttpHeader> ForwardedHeaders;
   auto operator<=>(const CallerHead &) const = default;
 };
 
-/// Where a server finds or leaves one part of a prompt.
+/// Address of the store that a server fetches a prompt part's context from or
+/// saves it to; empty: none.
 using PartAddress = std::optional<Endpoint>;
 
-/// What accompanies one attempt at a request.
+/// What an entry decides about one attempt at a request, and tells the server.
 struct AttemptOrder {
   std::string ServerId; ///< Any other server refuses the attempt.
-  /// Of the server, as it was known: another start of the id takes the attempt
-  /// all the same.
+  /// Start of the server as far as the entry knows. A later start under the
+  /// same id accepts the attempt as well.
   uint64_t StartedMs = 0;
   Endpoint Address;
   Duration TimeLeft{0};
   std::string Organisation;         ///< Empty when the request needs no key.
   std::optional<uint32_t> Priority; ///< 0 is the most urgent.
-  std::string CacheScope; ///< Kept context is found under the same text only.
-  uint64_t WeightVersion = 0;            ///< That the server must run; 0: any.
-  std::vector<PartAddress> Sources;      ///< By part; may be empty.
-  std::vector<PartAddress> Destinations; ///< By part; may be empty.
-  /// Of the sources the one whose link is busy for longest with this prompt:
-  /// what the first byte waits for.
+  std::string CacheScope;     ///< Kept context is only shared within one scope.
+  uint64_t WeightVersion = 0; ///< Weights the server must run; 0: any.
+  std::vector<PartAddress> Sources;      ///< One per prompt part, or empty.
+  std::vector<PartAddress> Destinations; ///< One per prompt part, or empty.
+  /// The source whose transfer takes longest, so that the first byte of the
+  /// answer waits for it; empty if nothing is fetched.
   PartAddress SlowestSource;
-  /// A fetch that ends later, by the servers' clock, is thrown away.
+  /// Deadline for fetches of kept context in Unix milliseconds by the servers'
+  /// clock. The server discards what arrives later.
   std::optional<int64_t> FetchUntilMs;
-  std::optional<std::string> LastEventId; ///< Resume after this event.
-  // What the choice was made on, for the view of loads and the log.
-  /// That it counts for in the server's queue and memory: the whole prompt, but
-  /// for a share of what is fetched.
+  /// Id of the event after which the server is to resume the stream; empty: the
+  /// stream begins with its first event.
+  std::optional<std::string> LastEventId;
+  // Figures behind the choice of the server, for load accounting and the log.
+  /// Tokens that the attempt adds to the server's queue and memory: the whole
+  /// prompt, less a share of the tokens that are fetched.
   uint64_t QueuedTokens = 0;
-  uint64_t TokensAhead = 0; ///< Believed to wait at the server already.
-  uint64_t RunningTokens =
-      0; ///< Believed to fill its memory, of running prompts.
-  /// That no server has read yet as far as is known; 0 when parts may be in the
-  /// server's memory.
+  /// Estimated prompt tokens of the server's other requests that have no first
+  /// byte yet.
+  uint64_t TokensAhead = 0;
+  /// Estimated prompt tokens of all requests that the server runs.
+  uint64_t RunningTokens = 0;
+  /// Tokens of the prompt that need prefill as far as is known; 0 when parts
+  /// may be in the server's memory.
   uint64_t PrefillTokens = 0;
-  double PrefillTokensPerMs = 0;    ///< Believed of the server's reading.
-  double PredictedFirstTokenMs = 0; ///< Predicted, without the fetch.
-  double FetchExcessMs = 0;         ///< Believed of the links that are used.
+  double PrefillTokensPerMs = 0; ///< Estimated prefill rate of the server.
+  /// Predicted time to the first token, without fetches of kept context.
+  double PredictedFirstTokenMs = 0;
+  /// Longest time that a fetch from one of the Sources is expected to wait
+  /// beyond a fetch from the best other store.
+  double FetchExcessMs = 0;
 
   ServerRef server() const { return {ServerId, StartedMs}; }
   auto operator<=>(const AttemptOrder &) const = default;
 };
 
-/// What a server's answer begins with.
+/// The head of a server's answer.
 struct ServerHead {
   unsigned Status = 0;
-  bool WasNotRun = false; ///< The server says so itself.
+  /// The server states that it did not run the request.
+  bool WasNotRun = false;
   bool IsEventStream = false;
-  bool IsLeaving = false; ///< The server wants no new requests ever more.
+  bool IsLeaving = false; ///< The server shuts down and takes no new requests.
   std::optional<Duration> RetryAfter;
-  /// Requests a second that the server takes from all entries together;
-  /// nothing when the answer names no limit that can be read.
+  /// Limit on the requests per second that the server accepts from all entries
+  /// together; empty when the answer has no readable limit.
   std::optional<double> RequestLimit;
-  /// The answer names a limit that can't be read.
+  /// The answer has a limit that can't be read.
   bool IsLimitUnreadable = false;
-  std::vector<net::HttpHeader>
-      ForwardedHeaders; ///< For the caller, as they are.
+  std::vector<net::HttpHeader> ForwardedHeaders; ///< For the caller, unchanged.
   auto operator<=>(const ServerHead &) const = default;
 };
 
-/// Status codes that promise the caller that the request did not run.
+/// Whether the status code tells the caller that its request was not run.
 constexpr bool promisesNotRun(unsigned status) {
   return status == net::StatusRequestTimeout ||
          status == net::StatusMisdirected ||
--- a/src/direct/forward_flow.cpp
+++ b/src/direct/forward_flow.cpp
@@ -34,208 +34,213 @@
 ForwardFlow::ForwardFlow(ForwardRequest request, ForwardSettings settings,
                          ForwardHooks hooks)
     : Request(std::move(request)), Settings(settings), Hooks(std::move(hooks)),
-      LastEvent(Request.Head.LastEventId) {}
+      DeliveredEventId(Request.Head.LastEventId) {}
 
-void ForwardFlow::start(TimePoint now) { next(now, {}, false); }
+void ForwardFlow::start(TimePoint now) { startNextAttempt(now, {}, false); }
 
-void ForwardFlow::next(TimePoint now, const Error &reason, bool drawsBudget) {
+void ForwardFlow::startNextAttempt(TimePoint now, const Error &reason,
+                                   bool usesRetryBudget) {
   if (IsEnded)
     return;
-  if (now + Settings.LeastTime >= Request.Deadline)
+  if (now + Settings.MinAttemptTime >= Request.Deadline)
     return giveUp(
         reason ? reason
                : Error{ErrorKind::DeadlinePassed, "the request's time is over"},
         now);
-  Error none;
-  std::optional<AttemptChoice> choice = Hooks.ChooseServer(Tried, now, none);
+  Error noServer;
+  std::optional<AttemptChoice> choice =
+      Hooks.ChooseServer(TriedServers, now, noServer);
   if (!choice) {
-    Error told = reason ? reason : none;
-    // When a server may be asked again is known best by who chooses; else by
-    // those that turned the request away.
-    told.RetryAfter = std::max(told.RetryAfter, none.RetryAfter);
-    if (told.RetryAfter <= Duration::zero())
-      told.RetryAfter = RetryAfter.value_or(Duration::zero());
-    return giveUp(told, now);
+    Error finalError = reason ? reason : noServer;
+    // The hook that chooses servers knows best when one becomes available; next
+    // best are the times given by the servers that rejected the request.
+    finalError.RetryAfter =
+        std::max(finalError.RetryAfter, noServer.RetryAfter);
+    if (finalError.RetryAfter <= Duration::zero())
+      finalError.RetryAfter = SoonestRetryAfter.value_or(Duration::zero());
+    return giveUp(finalError, now);
   }
-  if (drawsBudget && !Hooks.TakeRetry())
+  if (usesRetryBudget && !Hooks.TakeRetry())
     return giveUp(reason, now);
-  send(std::move(choice->Order), now);
+  sendAttempt(std::move(choice->Order), now);
 }
 
-void ForwardFlow::send(AttemptOrder order, TimePoint now) {
-  ++Number;
-  Tried.push_back(order.ServerId);
+void ForwardFlow::sendAttempt(AttemptOrder order, TimePoint now) {
+  ++AttemptNumber;
+  TriedServers.push_back(order.ServerId);
   order.TimeLeft = Request.Deadline - now;
-  order.LastEventId = LastEvent;
-  Current.emplace(Try{});
+  order.LastEventId = DeliveredEventId;
+  Current.emplace(Attempt{});
   Current->Order = std::move(order);
   Current->SentAt = now;
-  arm(now);
-  Hooks.SendAttempt(Number, Current->Order);
+  armTimer(now);
+  Hooks.SendAttempt(AttemptNumber, Current->Order);
 }
 
-void ForwardFlow::close(AttemptResult result, TimePoint now) {
-  Hooks.RecordResult(Number, Current->Order, result, now);
+void ForwardFlow::closeAttempt(AttemptResult result, TimePoint now) {
+  Hooks.RecordResult(AttemptNumber, Current->Order, result, now);
   Current.reset();
 }
 
 void ForwardFlow::onHead(uint32_t attempt, const ServerHead &head,
                          TimePoint now) {
-  if (IsEnded || !Current || attempt != Number)
+  if (IsEnded || !Current || attempt != AttemptNumber)
     return;
   Current->Head = head;
   Current->HasHead = true;
-  arm(now);
+  armTimer(now);
 }
 
 void ForwardFlow::onData(uint32_t attempt, std::string_view data,
                          TimePoint now) {
-  if (IsEnded || !Current || attempt != Number || !Current->HasHead)
+  if (IsEnded || !Current || attempt != AttemptNumber || !Current->HasHead)
     return;
-  Try &current = *Current;
+  Attempt &current = *Current;
   bool isStream = Request.MatchedRoute.Kind == RouteKind::Stream &&
                   isSuccess(current.Head.Status);
   if (isStream)
-    return passEvents(current.Events.feed(data));
-  current.Held += data;
-  if (current.Held.size() <= Settings.MaxHeldAnswer)
+    return forwardData(current.Events.feed(data));
+  current.Buffered += data;
+  if (current.Buffered.size() <= Settings.MaxBufferedAnswerBytes)
     return;
   if (!isSuccess(current.Head.Status)) {
-    ++Runs;
+    ++PossibleRuns;
     Hooks.CancelAttempt(attempt);
     return onFailed({ErrorKind::ServerFailed, "a failure too long to pass on"},
                     now);
   }
-  passEvents(std::exchange(current.Held, {}));
-  arm(now);
+  forwardData(std::exchange(current.Buffered, {}));
+  armTimer(now);
 }
 
-void ForwardFlow::passEvents(std::string events) {
+void ForwardFlow::forwardData(std::string events) {
   if (events.empty())
     return;
-  if (!std::exchange(HasBegun, true))
+  if (!std::exchange(HasAnswerBegun, true))
     Hooks.BeginAnswer(Current->Head);
   if (Current->Events.lastId())
-    LastEvent = Current->Events.lastId();
+    DeliveredEventId = Current->Events.lastId();
   Hooks.WriteAnswer(std::move(events));
 }
 
 void ForwardFlow::onDone(uint32_t attempt, const Error &error, bool unsent,
                          TimePoint now) {
-  if (IsEnded || !Current || attempt != Number)
+  if (IsEnded || !Current || attempt != AttemptNumber)
     return;
   if (unsent) {
-    close(AttemptResult::Unreached, now);
-    return next(now, error, false);
+    closeAttempt(AttemptResult::Unreached, now);
+    return startNextAttempt(now, error, false);
   }
   if (error || !Current->HasHead) {
-    ++Runs;
+    ++PossibleRuns;
     return onFailed(error, now);
   }
   if (Current->Head.WasNotRun)
     return onRejected(ServerHead(Current->Head), now);
-  ++Runs;
-  onWhole(now);
+  ++PossibleRuns;
+  onAnswerComplete(now);
 }
 
 void ForwardFlow::onRejected(const ServerHead &head, TimePoint now) {
   ++Rejections;
   if (head.RetryAfter)
-    RetryAfter =
-        std::min(RetryAfter.value_or(*head.RetryAfter), *head.RetryAfter);
-  close(head.Status == net::StatusMisdirected ? AttemptResult::Misdirected
-                                              : AttemptResult::TurnedAway,
-        now);
+    SoonestRetryAfter = std::min(SoonestRetryAfter.value_or(*head.RetryAfter),
+                                 *head.RetryAfter);
+  closeAttempt(head.Status == net::StatusMisdirected
+                   ? AttemptResult::Misdirected
+                   : AttemptResult::TurnedAway,
+               now);
   Error reason{ErrorKind::Overloaded,
                "a server turned the request away with status " +
                    std::to_string(head.Status)};
   if (Rejections > Settings.MaxRejections)
     return giveUp(reason, now);
-  next(now, reason, true);
+  startNextAttempt(now, reason, true);
 }
 
 void ForwardFlow::onFailed(const Error &error, TimePoint now) {
   Error reason = error ? error
                        : Error{ErrorKind::ServerLost,
                                "the server ended without an answer"};
-  close(AttemptResult::Failed, now);
+  closeAttempt(AttemptResult::Failed, now);
   if (mayRunAgain())
-    return next(now, reason, true);
+    return startNextAttempt(now, reason, true);
   giveUp(reason, now);
 }
 
-bool ForwardFlow::isOwnFault(unsigned status) const {
+bool ForwardFlow::isCallerError(unsigned status) const {
   return !net::isServerError(status) && !promisesNotRun(status);
 }
 
-void ForwardFlow::onWhole(TimePoint now) {
+void ForwardFlow::onAnswerComplete(TimePoint now) {
   ServerHead head = std::move(Current->Head);
-  std::string body = std::move(Current->Held);
+  std::string body = std::move(Current->Buffered);
   std::string rest = Current->Events.takeRest();
-  if (isSuccess(head.Status) || isOwnFault(head.Status)) {
-    close(AttemptResult::Answered, now);
-    if (!HasBegun)
-      return answerServer(head, body + rest);
+  if (isSuccess(head.Status) || isCallerError(head.Status)) {
+    closeAttempt(AttemptResult::Answered, now);
+    if (!HasAnswerBegun)
+      return forwardAnswer(head, body + rest);
     if (!isSuccess(head.Status)) {
-      Hooks.AbortAnswer(); // A resumed stream whose second part failed.
-      return end();
+      Hooks.AbortAnswer(); // The attempt to resume the stream failed.
+      return finish();
     }
     if (!rest.empty())
       Hooks.WriteAnswer(std::move(rest));
     Hooks.EndAnswer();
-    return end();
+    return finish();
   }
-  close(AttemptResult::Failed, now);
+  closeAttempt(AttemptResult::Failed, now);
   Error reason{ErrorKind::ServerFailed,
                "the server answered " + std::to_string(head.Status)};
   FailedHead = std::move(head);
   FailedBody = std::move(body);
   if (mayRunAgain())
-    return next(now, reason, true);
+    return startNextAttempt(now, reason, true);
   giveUp(reason, now);
 }
 
 bool ForwardFlow::mayRunAgain() const {
   bool canContinue =
-      !HasBegun ||
-      (Request.MatchedRoute.Kind == RouteKind::Stream && LastEvent.has_value());
+      !HasAnswerBegun || (Request.MatchedRoute.Kind == RouteKind::Stream &&
+                          DeliveredEventId.has_value());
   return Request.MatchedRoute.mayRepeat() && canContinue &&
-         Runs < Request.MatchedRoute.Attempts;
+         PossibleRuns < Request.MatchedRoute.Attempts;
 }
 
-void ForwardFlow::answerServer(const ServerHead &head, std::string body) {
+void ForwardFlow::forwardAnswer(const ServerHead &head, std::string body) {
   Hooks.SendAnswer(head, std::move(body));
-  end();
+  finish();
 }
 
 void ForwardFlow::giveUp(const Error &reason, TimePoint now) {
   if (Current) {
-    uint32_t attempt = Number;
-    ++Runs;
-    close(AttemptResult::Abandoned, now);
+    uint32_t attempt = AttemptNumber;
+    ++PossibleRuns;
+    closeAttempt(AttemptResult::Abandoned, now);
     Hooks.CancelAttempt(attempt);
   }
-  if (HasBegun) {
+  if (HasAnswerBegun) {
     Hooks.AbortAnswer();
-    return end();
+    return finish();
   }
-  bool hasRun = Runs > 0;
+  bool hasRun = PossibleRuns > 0;
   if (FailedHead && !promisesNotRun(FailedHead->Status))
-    return answerServer(*FailedHead, std::move(FailedBody));
-  Error told = reason;
+    return forwardAnswer(*FailedHead, std::move(FailedBody));
+  Error finalError = reason;
   if (hasRun) {
-    bool isLate = reason.Kind == ErrorKind::DeadlinePassed;
-    Hooks.SendError(isLate ? net::StatusGatewayTimeout : net::StatusBadGateway,
-                    told);
-    return end();
+    bool hasTimedOut = reason.Kind == ErrorKind::DeadlinePassed;
+    Hooks.SendError(hasTimedOut ? net::StatusGatewayTimeout
+                                : net::StatusBadGateway,
+                    finalError);
+    return finish();
   }
-  if (told.RetryAfter <= Duration::zero())
-    told.RetryAfter = Settings.RetryAfter;
-  Hooks.SendError(net::StatusUnavailable, told);
-  end();
+  if (finalError.RetryAfter <= Duration::zero())
+    finalError.RetryAfter = Settings.DefaultRetryAfter;
+  Hooks.SendError(net::StatusUnavailable, finalError);
+  finish();
 }
 
-void ForwardFlow::end() {
+void ForwardFlow::finish() {
   IsEnded = true;
   Hooks.Ended();
 }
@@ -248,35 +253,36 @@
                   now);
   if (!Current)
     return;
-  Duration silence =
+  Duration silenceLimit =
       scaled(Request.MatchedRoute.TargetLatency, Settings.SilenceFactor);
-  bool isSilent = !Current->HasHead && silence > Duration::zero() &&
-                  now >= Current->SentAt + silence;
-  // Another server is asked only while there is one left to ask.
-  bool canMove = Request.MatchedRoute.mayRepeat() &&
-                 Runs + 1 < Request.MatchedRoute.Attempts;
-  if (!isSilent || !canMove)
-    return arm(now);
-  if (!Hooks.CanChooseServer(Tried, now))
-    return arm(now);
-  ++Runs;
-  uint32_t attempt = Number;
-  // First, so that the next attempt may save what this one was to save.
-  close(AttemptResult::Failed, now);
+  bool isSilent = !Current->HasHead && silenceLimit > Duration::zero() &&
+                  now >= Current->SentAt + silenceLimit;
+  // A silent attempt is only given up while another server is left to try.
+  bool canRetry = Request.MatchedRoute.mayRepeat() &&
+                  PossibleRuns + 1 < Request.MatchedRoute.Attempts;
+  if (!isSilent || !canRetry)
+    return armTimer(now);
+  if (!Hooks.CanChooseServer(TriedServers, now))
+    return armTimer(now);
+  ++PossibleRuns;
+  uint32_t attempt = AttemptNumber;
+  // The result is recorded before the next choice of a server, so that the next
+  // attempt may save the context that this one was to save.
+  closeAttempt(AttemptResult::Failed, now);
   Hooks.CancelAttempt(attempt);
-  next(now, {ErrorKind::ServerLost, "the server was silent for too long"},
-       true);
+  startNextAttempt(
+      now, {ErrorKind::ServerLost, "the server was silent for too long"}, true);
 }
 
 void ForwardFlow::onCallerGone(TimePoint now) {
   if (IsEnded)
     return;
   if (Current) {
-    uint32_t attempt = Number;
-    close(AttemptResult::Abandoned, now);
+    uint32_t attempt = AttemptNumber;
+    closeAttempt(AttemptResult::Abandoned, now);
     Hooks.CancelAttempt(attempt);
   }
-  end();
+  finish();
 }
 
 void ForwardFlow::onProcessEnd(TimePoint now) {
@@ -284,21 +290,22 @@
 }
 
 void ForwardFlow::onBlocked(const Error &reason, TimePoint now) {
-  if (IsEnded || HasBegun)
+  if (IsEnded || HasAnswerBegun)
     return;
   giveUp(reason, now);
 }
 
-void ForwardFlow::arm(TimePoint now) {
+void ForwardFlow::armTimer(TimePoint now) {
   TimePoint at = Request.Deadline;
-  Duration silence =
+  Duration silenceLimit =
       scaled(Request.MatchedRoute.TargetLatency, Settings.SilenceFactor);
-  bool mayMove = Request.MatchedRoute.mayRepeat() &&
-                 Runs + 1 < Request.MatchedRoute.Attempts;
-  if (Current && !Current->HasHead && mayMove && silence > Duration::zero()) {
-    TimePoint late = Current->SentAt + silence;
-    if (late > now)
-      at = std::min(at, late);
+  bool mayRetry = Request.MatchedRoute.mayRepeat() &&
+                  PossibleRuns + 1 < Request.MatchedRoute.Attempts;
+  if (Current && !Current->HasHead && mayRetry &&
+      silenceLimit > Duration::zero()) {
+    TimePoint silentAt = Current->SentAt + silenceLimit;
+    if (silentAt > now)
+      at = std::min(at, silentAt);
   }
   Hooks.ArmTimer(at);
 }
--- a/src/direct/forward_flow.h
+++ b/src/direct/forward_flow.h
@@ -1,12 +1,13 @@
-/// One request on the direct path, from its arrival to its final answer: which
-/// server is asked, what is done when an attempt fails, and what the caller is
-/// told. Without a socket, clock or thread.
+/// The state machine of one request on the direct path, from its arrival to its
+/// final answer: it chooses servers, retries failed attempts and answers the
+/// caller. It uses no sockets, clocks or threads.
 ///
-/// What it keeps to:
-/// - A non-idempotent request is sent again only after a server said that it
-///   did not run it, or when nothing can have reached one.
-/// - A status that promises "not run" is given only when that is known.
-/// - The caller sees one answer: whole, or visibly broken off.
+/// Guarantees:
+/// - A non-idempotent request is only sent again after a server stated that it
+///   did not run the request, or when no byte of it can have reached a server.
+/// - The caller gets a status that promises "not run" only when this is known.
+/// - The caller gets a single answer, which is either complete or visibly
+///   aborted.
 /// - A request that is given up is answered at once.
 #pragma once
 
@@ -23,149 +24,169 @@
 namespace daisytack::direct {
 
 struct ForwardSettings {
-  /// Answers of unary calls up to this size are held until they are whole, so
-  /// that a broken one can be repeated.
-  size_t MaxHeldAnswer = 256U << 10;
-  /// Attempts beyond the route's number that servers may turn away unrun; each
-  /// costs a trip, and is drawn from the retry budget.
+  /// Answers other than streams are buffered up to this size until they are
+  /// complete, so that the request can be retried if the answer breaks off.
+  size_t MaxBufferedAnswerBytes = 256U << 10;
+  /// How many times a request is sent to another server after a server rejected
+  /// it without running it. These attempts don't count towards the route's
+  /// attempts; each costs a round trip and draws from the retry budget.
   uint32_t MaxRejections = 2;
-  /// An idempotent request without the first byte of an answer after this
-  /// multiple of its target latency is tried elsewhere.
+  /// An attempt at a repeatable request is silent, and is moved to another
+  /// server, when its answer has not begun after this multiple of the route's
+  /// target latency; 0: never.
   double SilenceFactor = 4;
-  /// Told to callers of a refused request when neither a server nor the reason
-  /// names a time.
-  Duration RetryAfter{300'000};
-  /// Least time worth starting an attempt for.
-  Duration LeastTime{20'000};
+  /// Retry-after time of a refused request when neither a server nor the reason
+  /// for the refusal gives one.
+  Duration DefaultRetryAfter{300'000};
+  /// Minimum time before the request's deadline at which an attempt is started.
+  Duration MinAttemptTime{20'000};
   bool operator==(const ForwardSettings &) const = default;
 };
 
-/// The request, checked and authenticated. Immutable.
+/// A checked and authenticated request. Immutable.
 struct ForwardRequest {
   CallerHead Head;
   Route MatchedRoute;
-  std::string Service; ///< The route's share that the request fell to.
+  std::string Service; ///< One of the route's services, chosen by weight.
   std::string Organisation;
-  bool IsIsolated = false;
-  AllowedRegions Regions{}; ///< Of the route and of the organisation.
-  uint32_t Priority = 0;
+  bool IsIsolated = false; ///< Shares no kept context with other organisations.
+  AllowedRegions Regions{}; ///< Allowed by both the route and the organisation.
+  uint32_t Priority = 0;    ///< 0 is the most urgent.
   TimePoint Arrived;
-  TimePoint Deadline; ///< Of the final answer.
+  TimePoint Deadline; ///< For the final answer.
 };
 
-/// A server chosen for an attempt.
+/// The server chosen for an attempt, and what it is told.
 struct AttemptChoice {
   AttemptOrder Order;
   bool operator==(const AttemptChoice &) const = default;
 };
 
-/// How an attempt ended, for the view of the servers.
+/// How an attempt ended, as evidence about the state of its server.
 enum class AttemptResult : uint8_t {
-  Answered,    ///< With a success or an answer that is the request's own fault.
-  Failed,      ///< With a server error, broken off or silent.
-  TurnedAway,  ///< Surely not run, by the server's word.
-  Misdirected, ///< The same, as another instance or other weights were asked.
+  Answered,    ///< With success, or with an error that the request caused.
+  Failed,      ///< With a server error, a broken answer or silence.
+  TurnedAway,  ///< The server states that it did not run the request.
+  Misdirected, ///< Not run either: the instance or weights were others.
   Unreached,   ///< Nothing was sent.
-  Abandoned,   ///< The caller left, or the answer came from elsewhere.
+  Abandoned,   ///< Cancelled: the caller left, or the request was given up.
 };
 
-/// Stable lower-case name: "turned_away".
+/// Stable lower-case name of the result, such as "turned_away".
 std::string_view attemptResultName(AttemptResult result);
 
-/// Effects and decisions of its owner. Called during the flow's commands.
+/// Side effects and decisions that the flow's owner provides. The flow calls
+/// them from within its own member functions.
 struct ForwardHooks {
-  /// A server for the next attempt; nothing, with the reason, when there is
-  /// none. Servers that were tried are not to be named again. The choice counts
-  /// against what the server takes, and plans what the attempt saves.
+  /// Chooses a server for the next attempt that is not among those already
+  /// tried; empty, with the reason, if there is none. The choice consumes
+  /// request quota of the server and plans which context the attempt saves.
   std::function<std::optional<AttemptChoice>(
       const std::vector<std::string> &tried, TimePoint now, Error &reason)>
       ChooseServer;
-  /// Whether there is such a server; without effect.
+  /// Whether ChooseServer would find a server; has no side effects.
   std::function<bool(const std::vector<std::string> &tried, TimePoint now)>
       CanChooseServer;
-  /// Draws one repeat from the budget that all entries share.
+  /// Takes one retry from the retry budget; false if the budget is spent.
   std::function<bool()> TakeRetry;
   std::function<void(uint32_t attempt, const AttemptOrder &)> SendAttempt;
   std::function<void(uint32_t attempt)> CancelAttempt;
+  /// Records how an attempt ended; called once for each attempt sent.
   std::function<void(uint32_t attempt, const AttemptOrder &, AttemptResult,
                      TimePoint now)>
       RecordResult;
+  /// Starts a streamed answer to the caller. WriteAnswer() then adds data, and
+  /// EndAnswer() or AbortAnswer() ends it.
   std::function<void(const ServerHead &)> BeginAnswer;
   std::function<void(std::string)> WriteAnswer;
   std::function<void()> EndAnswer;
   std::function<void()> AbortAnswer;
+  /// Sends a complete answer of a server to the caller.
   std::function<void(const ServerHead &, std::string body)> SendAnswer;
+  /// Sends an error answer of the entry itself to the caller.
   std::function<void(unsigned status, const Error &)> SendError;
+  /// Replaces the time at which onTimer() is to be called.
   std::function<void(TimePoint)> ArmTimer;
   /// The final answer was given, or the caller is gone.
   std::function<void()> Ended;
 };
 
-/// Not thread-safe: one thread at a time calls its commands.
+/// Not thread-safe.
 class ForwardFlow {
 public:
   ForwardFlow(ForwardRequest request, ForwardSettings settings,
               ForwardHooks hooks);
 
   void start(TimePoint now);
+  /// The head of an attempt's answer arrived. Calls for any attempt but the
+  /// latest are ignored.
   void onHead(uint32_t attempt, const ServerHead &head, TimePoint now);
+  /// Part of the body of an attempt's answer arrived.
   void onData(uint32_t attempt, std::string_view data, TimePoint now);
-  /// The attempt's answer is whole (no error), or will not become so. Unsent:
-  /// no byte of the request can have reached the server.
+  /// The attempt ended: its answer is complete (no error) or broke off. unsent
+  /// means that no byte of the request can have reached the server.
   void onDone(uint32_t attempt, const Error &error, bool unsent, TimePoint now);
   void onTimer(TimePoint now);
   void onCallerGone(TimePoint now);
-  /// The process is about to end: without an answer that has begun there will
-  /// be none, and the caller is told what is known. One that has begun goes on.
+  /// The process is about to end. A request whose answer has not begun gets its
+  /// final answer now; an answer that has begun continues.
   void onProcessEnd(TimePoint now);
-  /// The request is not to run any more: the same, with this reason.
+  /// The request must not run any more, for the given reason. A request whose
+  /// answer has not begun gets its final answer now; an answer that has begun
+  /// continues.
   void onBlocked(const Error &reason, TimePoint now);
 
   const ForwardRequest &request() const { return Request; }
   bool isEnded() const { return IsEnded; }
-  uint32_t attempts() const { return Number; }
+  /// Number of the latest attempt, counted from 1; 0 before the first one.
+  uint32_t attempts() const { return AttemptNumber; }
 
 private:
-  /// The attempt under way.
-  struct Try {
+  /// State of the attempt in progress.
+  struct Attempt {
     AttemptOrder Order;
     TimePoint SentAt;
     ServerHead Head;
     bool HasHead = false;
-    std::string Held; ///< The answer so far, until it is whole.
+    std::string Buffered; ///< Part of the answer that was not forwarded yet.
     EventSplitter Events;
   };
 
-  void next(TimePoint now, const Error &reason, bool drawsBudget);
-  void send(AttemptOrder order, TimePoint now);
-  /// The attempt is over: notes how, and forgets it.
-  void close(AttemptResult result, TimePoint now);
+  /// Starts another attempt, or gives up with the reason if none is possible.
+  void startNextAttempt(TimePoint now, const Error &reason,
+                        bool usesRetryBudget);
+  void sendAttempt(AttemptOrder order, TimePoint now);
+  /// Records the result of the current attempt and discards its state.
+  void closeAttempt(AttemptResult result, TimePoint now);
   void onRejected(const ServerHead &head, TimePoint now);
   void onFailed(const Error &error, TimePoint now);
-  void onWhole(TimePoint now);
-  void passEvents(std::string events);
+  void onAnswerComplete(TimePoint now);
+  /// Forwards part of the current attempt's answer, and first its head.
+  void forwardData(std::string events);
   bool mayRunAgain() const;
-  bool isOwnFault(unsigned status) const;
-  void answerServer(const ServerHead &head, std::string body);
-  /// Ends the request without an answer of a server.
+  /// Whether the request itself caused the error status.
+  bool isCallerError(unsigned status) const;
+  void forwardAnswer(const ServerHead &head, std::string body);
+  /// Ends the request without a successful answer of a server.
   void giveUp(const Error &reason, TimePoint now);
-  void end();
-  void arm(TimePoint now);
+  void finish();
+  void armTimer(TimePoint now);
 
   const ForwardRequest Request;
   const ForwardSettings Settings;
   const ForwardHooks Hooks;
 
-  std::optional<Try> Current;
-  uint32_t Number = 0; ///< Of the latest attempt.
-  uint32_t Runs = 0;   ///< Attempts that a server may have run.
+  std::optional<Attempt> Current;
+  uint32_t AttemptNumber = 0; ///< Number of the latest attempt.
+  uint32_t PossibleRuns = 0;  ///< Attempts that a server may have run.
   uint32_t Rejections = 0;
-  std::vector<std::string> Tried;
-  bool HasBegun = false; ///< The caller has the head of an answer.
-  std::optional<std::string> LastEvent; ///< That the caller has.
-  std::optional<ServerHead> FailedHead; ///< A server's failure, as the answer
-  std::string FailedBody;               ///< if no attempt does better.
-  std::optional<Duration> RetryAfter;   ///< The soonest by a server's word.
+  std::vector<std::string> TriedServers;
+  bool HasAnswerBegun = false; ///< The caller has the head of an answer.
+  std::optional<std::string> DeliveredEventId; ///< Last event the caller has.
+  /// Head of the latest server error. The caller gets it if all attempts fail.
+  std::optional<ServerHead> FailedHead;
+  std::string FailedBody; ///< Body that belongs to FailedHead.
+  std::optional<Duration> SoonestRetryAfter; ///< Minimum over all rejections.
   bool IsEnded = false;
 };
 
--- a/src/direct/protocol.h
+++ b/src/direct/protocol.h
@@ -1,6 +1,7 @@
-/// What the direct path asks of an adapter: the names and formats in which
-/// callers, servers, stores of kept context and the key-value service speak.
-/// Hooks without state; they decide nothing.
+/// The interface between the direct path and the protocol adapter, which
+/// defines the names and formats that callers, backend servers, stores of kept
+/// context and the key-value service use. The functions have no state and make
+/// no decisions.
 #pragma once
 
 #include "direct/catalog.h"
@@ -17,6 +18,7 @@
 
 struct Protocol {
   // Requests.
+  /// Decodes a caller's request; empty, with the reason, if it is malformed.
   std::function<std::optional<CallerHead>(const net::HttpRequest &,
                                           Error &reason)>
       ReadCallerHead;
@@ -26,38 +28,50 @@
   std::function<ServerHead(unsigned status,
                            const std::vector<net::HttpHeader> &)>
       ReadServerHead;
+  /// Whether an answer with these headers belongs to the request.
   std::function<bool(const CallerHead &, const std::vector<net::HttpHeader> &)>
       IsAnswerTo;
+  /// Encodes an error answer that the entry itself gives to a caller.
   std::function<net::HttpResponse(unsigned status, const std::string &requestId,
                                   const Error &)>
       WriteErrorAnswer;
 
   // The key-value service.
+  /// The kind and id of the object that a key stands for.
   std::function<FactSubject(std::string_view key)> SubjectOf;
+  /// Decodes a stored record; empty, with the reason, if it is malformed.
   std::function<std::optional<FactValue>(const StoreRecord &, Error &reason)>
       DecodeFact;
   std::function<std::string(std::string_view entry)> EntryKey;
   std::function<std::string(const EntryPeer &)> EncodeEntry;
   std::function<std::string(const Endpoint &peer)> RegistrationKey;
   std::function<std::string(const EntryRegistration &)> EncodeRegistration;
-  std::string HolderKey; ///< Held by the one entry that gives orders.
+  std::string HolderKey; ///< Key held by the one entry that may give orders.
   std::function<std::string(const OrderHolder &)> EncodeHolder;
-  std::string RetiredKey; ///< Of all kept context that is retired.
+  std::string RetiredKey; ///< Key of the list of all retired context.
   std::function<std::string(const RetiredContext &)> EncodeRetired;
   std::function<std::string(const Id128 &request)> QuarantineKey;
   std::function<std::string()> EncodeQuarantined;
 
   // Stores of kept context and engines.
+  /// Asks a store for its changes from number `since` on. The store waits for
+  /// up to `wait` if there are none yet.
   std::function<net::HttpRequest(uint64_t since, Duration wait)> ChangesRequest;
   std::function<std::optional<PartChanges>(std::string_view body,
                                            uint64_t since)>
       ReadChanges;
+  /// Asks a store for all parts that it holds.
   std::function<net::HttpRequest()> ListRequest;
   std::function<std::optional<PartList>(std::string_view body)> ReadList;
+  /// Asks a store to free parts if it is still in the epoch and, by the
+  /// servers' clock, `until` (Unix milliseconds) has not passed; empty: no time
+  /// limit.
   std::function<net::HttpRequest(const std::vector<BrokenPart> &,
                                  uint64_t epoch, std::optional<int64_t> until)>
       FreeRequest;
+  /// Orders an engine to load a version of a model's weights.
   std::function<net::HttpRequest(const WeightOrder &)> OrderRequest;
+  /// Asks an engine for its report.
   std::function<net::HttpRequest()> ReportRequest;
   std::function<std::optional<EngineReport>(std::string_view body)> ReadReport;
 };
--- a/src/direct/request_identity.cpp
+++ b/src/direct/request_identity.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// With its length, so that no two lists of fields read alike.
+/// Appends the field with its length, so that different lists of fields never
+/// give the same text.
 void append(std::string &out, std::string_view field) {
   out += std::to_string(field.size());
   out += ':';
--- a/tests/direct/event_splitter_test.cpp
+++ b/tests/direct/event_splitter_test.cpp
@@ -6,7 +6,7 @@
 namespace daisytack::direct {
 namespace {
 
-TEST(EventSplitter, HoldsAnEventUntilItIsWhole) {
+TEST(EventSplitter, BuffersAnEventUntilItIsComplete) {
   EventSplitter splitter;
   EXPECT_EQ(splitter.feed("id: 1\ndata: a"), "");
   EXPECT_FALSE(splitter.lastId());
@@ -17,26 +17,26 @@
   EXPECT_EQ(splitter.takeRest(), "");
 }
 
-TEST(EventSplitter, ReadsWideLineEnds) {
+TEST(EventSplitter, AcceptsCrlfLineEndings) {
   EventSplitter splitter;
   EXPECT_EQ(splitter.feed("id:7\r\ndata: a\r\n\r\n"),
             "id:7\r\ndata: a\r\n\r\n");
   EXPECT_EQ(splitter.lastId(), "7");
 }
 
-TEST(EventSplitter, GivesOutTheRestOfAStreamThatEndsWithoutABlankLine) {
+TEST(EventSplitter, ReturnsTheRestOfAStreamThatEndsWithoutABlankLine) {
   EventSplitter splitter;
   EXPECT_EQ(splitter.feed("data: a\n\ndata: b\n"), "data: a\n\n");
   EXPECT_EQ(splitter.takeRest(), "data: b\n");
 }
 
-TEST(EventSplitter, PassesOnWhatIsTooLongToHold) {
+TEST(EventSplitter, ReturnsAnEventThatIsTooLongToBuffer) {
   EventSplitter splitter;
-  std::string text(EventSplitter::MaxHeldBytes + 1, 'x');
+  std::string text(EventSplitter::MaxBufferedBytes + 1, 'x');
   EXPECT_EQ(splitter.feed(text), text);
 }
 
-RC_GTEST_PROP(EventSplitter, LosesNoByteHoweverTheStreamIsCut, ()) {
+RC_GTEST_PROP(EventSplitter, LosesNoByteHoweverTheStreamIsFragmented, ()) {
   std::string stream;
   auto n = *rc::gen::inRange(0, 6);
   for (int i = 1; i <= n; ++i)
--- a/tests/direct/flow_harness.h
+++ b/tests/direct/flow_harness.h
@@ -1,4 +1,5 @@
-/// A request's flow with recorded effects and servers named s1, s2, ...
+/// Test harness: a ForwardFlow with recorded side effects, and servers named
+/// s1, s2, ...
 #pragma once
 
 #include "direct/forward_flow.h"
@@ -24,20 +25,21 @@
   return out;
 }
 
-inline ServerHead headOf(unsigned status, bool notRun = false) {
+inline ServerHead headOf(unsigned status, bool wasNotRun = false) {
   ServerHead out;
   out.Status = status;
-  out.WasNotRun = notRun;
+  out.WasNotRun = wasNotRun;
   return out;
 }
 
-/// Records what the flow does, in words: "send s1", "cancel 1", "begin 200",
-/// "write TEXT", "end", "break", "answer 200 BODY", "error 503", "ended".
+/// Logs each side effect of the flow as a line of text: "send s1", "cancel 1",
+/// "begin 200", "write TEXT", "end", "break", "answer 200 BODY", "error 503",
+/// "ended".
 class FlowHarness {
 public:
   explicit FlowHarness(Route route, size_t servers = 3,
                        ForwardSettings settings = {})
-      : Servers(servers),
+      : ServerCount(servers),
         Flow(requestFor(std::move(route)), settings, hooks()) {}
 
   static ForwardRequest requestFor(Route route) {
@@ -50,7 +52,7 @@
     return out;
   }
 
-  /// An attempt's whole answer at once.
+  /// Delivers the complete answer of an attempt at once.
   void answer(uint32_t attempt, const ServerHead &head, std::string body = "",
               TimePoint now = FlowStart) {
     Flow.onHead(attempt, head, now);
@@ -58,38 +60,39 @@
       Flow.onData(attempt, body, now);
     Flow.onDone(attempt, {}, false, now);
   }
-  void lose(uint32_t attempt, TimePoint now = FlowStart) {
+  void failAttempt(uint32_t attempt, TimePoint now = FlowStart) {
     Flow.onDone(attempt, {ErrorKind::ServerLost, "lost"}, false, now);
   }
 
-  bool did(const std::string &what) const {
+  bool hasLogged(const std::string &what) const {
     return std::find(Log.begin(), Log.end(), what) != Log.end();
   }
-  std::vector<std::string> take() { return std::exchange(Log, {}); }
+  std::vector<std::string> takeLog() { return std::exchange(Log, {}); }
 
-  size_t Servers;
-  bool HasBudget = true;
-  Error NoneLeft{ErrorKind::NoServer, "none left"};
+  size_t ServerCount;
+  bool HasRetryBudget = true;
+  Error NoServerError{ErrorKind::NoServer, "none left"};
   std::vector<std::string> Log;
-  std::vector<AttemptOrder> Sent;
+  std::vector<AttemptOrder> SentOrders;
   std::vector<AttemptResult> Results;
   Error LastError;
   unsigned FinalStatus = 0;
-  size_t Choices = 0;                   ///< Times that a server was asked for.
-  std::vector<size_t> ChoicesWhenEnded; ///< As each attempt ended.
-  size_t Finals = 0;                    ///< Final answers given to the caller.
+  size_t ChoiceCount = 0; ///< Number of calls of ChooseServer.
+  /// ChoiceCount at the end of each attempt.
+  std::vector<size_t> ChoicesAtAttemptEnd;
+  size_t FinalAnswers = 0; ///< Number of final answers to the caller.
   TimePoint TimerAt;
   ForwardFlow Flow;
 
 private:
-  void add(std::string what) { Log.push_back(std::move(what)); }
+  void log(std::string what) { Log.push_back(std::move(what)); }
 
   ForwardHooks hooks() {
     ForwardHooks out;
     out.ChooseServer = [this](const std::vector<std::string> &tried, TimePoint,
                               Error &reason) -> std::optional<AttemptChoice> {
-      ++Choices;
-      for (size_t i = 1; i <= Servers; ++i) {
+      ++ChoiceCount;
+      for (size_t i = 1; i <= ServerCount; ++i) {
         std::string name = "s" + std::to_string(i);
         if (std::find(tried.begin(), tried.end(), name) != tried.end())
           continue;
@@ -97,49 +100,51 @@
         choice.Order.ServerId = name;
         return choice;
       }
-      reason = NoneLeft;
+      reason = NoServerError;
       return std::nullopt;
     };
     out.CanChooseServer = [this](const std::vector<std::string> &tried,
-                                 TimePoint) { return tried.size() < Servers; };
-    out.TakeRetry = [this] { return HasBudget; };
+                                 TimePoint) {
+      return tried.size() < ServerCount;
+    };
+    out.TakeRetry = [this] { return HasRetryBudget; };
     out.SendAttempt = [this](uint32_t, const AttemptOrder &order) {
-      Sent.push_back(order);
-      add("send " + order.ServerId);
+      SentOrders.push_back(order);
+      log("send " + order.ServerId);
     };
     out.CancelAttempt = [this](uint32_t n) {
-      add("cancel " + std::to_string(n));
+      log("cancel " + std::to_string(n));
     };
     out.RecordResult = [this](uint32_t, const AttemptOrder &,
                               AttemptResult result, TimePoint) {
       Results.push_back(result);
-      ChoicesWhenEnded.push_back(Choices);
+      ChoicesAtAttemptEnd.push_back(ChoiceCount);
     };
     out.BeginAnswer = [this](const ServerHead &head) {
-      add("begin " + std::to_string(head.Status));
+      log("begin " + std::to_string(head.Status));
     };
-    out.WriteAnswer = [this](const std::string &text) { add("write " + text); };
+    out.WriteAnswer = [this](const std::string &text) { log("write " + text); };
     out.EndAnswer = [this] {
-      ++Finals;
-      add("end");
+      ++FinalAnswers;
+      log("end");
     };
     out.AbortAnswer = [this] {
-      ++Finals;
-      add("break");
+      ++FinalAnswers;
+      log("break");
     };
     out.SendAnswer = [this](const ServerHead &head, const std::string &body) {
-      ++Finals;
+      ++FinalAnswers;
       FinalStatus = head.Status;
-      add("answer " + std::to_string(head.Status) + " " + body);
+      log("answer " + std::to_string(head.Status) + " " + body);
     };
     out.SendError = [this](unsigned status, const Error &error) {
-      ++Finals;
+      ++FinalAnswers;
       FinalStatus = status;
       LastError = error;
-      add("error " + std::to_string(status));
+      log("error " + std::to_string(status));
     };
     out.ArmTimer = [this](TimePoint at) { TimerAt = at; };
-    out.Ended = [this] { add("ended"); };
+    out.Ended = [this] { log("ended"); };
     return out;
   }
 };
--- a/tests/direct/request_identity_test.cpp
+++ b/tests/direct/request_identity_test.cpp
@@ -17,11 +17,11 @@
   return out;
 }
 
-TEST(RequestIdentity, IsTheSameUnderAnotherRequestId) {
-  ForwardRequest again = sample();
-  again.Head.RequestId = "r2";
-  again.Head.CallerTimeout = Duration(1);
-  EXPECT_EQ(requestIdentity(sample(), "body"), requestIdentity(again, "body"));
+TEST(RequestIdentity, IgnoresTheRequestId) {
+  ForwardRequest retry = sample();
+  retry.Head.RequestId = "r2";
+  retry.Head.CallerTimeout = Duration(1);
+  EXPECT_EQ(requestIdentity(sample(), "body"), requestIdentity(retry, "body"));
 }
 
 TEST(RequestIdentity, DiffersByOrganisationMethodHostTargetAndBody) {
@@ -39,12 +39,12 @@
   EXPECT_EQ(all.size(), 6);
 }
 
-/// The same letters, cut into fields in another way.
-TEST(RequestIdentity, TellsWhereOneFieldEnds) {
-  ForwardRequest one = sample();
-  one.Head.Method = "POS";
-  one.MatchedRoute.Host = "Th.example";
-  EXPECT_NE(requestIdentity(sample(), "body"), requestIdentity(one, "body"));
+/// The same characters, split into fields differently.
+TEST(RequestIdentity, DependsOnFieldBoundaries) {
+  ForwardRequest other = sample();
+  other.Head.Method = "POS";
+  other.MatchedRoute.Host = "Th.example";
+  EXPECT_NE(requestIdentity(sample(), "body"), requestIdentity(other, "body"));
 }
 
 } // namespace
