--- a/src/direct/forward_flow.cpp
+++ b/src/direct/forward_flow.cpp
@@ -113,14 +113,14 @@
   armTimer(now);
 }
 
-void ForwardFlow::forwardData(std::string events) {
-  if (events.empty())
+void ForwardFlow::forwardData(std::string bytes) {
+  if (bytes.empty())
     return;
   if (!std::exchange(HasAnswerBegun, true))
     Hooks.BeginAnswer(Current->Head);
   if (Current->Events.lastId())
     DeliveredEventId = Current->Events.lastId();
-  Hooks.WriteAnswer(std::move(events));
+  Hooks.WriteAnswer(std::move(bytes));
 }
 
 void ForwardFlow::onDone(uint32_t attempt, const Error &error, bool unsent,
--- a/src/direct/forward_flow.h
+++ b/src/direct/forward_flow.h
@@ -67,7 +67,7 @@
   Answered,    ///< With success, or with an error that the request caused.
   Failed,      ///< With a server error, a broken answer or silence.
   TurnedAway,  ///< The server states that it did not run the request.
-  Misdirected, ///< Not run either: the instance or weights were others.
+  Misdirected, ///< Not run: another instance answered, or other weights run.
   Unreached,   ///< Nothing was sent.
   Abandoned,   ///< Cancelled: the caller left, or the request was given up.
 };
@@ -87,7 +87,8 @@
   /// Whether ChooseServer would find a server; has no side effects.
   std::function<bool(const std::vector<std::string> &tried, TimePoint now)>
       CanChooseServer;
-  /// Takes one retry from the retry budget; false if the budget is spent.
+  /// Takes one retry from the budget that all entries share; false if it is
+  /// spent.
   std::function<bool()> TakeRetry;
   std::function<void(uint32_t attempt, const AttemptOrder &)> SendAttempt;
   std::function<void(uint32_t attempt)> CancelAttempt;
@@ -111,7 +112,8 @@
   std::function<void()> Ended;
 };
 
-/// Not thread-safe.
+/// The state machine of one request. Not thread-safe: its owner makes one call
+/// at a time.
 class ForwardFlow {
 public:
   ForwardFlow(ForwardRequest request, ForwardSettings settings,
@@ -161,8 +163,10 @@
   void onRejected(const ServerHead &head, TimePoint now);
   void onFailed(const Error &error, TimePoint now);
   void onAnswerComplete(TimePoint now);
-  /// Forwards part of the current attempt's answer, and first its head.
-  void forwardData(std::string events);
+  /// Forwards part of the current attempt's answer to the caller, after the
+  /// head if that was not sent yet.
+  void forwardData(std::string bytes);
+  /// Whether the request may be sent again although a server may have run it.
   bool mayRunAgain() const;
   /// Whether the request itself caused the error status.
   bool isCallerError(unsigned status) const;
--- a/src/direct/protocol.h
+++ b/src/direct/protocol.h
@@ -22,9 +22,11 @@
   std::function<std::optional<CallerHead>(const net::HttpRequest &,
                                           Error &reason)>
       ReadCallerHead;
+  /// Encodes the request that an attempt sends to its server.
   std::function<net::HttpRequest(const CallerHead &, const AttemptOrder &,
                                  std::string body)>
       WriteAttempt;
+  /// Decodes the head of a server's answer.
   std::function<ServerHead(unsigned status,
                            const std::vector<net::HttpHeader> &)>
       ReadServerHead;
@@ -42,6 +44,7 @@
   /// Decodes a stored record; empty, with the reason, if it is malformed.
   std::function<std::optional<FactValue>(const StoreRecord &, Error &reason)>
       DecodeFact;
+  // The keys and values of records that entries write.
   std::function<std::string(std::string_view entry)> EntryKey;
   std::function<std::string(const EntryPeer &)> EncodeEntry;
   std::function<std::string(const Endpoint &peer)> RegistrationKey;
