--- a/src/decide/acceptance.h
+++ b/src/decide/acceptance.h
@@ -1,6 +1,6 @@
-/// Whether an agent accepts an offer: only when the whole answer is predicted
-/// to be there before the deadline, without breaking a promise already made.
-/// See docs/ACCEPTANCE.md.
+/// Admission control of an agent. An offered request is accepted only if its
+/// whole answer is predicted to finish before its deadline and no request
+/// accepted earlier is made to miss its own. See docs/ACCEPTANCE.md.
 #pragma once
 
 #include "daisytack/error.h"
@@ -12,51 +12,64 @@
 namespace daisytack {
 
 struct AcceptanceSettings {
-  /// A request above its organisation's share must fit with room for what
-  /// others will put before it while it waits: their recent demand, taken as
-  /// between these shares of the server, and so many standard deviations.
-  double LeastDemand = 0.2;
-  double MostDemand = 0.8;
-  double Deviations = 3.0;
-  double LowestPriorityBound = 0.5; ///< Of MaxWait, for priority 0; rises
-                                    ///< evenly to the whole for priority 9.
+  /// A request of an organisation above its fair share needs headroom for the
+  /// work that other organisations may get queued in front of it while it
+  /// waits. The headroom is computed from their recent demand, as a share of
+  /// the server clamped to [MinDemand, MaxDemand].
+  double MinDemand = 0.2;
+  double MaxDemand = 0.8;
+  /// Standard deviations of that work that the headroom adds to its mean.
+  double HeadroomDeviations = 3.0;
+  /// Longest predicted wait of a request of priority 0, as a share of
+  /// RunQueueSettings::MaxWait. The share rises linearly to 1 at priority 9.
+  double LowestPriorityWaitShare = 0.5;
   bool operator==(const AcceptanceSettings &) const = default;
 };
 
-/// The answer to one offer, with all scores. Reason.Kind is None when accepted.
+/// The decision on one offer, with the predictions behind it.
 struct AcceptanceDecision {
-  Error Reason;     ///< Its detail is empty; RetryAfter is set.
-  Duration Wait{0}; ///< Before the prefill starts.
-  Duration Prefill{0};
-  Duration Decode{0};
-  Duration FirstToken{0}; ///< Predicted, from now.
-  Duration Completion{0}; ///< Predicted, from now, at a high percentile.
-  Duration Slack{0};      ///< Deadline less completion; negative when refused
-                          ///< for it.
-  RequestId Broken;       ///< The accepted request that this one would break.
+  /// Why the offer is refused, without a detail; its kind is None when the
+  /// offer is accepted. RetryAfter is zero when retrying later can't help.
+  Error Reason;
+  Duration Wait{0};       ///< Predicted time before the prefill starts.
+  Duration Prefill{0};    ///< Predicted duration of the prefill.
+  Duration Decode{0};     ///< Predicted duration of the decode.
+  Duration FirstToken{0}; ///< Predicted time to the first token, from now.
+  Duration Completion{0}; ///< Predicted time to the end of the answer, from
+                          ///< now, at a high percentile.
+  Duration Slack{0};      ///< Time from the predicted end to the deadline;
+                          ///< negative when the answer would be late.
+  /// The accepted request that would miss its deadline because of this one;
+  /// invalid if there is none.
+  RequestId LateRequest;
 
   bool accepted() const { return Reason.Kind == ErrorKind::None; }
-  /// Wait, prefill, decode and slack in microseconds, for OfferAccepted and
-  /// OfferRefused events.
+  /// Wait, Prefill, Decode and Slack in microseconds, as logged by the
+  /// OfferAccepted and OfferRefused events.
   std::array<int64_t, 4> scores() const {
     return {Wait.count(), Prefill.count(), Decode.count(), Slack.count()};
   }
   bool operator==(const AcceptanceDecision &) const = default;
 };
 
-/// Decides on one request; the queue is not changed. Refusals: DeadlineTooShort
-/// when even an idle server would be too late (time can't cure it),
-/// OrganisationLimit when the organisation fills its part of the queue, and
-/// Overloaded otherwise, with the predicted time until it would fit.
+/// Decides whether to accept one request, without changing the queue. A refusal
+/// has one of these kinds:
+/// - DeadlineTooShort: an idle server would be too slow as well, so that a
+///   later retry can't succeed.
+/// - OrganisationLimit: the organisation's queued work has reached the part of
+///   the queue that it may fill.
+/// - Overloaded: every other case.
+/// RetryAfter of the last two is the predicted time until the request fits.
 AcceptanceDecision decideAcceptance(const RunQueue &queue,
                                     const RunQueueSettings &queueSettings,
                                     const AcceptanceSettings &settings,
                                     const RunRequest &request, TimePoint now);
 
-/// What an entry keeps back from the time left, so that a failed attempt can be
-/// run once more elsewhere: the predicted time of an undisturbed run, at most
-/// half of what is left. Zero for a request that may not be repeated.
+/// The part of the remaining time that an entry reserves, so that a failed
+/// attempt can be run once more on another server: the predicted time of a run
+/// on an idle server, and at most half of the remaining time. Zero for a
+/// request that is not idempotent.
 Duration rerunReserve(bool idempotent, Duration remaining,
-                      Duration undisturbed);
+                      Duration idleServerTime);
 
 } // namespace daisytack
--- a/src/decide/demand.cpp
+++ b/src/decide/demand.cpp
@@ -7,54 +7,59 @@
 
 namespace {
 
-constexpr Duration Window{10'000'000};
-/// With so many the silent ones are looked for at once, not once a window.
-constexpr size_t MostOrganisations = 8'192;
+constexpr Duration TimeConstant{10'000'000};
+/// From this number of organisations on, idle ones are searched for at every
+/// request instead of once per time constant.
+constexpr size_t EvictionThreshold = 8'192;
 
-double asShare(double micros) {
-  return micros / static_cast<double>(Window.count());
+double inTimeConstants(double micros) {
+  return micros / static_cast<double>(TimeConstant.count());
 }
 
 } // namespace
 
-double DemandTracker::Entry::decayed(TimePoint now) const {
-  double age = static_cast<double>((now - At).count());
-  return age <= 0 ? Micros : Micros * std::exp(-asShare(age));
+double DemandTracker::DecayedDemand::decayed(TimePoint now) const {
+  double age = static_cast<double>((now - UpdatedAt).count());
+  return age <= 0 ? WorkMicros : WorkMicros * std::exp(-inTimeConstants(age));
 }
 
-void DemandTracker::Entry::add(Duration work, TimePoint now) {
-  Micros = decayed(now) + static_cast<double>(work.count());
-  At = std::max(At, now);
+void DemandTracker::DecayedDemand::add(Duration work, TimePoint now) {
+  WorkMicros = decayed(now) + static_cast<double>(work.count());
+  UpdatedAt = std::max(UpdatedAt, now);
 }
 
-void DemandTracker::note(uint64_t organisation, uint32_t weight, Duration work,
-                         TimePoint now) {
-  All.add(work, now);
-  Entry &own = Organisations[organisation];
+void DemandTracker::record(uint64_t organisation, uint32_t weight,
+                           Duration work, TimePoint now) {
+  Total.add(work, now);
+  DecayedDemand &own = Organisations[organisation];
   own.add(work, now);
   ActiveWeight += static_cast<double>(weight) - own.Weight;
   own.Weight = weight;
-  if (now >= ForgotAt + Window || Organisations.size() >= MostOrganisations)
-    forgetSilent(now);
+  if (now >= LastEvictionAt + TimeConstant ||
+      Organisations.size() >= EvictionThreshold)
+    evictIdle(now);
 }
 
-void DemandTracker::forgetSilent(TimePoint now) {
-  ForgotAt = now;
+void DemandTracker::evictIdle(TimePoint now) {
+  LastEvictionAt = now;
   std::erase_if(Organisations, [&](const auto &it) {
-    if (now - it.second.At <= Window)
+    if (now - it.second.UpdatedAt <= TimeConstant)
       return false;
     ActiveWeight -= it.second.Weight;
     return true;
   });
 }
 
-double DemandTracker::of(uint64_t organisation, TimePoint now) const {
+double DemandTracker::demandOf(uint64_t organisation, TimePoint now) const {
   auto it = Organisations.find(organisation);
-  return it == Organisations.end() ? 0 : asShare(it->second.decayed(now));
+  return it == Organisations.end() ? 0
+                                   : inTimeConstants(it->second.decayed(now));
 }
 
-double DemandTracker::ofOthers(uint64_t organisation, TimePoint now) const {
-  return std::max(asShare(All.decayed(now)) - of(organisation, now), 0.0);
+double DemandTracker::demandOfOthers(uint64_t organisation,
+                                     TimePoint now) const {
+  return std::max(
+      inTimeConstants(Total.decayed(now)) - demandOf(organisation, now), 0.0);
 }
 
 double DemandTracker::fairShare(uint64_t organisation, uint32_t weight) const {
--- a/src/decide/predictor.cpp
+++ b/src/decide/predictor.cpp
@@ -8,7 +8,9 @@
 namespace {
 
 constexpr double MicrosPerSecond = 1e6;
-constexpr double LeastMicros = 1e-3;
+/// Lower bound of a tracked value: the estimate changes by factors, so that it
+/// could never leave zero.
+constexpr double MinMicros = 1e-3;
 
 Duration toDuration(double micros) {
   return Duration(static_cast<int64_t>(std::ceil(micros)));
@@ -16,11 +18,11 @@
 
 } // namespace
 
-QuantileTracker::QuantileTracker(double percentile, double step, double first)
-    : Percentile(percentile), Step(step), Value(std::max(first, LeastMicros)) {}
+QuantileTracker::QuantileTracker(double percentile, double step, double initial)
+    : Percentile(percentile), Step(step), Value(std::max(initial, MinMicros)) {}
 
 void QuantileTracker::observe(double value) {
-  value = std::max(value, LeastMicros);
+  value = std::max(value, MinMicros);
   ++Count;
   if (Count == 1) {
     Value = value;
@@ -43,7 +45,7 @@
   if (tokens == 0)
     return;
   PrefillMicros.observe(static_cast<double>(took.count()) /
-                        (tokens + Settings.TokensOfOverhead));
+                        (tokens + Settings.PrefillOverheadTokens));
 }
 
 void ServerPredictor::observeDecode(uint32_t tokens, Duration took) {
@@ -67,7 +69,7 @@
 Duration ServerPredictor::prefill(uint32_t tokens) const {
   if (tokens == 0)
     return Duration{0};
-  return toDuration((tokens + Settings.TokensOfOverhead) *
+  return toDuration((tokens + Settings.PrefillOverheadTokens) *
                     PrefillMicros.value() * (1.0 + Settings.Margin));
 }
 
--- a/src/decide/predictor.h
+++ b/src/decide/predictor.h
@@ -1,5 +1,6 @@
-/// How long work takes on one backend server, learned from what it took. All
-/// answers are at a high percentile, so that a promise made on them holds.
+/// Predicts how long prefills and decodes take on one backend server from
+/// earlier measurements. Predictions are at a high percentile, so that few
+/// accepted requests take longer than predicted.
 #pragma once
 
 #include "daisytack/types.h"
@@ -8,14 +9,16 @@
 
 namespace daisytack {
 
-/// Follows one percentile of a positive quantity by stochastic approximation on
-/// a logarithmic scale: constant memory, and it adapts when the quantity
-/// changes. Rises fast and falls slowly.
+/// Estimates one percentile of a positive quantity by stochastic approximation
+/// on a logarithmic scale. It needs constant memory and adapts when the
+/// quantity changes. The estimate of a high percentile rises fast and falls
+/// slowly.
 class QuantileTracker {
 public:
-  /// The percentile lies in (0, 1); the step is the largest change of the
-  /// logarithm by one observation.
-  QuantileTracker(double percentile, double step, double first);
+  /// The percentile lies in (0, 1). The step limits the change of the
+  /// estimate's natural logarithm by one observation. The value is the
+  /// initial one until the first observation, which replaces it.
+  QuantileTracker(double percentile, double step, double initial);
 
   void observe(double value);
   double value() const { return Value; }
@@ -29,43 +32,47 @@
 };
 
 struct PredictorSettings {
-  double Percentile = 0.95;
-  double Step = 0.2;
-  double Margin = 0.05; ///< Added to every prediction, as a share of it.
-  double PrefillTokensPerSecond = 10'000; ///< Until learned.
-  double DecodeTokensPerSecond = 50;      ///< Of one run, until learned.
-  double TokensOfOverhead = 256; ///< A prefill costs as if it had so many
-                                 ///< tokens more.
+  double Percentile = 0.95; ///< Percentile of the predictions, in (0, 1).
+  double Step = 0.2;        ///< See QuantileTracker.
+  double Margin = 0.05;     ///< Added to every prediction, as a share of it.
+  double PrefillTokensPerSecond = 10'000; ///< Assumed until measured.
+  double DecodeTokensPerSecond = 50;  ///< Of one run, assumed until measured.
+  double PrefillOverheadTokens = 256; ///< Fixed cost of a prefill, in tokens.
   bool operator==(const PredictorSettings &) const = default;
 };
 
-/// Prefill and decode times of one server. Not thread-safe: the agent that owns
-/// the server owns this.
+/// Predicts the prefill and decode times of one server. Not thread-safe: it
+/// belongs to the server's agent.
 class ServerPredictor {
 public:
   explicit ServerPredictor(PredictorSettings settings);
 
-  /// A prefill of so many tokens took so long, queueing excluded.
+  /// Records how long a prefill of the number of tokens took, without its time
+  /// in the queue.
   void observePrefill(uint32_t tokens, Duration took);
-  /// So many tokens of one answer took so long, the first one excluded.
+  /// Records how long the decode of one answer's tokens took, excluding the
+  /// first token and its time.
   void observeDecode(uint32_t tokens, Duration took);
-  /// A prefill or decode is not yet over after so long. Counts only when that
-  /// is longer than predicted: a server that has become slow is noticed before
-  /// anything of it ends.
+  /// Records a prefill that has not ended after the elapsed time. It counts
+  /// only if that is longer than predicted, so that a server that has become
+  /// slow is noticed before one of its runs ends.
   void observeUnfinishedPrefill(uint32_t tokens, Duration elapsed);
+  /// Records a decode that has not ended after the elapsed time, under the same
+  /// condition as observeUnfinishedPrefill.
   void observeUnfinishedDecode(uint32_t tokens, Duration elapsed);
 
-  /// Predicted time of a prefill, at the percentile.
+  /// Predicted time of a prefill at Settings.Percentile; zero for no tokens.
   Duration prefill(uint32_t tokens) const;
-  /// Predicted time of an answer after its first token, at the percentile.
+  /// Predicted time to decode the given number of tokens after the first one,
+  /// at Settings.Percentile.
   Duration decode(uint32_t tokens) const;
-  /// Tokens a second by these predictions, for LoadReport.
+  /// Predicted prefill rate in tokens per second, for LoadReport.
   uint32_t prefillRate() const;
 
 private:
   PredictorSettings Settings;
-  QuantileTracker PrefillMicros; ///< Per token.
-  QuantileTracker DecodeMicros;  ///< Per token.
+  QuantileTracker PrefillMicros; ///< Microseconds per token.
+  QuantileTracker DecodeMicros;  ///< Microseconds per token.
 };
 
 } // namespace daisytack
--- a/src/decide/run_queue.cpp
+++ b/src/decide/run_queue.cpp
@@ -6,19 +6,20 @@
 
 namespace {
 
-/// A run that is past its predicted end is believed to need this share of its
-/// service more.
-constexpr int64_t OverrunShare = 10;
+/// A run past its predicted end is assumed to take its service time divided by
+/// this number longer; a prefill likewise.
+constexpr int64_t OverrunDivisor = 10;
 
 bool matches(const RunRequest &request, const RequestId &id, Attempt attempt) {
   return request.Id == id && request.Try == attempt;
 }
 
+/// The predicted finish, or a later time for a run that has already passed it.
 TimePoint expectedFinish(const RunRequest &request, TimePoint finish,
                          TimePoint now) {
   if (finish > now)
     return finish;
-  return now + request.service() / OverrunShare;
+  return now + request.service() / OverrunDivisor;
 }
 
 } // namespace
@@ -31,15 +32,15 @@
 SlotTimes RunQueue::slotTimes(TimePoint now) const {
   SlotTimes out(Settings.Prefills > 0, now);
   for (const ActiveRun &run : Running) {
-    out.add(expectedFinish(run.Request, run.Finish, now));
+    out.addSlot(expectedFinish(run.Request, run.Finish, now));
     TimePoint prefilled = run.Start + run.Request.Prefill;
     if (!run.Prefilled)
       out.prefillUntil(prefilled > now
                            ? prefilled
-                           : now + run.Request.Prefill / OverrunShare);
+                           : now + run.Request.Prefill / OverrunDivisor);
   }
   for (size_t i = Running.size(); i < Settings.Slots; ++i)
-    out.add(now);
+    out.addSlot(now);
   return out;
 }
 
@@ -49,8 +50,8 @@
   return it == FinishTags.end() ? now : std::max(now, it->second);
 }
 
-RunQueue::Place RunQueue::placeOf(const RunRequest &request) const {
-  Place out;
+RunQueue::OrderKey RunQueue::orderKeyOf(const RunRequest &request) const {
+  OrderKey out;
   out.Priority = -static_cast<int>(request.Priority);
   out.Round = static_cast<uint64_t>(
       startTag(request) / static_cast<double>(Settings.Quantum.count()));
@@ -61,46 +62,48 @@
 
 RunPlan RunQueue::plan(const RunRequest &request, TimePoint now) const {
   RunPlan out;
-  Place place = placeOf(request);
+  OrderKey order = orderKeyOf(request);
   SlotTimes slots = slotTimes(now);
   auto it = Waiting.begin();
-  for (; it != Waiting.end() && it->At < place; ++it)
-    slots.run(it->Request);
-  SlotTimes without = slots;
-  out.Start = slots.run(request);
+  for (; it != Waiting.end() && it->Order < order; ++it)
+    slots.schedule(it->Request);
+  SlotTimes slotsBefore = slots;
+  out.Start = slots.schedule(request);
   out.FirstToken = out.Start + request.Prefill;
   out.Finish = out.Start + request.service();
-  out.OverShare = place.Round > presentRound(request.Priority) &&
-                  Asked.of(request.Organisation, now) >
-                      Asked.fairShare(request.Organisation, request.Weight);
+  out.ExceedsFairShare =
+      order.Round > currentRound(request.Priority) &&
+      Demand.demandOf(request.Organisation, now) >
+          Demand.fairShare(request.Organisation, request.Weight);
   for (auto behind = it; behind != Waiting.end(); ++behind) {
-    TimePoint finish = slots.run(behind->Request) + behind->Request.service();
+    TimePoint finish =
+        slots.schedule(behind->Request) + behind->Request.service();
     if (finish <= behind->Request.Deadline)
       continue;
-    // Late as it is, or because of this request? The rest is only then run
-    // through a second time.
-    size_t last = static_cast<size_t>(behind - it);
-    if (finish > finishWithout(without, it, last)) {
-      out.BreaksAccepted = true;
-      out.Broken = behind->Request.Id;
+    // The waiting request misses its deadline. Simulate the queue without the
+    // new request to see whether that one is the cause.
+    size_t offset = static_cast<size_t>(behind - it);
+    if (finish > finishWithout(slotsBefore, it, offset)) {
+      out.MakesAcceptedLate = true;
+      out.LateRequest = behind->Request.Id;
       break;
     }
   }
   return out;
 }
 
-/// Finish of the waiting request so many places after the first given one, with
-/// slots as they are before that.
+/// Predicted finish of the waiting request that is the given number of
+/// positions after first. The slots are those before first runs.
 TimePoint RunQueue::finishWithout(SlotTimes slots,
                                   std::vector<WaitingRun>::const_iterator first,
-                                  size_t last) {
+                                  size_t offset) {
   TimePoint finish;
-  for (size_t i = 0; i <= last; ++i, ++first)
-    finish = slots.run(first->Request) + first->Request.service();
+  for (size_t i = 0; i <= offset; ++i, ++first)
+    finish = slots.schedule(first->Request) + first->Request.service();
   return finish;
 }
 
-uint64_t RunQueue::presentRound(uint8_t priority) const {
+uint64_t RunQueue::currentRound(uint8_t priority) const {
   return static_cast<uint64_t>(VirtualTime[priority] /
                                static_cast<double>(Settings.Quantum.count()));
 }
@@ -108,14 +111,14 @@
 Duration RunQueue::backlog(TimePoint now) const {
   SlotTimes slots = slotTimes(now);
   for (const WaitingRun &it : Waiting)
-    slots.run(it.Request);
-  return slots.earliest() - now;
+    slots.schedule(it.Request);
+  return slots.earliestStart() - now;
 }
 
 std::optional<RunRequest> RunQueue::firstAtRisk(TimePoint now) const {
   SlotTimes slots = slotTimes(now);
   for (const WaitingRun &it : Waiting)
-    if (slots.run(it.Request) + it.Request.service() > it.Request.Deadline)
+    if (slots.schedule(it.Request) + it.Request.service() > it.Request.Deadline)
       return it.Request;
   return std::nullopt;
 }
@@ -172,32 +175,34 @@
 }
 
 void RunQueue::noteRefused(const RunRequest &request, TimePoint now) {
-  Asked.note(request.Organisation, request.Weight, serverTime(request), now);
+  Demand.record(request.Organisation, request.Weight, serverTime(request), now);
 }
 
 void RunQueue::push(const RunRequest &request, TimePoint now) {
-  Asked.note(request.Organisation, request.Weight, serverTime(request), now);
-  WaitingRun run{placeOf(request), startTag(request), request};
+  Demand.record(request.Organisation, request.Weight, serverTime(request), now);
+  WaitingRun run{orderKeyOf(request), startTag(request), request};
   ++NextSequence;
   double cost = static_cast<double>(request.service().count()) /
                 std::max<uint32_t>(request.Weight, 1);
-  FinishTags[{request.Priority, request.Organisation}] = run.Tag + cost;
-  auto at = std::lower_bound(
-      Waiting.begin(), Waiting.end(), run.At,
-      [](const WaitingRun &it, const Place &place) { return it.At < place; });
+  FinishTags[{request.Priority, request.Organisation}] = run.StartTag + cost;
+  auto at = std::lower_bound(Waiting.begin(), Waiting.end(), run.Order,
+                             [](const WaitingRun &it, const OrderKey &order) {
+                               return it.Order < order;
+                             });
   Waiting.insert(at, run);
 }
 
-bool RunQueue::isPrefilling() const {
+bool RunQueue::isPrefillLimitReached() const {
   auto n = std::count_if(Running.begin(), Running.end(),
                          [](const ActiveRun &it) { return !it.Prefilled; });
   return n >= static_cast<ptrdiff_t>(Settings.Prefills);
 }
 
-/// Whether a run may start before those in front of it, whose context is not
-/// there yet: when it is prefilled by then, or keeps none of its own priority
-/// or lower from its deadline.
-bool RunQueue::mayPass(const WaitingRun &run, TimePoint now) const {
+/// Whether a run may start before the runs in front of it, whose context has
+/// not been fetched yet. It may if its prefill ends before their context is
+/// there and a slot remains free for them. Otherwise it may only if no run that
+/// it delays has a higher priority and no waiting run is made late.
+bool RunQueue::mayOvertake(const WaitingRun &run, TimePoint now) const {
   TimePoint prefilled = now + run.Request.Prefill;
   bool isFree = running() + 1 < Settings.Slots;
   bool harmless = true;
@@ -210,27 +215,29 @@
   if (harmless)
     return true;
   SlotTimes slots = slotTimes(now);
-  slots.run(run.Request);
+  slots.schedule(run.Request);
   for (const WaitingRun &it : Waiting)
     if (&it != &run &&
-        slots.run(it.Request) + it.Request.service() > it.Request.Deadline)
+        slots.schedule(it.Request) + it.Request.service() > it.Request.Deadline)
       return false;
   return true;
 }
 
-/// An engine that prefills one after another is not kept waiting for a run
-/// whose context is still on its way, if that can be avoided.
+/// The next run to start, or the end of the queue if none can start now. If the
+/// context of the first run is still being fetched, a later run may overtake
+/// it, so that an engine that prefills one run after another does not stay
+/// idle.
 std::vector<RunQueue::WaitingRun>::iterator
 RunQueue::firstStartable(TimePoint now) {
   if (Settings.Prefills == 0)
     return Waiting.begin();
-  if (isPrefilling())
+  if (isPrefillLimitReached())
     return Waiting.end();
   auto it =
       std::find_if(Waiting.begin(), Waiting.end(), [&](const WaitingRun &run) {
         return run.Request.Ready <= now;
       });
-  if (it == Waiting.begin() || it == Waiting.end() || mayPass(*it, now))
+  if (it == Waiting.begin() || it == Waiting.end() || mayOvertake(*it, now))
     return it;
   return Waiting.end();
 }
@@ -244,7 +251,7 @@
   WaitingRun run = *it;
   Waiting.erase(it);
   double &time = VirtualTime[run.Request.Priority];
-  time = std::max(time, run.Tag);
+  time = std::max(time, run.StartTag);
   TimePoint begin = std::max(now, run.Request.Ready);
   Running.push_back({run.Request, now, begin + run.Request.service()});
   if (Waiting.empty())
--- a/src/decide/run_request.h
+++ b/src/decide/run_request.h
@@ -1,4 +1,4 @@
-/// One request as the queue of one server sees it.
+/// The properties of a request that scheduling on one server depends on.
 #pragma once
 
 #include "daisytack/types.h"
@@ -8,29 +8,31 @@
 
 namespace daisytack {
 
-/// Runs at once that a queue can plan for: 42 M tokens/s over 10,000 servers
-/// with 45 ms between tokens are 190 of them on each.
+/// Maximum number of concurrent runs of one server. A server that produces
+/// 4,200 tokens/s with 45 ms between the tokens of a run has about 190 of them.
 constexpr size_t MaxRunSlots = 16'384;
 
-/// Priorities of request classes: 0 is shed first, 9 last.
+/// Highest priority of a request class. Under overload, requests of priority 0
+/// are refused first.
 constexpr uint8_t MaxPriority = 9;
 
-/// One request as the queue sees it. Times are absolute: Deadline already has
-/// the reserve for a re-run taken off.
+/// One request in the queue of a server. Time points are absolute.
 struct RunRequest {
   RequestId Id;
   Attempt Try = 0;
   uint64_t Organisation = 0; ///< hashName of the organisation.
-  uint32_t Weight = 1;       ///< Organisation's fair share.
-  uint8_t Priority = 0;
-  bool Preemptible = false; ///< May be suspended and resumed while running.
-  TimePoint Deadline;       ///< The whole answer must be there by then.
-  TimePoint Ready;          ///< Its fetched context is there from then on.
-  Duration Patience{0}; ///< Longest wait for which it should be accepted; zero
-                        ///< for any.
-  Duration Prefill{0};  ///< Predicted, at a high percentile.
-  Duration Decode{0};   ///< Predicted, at a high percentile.
-
+  uint32_t Weight = 1;       ///< Fair-share weight of the organisation.
+  uint8_t Priority = 0;      ///< From 0, the lowest, to MaxPriority.
+  bool Preemptible = false;  ///< May be suspended while running and run again.
+  TimePoint Deadline; ///< The whole answer must have been produced by then; the
+                      ///< entry's re-run reserve is already subtracted.
+  TimePoint Ready;    ///< Expected end of the fetch of its context.
+  Duration Patience{0}; ///< Longest predicted wait for which the request should
+                        ///< be accepted; zero for no limit.
+  Duration Prefill{0};  ///< Predicted duration, at a high percentile.
+  Duration Decode{0};   ///< Predicted duration, at a high percentile.
+
+  /// Predicted time that the request occupies a slot.
   Duration service() const { return Prefill + Decode; }
   bool operator==(const RunRequest &) const = default;
 };
--- a/src/decide/slot_times.h
+++ b/src/decide/slot_times.h
@@ -1,5 +1,5 @@
-/// Simulates the slots of one server: when a run would start, given those
-/// before it.
+/// Simulates the slots of one server to predict when each run starts, given the
+/// runs before it.
 #pragma once
 
 #include "daisytack/types.h"
@@ -13,56 +13,61 @@
 
 namespace daisytack {
 
-/// Up to so many slots a plan allocates nothing.
-constexpr size_t UsualSlots = 64;
+/// Number of slots up to which SlotTimes needs no heap allocation.
+constexpr size_t InlineSlots = 64;
 
 /// Times at which the slots become free, as a binary heap with the earliest
-/// first, and, for an engine that prefills one run after another, the time at
-/// which it has done the prefills before. Runs go in the order given, also when
-/// one waits for its context: then no run that takes less time than predicted
-/// makes another one later.
+/// first. For an engine that prefills one run after another, also the time at
+/// which it has finished the earlier prefills. Runs are simulated in the given
+/// order, even if one waits for its context, so that a run that takes less time
+/// than predicted never delays another one.
 class SlotTimes {
 public:
-  SlotTimes(bool serial, TimePoint now) : Serial(serial), Prefilling(now) {}
+  /// isSerialPrefill says whether the engine prefills one run after another.
+  SlotTimes(bool isSerialPrefill, TimePoint now)
+      : IsSerialPrefill(isSerialPrefill), PrefillBusyUntil(now) {}
 
-  /// One more slot, busy until then.
-  void add(TimePoint t) {
-    Times.push_back(t);
-    std::push_heap(Times.begin(), Times.end(), std::greater<>());
+  /// Adds a slot that is busy until t.
+  void addSlot(TimePoint t) {
+    FreeAt.push_back(t);
+    std::push_heap(FreeAt.begin(), FreeAt.end(), std::greater<>());
   }
-  /// The engine prefills until then.
-  void prefillUntil(TimePoint t) { Prefilling = std::max(Prefilling, t); }
-  /// Runs a request on the earliest slot; its start is returned.
-  TimePoint run(const RunRequest &request) {
-    TimePoint start = std::max(earliest(), request.Ready);
-    if (Serial)
-      Prefilling = start + request.Prefill;
-    replaceEarliest(start + request.service());
+  /// Notes that the engine is busy with a prefill until t.
+  void prefillUntil(TimePoint t) {
+    PrefillBusyUntil = std::max(PrefillBusyUntil, t);
+  }
+  /// Simulates a run of the request on the earliest free slot and returns its
+  /// start.
+  TimePoint schedule(const RunRequest &request) {
+    TimePoint start = std::max(earliestStart(), request.Ready);
+    if (IsSerialPrefill)
+      PrefillBusyUntil = start + request.Prefill;
+    replaceEarliestSlot(start + request.service());
     return start;
   }
-  /// When the next run could start.
-  TimePoint earliest() const {
-    return Serial ? std::max(Times[0], Prefilling) : Times[0];
+  /// Earliest time at which another run could start. There must be a slot.
+  TimePoint earliestStart() const {
+    return IsSerialPrefill ? std::max(FreeAt[0], PrefillBusyUntil) : FreeAt[0];
   }
 
 private:
-  /// One pass down the heap.
-  void replaceEarliest(TimePoint t) {
+  /// Replaces the root of the heap, moving down the heap once.
+  void replaceEarliestSlot(TimePoint t) {
     size_t at = 0;
-    for (size_t child = 1; child < Times.size(); child = 2 * at + 1) {
-      if (child + 1 < Times.size() && Times[child + 1] < Times[child])
+    for (size_t child = 1; child < FreeAt.size(); child = 2 * at + 1) {
+      if (child + 1 < FreeAt.size() && FreeAt[child + 1] < FreeAt[child])
         ++child;
-      if (t <= Times[child])
+      if (t <= FreeAt[child])
         break;
-      Times[at] = Times[child];
+      FreeAt[at] = FreeAt[child];
       at = child;
     }
-    Times[at] = t;
+    FreeAt[at] = t;
   }
 
-  boost::container::small_vector<TimePoint, UsualSlots> Times;
-  bool Serial;
-  TimePoint Prefilling;
+  boost::container::small_vector<TimePoint, InlineSlots> FreeAt;
+  bool IsSerialPrefill;
+  TimePoint PrefillBusyUntil;
 };
 
 } // namespace daisytack
--- a/tests/decide/acceptance_test.cpp
+++ b/tests/decide/acceptance_test.cpp
@@ -30,9 +30,10 @@
 
 } // namespace
 
-/// A server whose runs take exactly what is predicted, under any stream of
-/// offers: whatever is accepted ends in time.
-RC_GTEST_PROP(Acceptance, AcceptedRequestsOfAConstantServerNeverMiss, ()) {
+/// If every run takes exactly its predicted time, all accepted requests end
+/// before their deadlines, for any stream of offers.
+RC_GTEST_PROP(Acceptance,
+              AcceptedRequestsMeetTheirDeadlinesIfPredictionsAreExact, ()) {
   auto slots = *rc::gen::inRange<uint32_t>(1, 6);
   Fixture it(slots);
   std::map<RequestId, TimePoint> ends;
@@ -73,11 +74,12 @@
 
 namespace {
 
-/// An engine that prefills one run after another and decodes side by side; its
-/// runs take at most what was predicted.
+/// Simulates an engine that prefills one run after another and decodes runs
+/// concurrently. Each prefill and decode takes 50 to 100 % of its predicted
+/// time.
 class SerialEngine {
 public:
-  explicit SerialEngine(Fixture &fixture) : It(fixture) {}
+  explicit SerialEngine(Fixture &fixture) : Agent(fixture) {}
 
   void advance(TimePoint until) {
     for (;;) {
@@ -90,12 +92,12 @@
       Step step = *next;
       Steps.erase(next);
       Now = step.At;
-      happen(step);
+      handle(step);
     }
     Now = until;
   }
   void offer(const RunRequest &run) {
-    if (It.offer(run, Now).accepted())
+    if (Agent.offer(run, Now).accepted())
       Steps.push_back({run.Ready, run, Step::Fetched});
   }
   TimePoint Now = Epoch;
@@ -104,36 +106,39 @@
   struct Step {
     TimePoint At;
     RunRequest Run;
-    enum { Fetched, Prefilled, Finished } What;
+    enum { Fetched, Prefilled, Finished } Kind;
   };
 
-  void happen(const Step &step) {
+  void handle(const Step &step) {
     const RunRequest &run = step.Run;
-    if (step.What == Step::Prefilled) {
-      It.Queue.prefilled(run.Id, run.Try);
-      Steps.push_back({Now + shorter(run.Decode), run, Step::Finished});
-    } else if (step.What == Step::Finished) {
+    if (step.Kind == Step::Prefilled) {
+      Agent.Queue.prefilled(run.Id, run.Try);
+      Steps.push_back({Now + drawActualTime(run.Decode), run, Step::Finished});
+    } else if (step.Kind == Step::Finished) {
       RC_ASSERT(Now <= run.Deadline);
-      RC_ASSERT(It.Queue.finish(run.Id, run.Try));
+      RC_ASSERT(Agent.Queue.finish(run.Id, run.Try));
     }
   }
   void startAll() {
-    while (auto run = It.Queue.start(Now))
-      Steps.push_back({Now + shorter(run->Prefill), *run, Step::Prefilled});
+    while (auto run = Agent.Queue.start(Now))
+      Steps.push_back(
+          {Now + drawActualTime(run->Prefill), *run, Step::Prefilled});
   }
-  static Duration shorter(Duration predicted) {
+  static Duration drawActualTime(Duration predicted) {
     return predicted * *rc::gen::inRange(50, 101) / 100;
   }
 
-  Fixture &It;
+  Fixture &Agent;
   std::vector<Step> Steps;
 };
 
 } // namespace
 
-/// The same of an engine that prefills one after another, whatever it saves on
-/// its predictions, and with runs that pass those whose context is not there.
-RC_GTEST_PROP(Acceptance, AcceptedRequestsOfASerialEngineNeverMiss, ()) {
+/// All accepted requests end before their deadlines on an engine that prefills
+/// one run after another, even if runs take less time than predicted and runs
+/// overtake others whose context has not been fetched yet.
+RC_GTEST_PROP(Acceptance, AcceptedRequestsMeetTheirDeadlinesOnASerialEngine,
+              ()) {
   Fixture it(*rc::gen::inRange<uint32_t>(1, 6), 1);
   SerialEngine engine(it);
   auto offers = *rc::gen::inRange<uint64_t>(1, 100);
@@ -151,7 +156,7 @@
   RC_ASSERT(it.Queue.waiting() == 0U);
 }
 
-TEST(Acceptance, RefusalsAreTypedAndSayWhen) {
+TEST(Acceptance, RefusalsHaveAKindAndARetryTime) {
   Fixture it(1);
   auto tooShort =
       it.offer(makeRun(1, 1, millis(100), millis(900), at(999)), Epoch);
@@ -167,7 +172,7 @@
   EXPECT_EQ(full.Wait, millis(1'000));
 }
 
-TEST(Acceptance, ALongerWaitThanThePatienceIsRefused) {
+TEST(Acceptance, RefusesAWaitLongerThanThePatience) {
   Fixture it(1);
   ASSERT_TRUE(
       it.offer(makeRun(1, 1, millis(100), millis(900), at(9'000)), Epoch)
@@ -182,7 +187,7 @@
   EXPECT_TRUE(it.offer(run, Epoch).accepted());
 }
 
-TEST(Acceptance, DoesNotBreakAnEarlierPromise) {
+TEST(Acceptance, DoesNotMakeAnAcceptedRequestLate) {
   Fixture it(1);
   ASSERT_TRUE(
       it.offer(makeRun(1, 1, millis(0), millis(1'000), at(1'000)), Epoch)
@@ -191,11 +196,12 @@
   ASSERT_TRUE(
       it.offer(makeRun(2, 1, millis(0), millis(1'000), at(2'100)), Epoch)
           .accepted());
-  // Higher priority would run first, and make request 2 late.
+  // Request 3 has a higher priority, so it would run before request 2 and make
+  // that one late.
   auto urgent =
       it.offer(makeRun(3, 2, millis(0), millis(200), at(9'000), 9), Epoch);
   EXPECT_EQ(urgent.Reason.Kind, ErrorKind::Overloaded);
-  EXPECT_EQ(urgent.Broken, (RequestId{1, 2}));
+  EXPECT_EQ(urgent.LateRequest, (RequestId{1, 2}));
   EXPECT_TRUE(
       it.offer(makeRun(4, 2, millis(0), millis(100), at(9'000), 9), Epoch)
           .accepted());
@@ -215,10 +221,10 @@
           .accepted());
 }
 
-/// One organisation floods a server that has its hands full; others ask for
-/// half of it. Most of what they ask for must still be accepted, and nothing
-/// that was accepted may be late.
-TEST(Acceptance, AFloodLeavesRoomForOrganisationsWithinTheirShare) {
+/// One organisation overloads a server while others request half of its
+/// capacity. Most requests of the others must still be accepted, and no
+/// accepted request may be late.
+TEST(Acceptance, AnOverloadingOrganisationDoesNotStarveOthers) {
   Fixture it(4);
   std::map<uint64_t, uint64_t> refused;
   std::map<uint64_t, uint64_t> offered;
@@ -228,8 +234,8 @@
     std::erase_if(ends, [&](const auto &run) {
       return run.second <= now && it.Queue.finish(run.first, 1);
     });
-    // Fifty a second from organisation 9, five a second from five others; the
-    // server does ten.
+    // Organisation 9 sends 45 requests/s, and five others send 5 requests/s
+    // together; the server can run 10 requests/s.
     uint64_t organisation = i % 10 == 0 ? 1 + i / 10 % 5 : 9;
     RunRequest run =
         makeRun(i, organisation, millis(100), millis(300), now + millis(5'000));
@@ -250,13 +256,13 @@
   EXPECT_GT(refused[9], offered[9] * 3 / 4);
 }
 
-TEST(Acceptance, ReserveIsHalfAtMostAndNoneWithoutRepeat) {
+TEST(Acceptance, RerunReserveIsAtMostHalfAndZeroIfNotIdempotent) {
   EXPECT_EQ(rerunReserve(true, millis(1'000), millis(300)), millis(300));
   EXPECT_EQ(rerunReserve(true, millis(1'000), millis(700)), millis(500));
   EXPECT_EQ(rerunReserve(false, millis(1'000), millis(300)), millis(0));
 }
 
-TEST(Predictor, ASlowServerLearnsThatItIsSlowBeforeAnythingEnds) {
+TEST(Predictor, UnfinishedPrefillsRaiseThePrediction) {
   ServerPredictor it({});
   for (int i = 0; i < 50; ++i)
     it.observePrefill(1'000, millis(100));
--- a/tests/decide/fixtures.h
+++ b/tests/decide/fixtures.h
@@ -11,14 +11,16 @@
 
 namespace daisytack {
 
+/// Time at which the tests start.
 constexpr TimePoint Epoch{Duration{1'000'000'000}};
 
+/// The time point that is the given number of milliseconds after Epoch.
 inline TimePoint at(int64_t millis) { return Epoch + Duration(millis * 1000); }
 
 inline Duration millis(int64_t n) { return Duration(n * 1000); }
 
-/// A pool "m" of so many servers, spread evenly over regions r0.. and over
-/// failure domains d0.. of each.
+/// A snapshot with a pool "m" whose servers are spread evenly over the regions
+/// "r0", "r1"... and over the failure domains "r0d0", "r0d1"... of each region.
 inline std::shared_ptr<Snapshot>
 makeSnapshot(size_t servers, size_t regions = 1, size_t domains = 3) {
   auto out = std::make_shared<Snapshot>();
@@ -39,7 +41,8 @@
   return out;
 }
 
-/// Takes one server out of the pool, as a drain does; handles stay the same.
+/// A copy of the snapshot with one server removed from the pool, as by a drain.
+/// The handles of the other servers stay the same.
 inline std::shared_ptr<Snapshot> without(const Snapshot &source,
                                          uint32_t server) {
   auto out = std::make_shared<Snapshot>(source);
@@ -47,6 +50,7 @@
   return out;
 }
 
+/// The first attempt at a request whose context is ready at Epoch.
 inline RunRequest makeRun(uint64_t id, uint64_t organisation, Duration prefill,
                           Duration decode, TimePoint deadline,
                           uint8_t priority = 5) {
--- a/tests/decide/run_queue_test.cpp
+++ b/tests/decide/run_queue_test.cpp
@@ -10,8 +10,9 @@
 
 namespace daisytack {
 
-/// Of one organisation, earliest deadline first within a round and a priority;
-/// higher priorities before all lower ones.
+/// Higher priorities run before lower ones. Within a priority and a round of
+/// fair sharing, requests run by earliest deadline first. The quantum is so
+/// large that all requests are in one round.
 RC_GTEST_PROP(RunQueue, RunsByPriorityThenDeadline, ()) {
   RunQueueSettings settings;
   settings.Slots = 1;
@@ -34,9 +35,9 @@
   }
 }
 
-/// Whatever two organisations have waiting and whenever it came, while both
-/// have work their served work per weight differs by at most two rounds and
-/// the longest runs.
+/// While two organisations both have waiting requests, the work done per unit
+/// of weight differs between them by at most two rounds plus two runs of the
+/// longest duration.
 RC_GTEST_PROP(RunQueue, FairShareWithinBound, ()) {
   RunQueueSettings settings;
   settings.Slots = 1;
@@ -79,7 +80,7 @@
   EXPECT_LE(before, 6);
 }
 
-TEST(RunQueue, PreemptsTheLowestPriorityThatCanStillMakeIt) {
+TEST(RunQueue, PreemptsTheLowestPriorityThatCanStillMeetItsDeadline) {
   RunQueueSettings settings;
   settings.Slots = 3;
   RunQueue queue(settings);
@@ -104,7 +105,7 @@
   EXPECT_FALSE(queue.preemptionVictim(urgent, Epoch));
 }
 
-TEST(RunQueue, ReportsWhatWillMiss) {
+TEST(RunQueue, ReportsRequestsPredictedToMissTheirDeadline) {
   RunQueueSettings settings;
   settings.Slots = 1;
   RunQueue queue(settings);
@@ -112,7 +113,7 @@
   queue.start(Epoch);
   queue.push(makeRun(2, 1, millis(0), millis(500), at(1'600)), Epoch);
   EXPECT_FALSE(queue.firstAtRisk(at(500)));
-  // The running one overruns its prediction.
+  // The running request takes longer than predicted.
   ASSERT_TRUE(queue.firstAtRisk(at(1'050)));
   EXPECT_TRUE(queue.cancel({1, 2}, 1));
   EXPECT_FALSE(queue.firstAtRisk(at(1'050)));
