--- a/src/decide/limit_messages.h
+++ b/src/decide/limit_messages.h
@@ -1,23 +1,26 @@
-/// Messages between an entry and the entry that allots an organisation's
-/// limits. Carried by the peers' TCP link.
+/// Messages by which an entry requests a part of an organisation's pooled quota
+/// from the entry that owns the pool. They are sent over the TCP link between
+/// peers.
 #pragma once
 
 #include <cstdint>
 
 namespace daisytack {
 
-/// Asks for a share of an organisation's pool. Organisation and Entry are
-/// hashName of their names. Rates are thousandths of a request a second.
+/// Requests a part of an organisation's pool. Organisation and Entry are the
+/// hashName of the respective name. Rates are in thousandths of a request per
+/// second.
 struct AllotmentRequest {
   uint64_t Organisation = 0;
   uint64_t Entry = 0;
-  uint64_t Sequence = 0; ///< Of this entry and organisation; the grant repeats
-                         ///< it.
-  uint32_t Requests = 0; ///< Wanted admissions at once.
-  uint32_t Rate = 0;     ///< Wanted beyond the static share, in all.
-  uint32_t RateHeld = 0; ///< Of an earlier grant that still holds.
+  uint64_t Sequence = 0; ///< Increases with each request of the entry for the
+                         ///< organisation; the grant repeats it.
+  uint32_t Requests = 0; ///< Wanted tokens, each for one immediate admission.
+  uint32_t Rate = 0;     ///< Wanted total rate beyond the static share.
+  uint32_t RateHeld = 0; ///< Rate of an earlier grant that is still valid.
   uint32_t Slots = 0; ///< Wanted concurrent requests beyond the static share.
-  uint32_t SlotsHeld = 0; ///< Of these, in use.
+  uint32_t SlotsHeld = 0; ///< Concurrent requests now running beyond the static
+                          ///< share.
   bool operator==(const AllotmentRequest &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Organisation, Entry, Sequence, Requests, Rate, RateHeld, Slots,
@@ -25,8 +28,10 @@
   }
 };
 
-/// What the entry may admit beyond its static share, until ValidMicros after it
-/// asked. Rate and Slots replace what was granted before, Requests adds to it.
+/// What the entry may admit beyond its static share. The grant is valid for
+/// ValidMicros from the time at which the entry sent its request. Rate and
+/// Slots replace those of the previous grant; Requests are added to the entry's
+/// tokens.
 struct AllotmentGrant {
   uint64_t Organisation = 0;
   uint64_t Sequence = 0;
--- a/src/decide/limits.cpp
+++ b/src/decide/limits.cpp
@@ -11,12 +11,15 @@
 namespace {
 
 constexpr double MicrosPerSecond = 1e6;
-constexpr double MillisPerUnit = 1e3;
+constexpr double MillisPerRequest = 1e3;
+/// Time constant of the decaying average of demand.
 constexpr Duration DemandWindow{1'000'000};
-/// So many recent requests make an entry busy: fewer say little of the rate.
+/// Requests per DemandWindow from which an entry counts as busy; a rate
+/// measured from fewer requests is unreliable.
 constexpr double BusyRequests = 4;
-/// Asked for beyond the present demand, so that growth needs no second ask.
-constexpr double AskMargin = 1.25;
+/// Factor from the current demand to the requested rate, so that growing demand
+/// doesn't need another quota request at once.
+constexpr double DemandMargin = 1.25;
 
 double seconds(Duration d) {
   return static_cast<double>(d.count()) / MicrosPerSecond;
@@ -37,11 +40,11 @@
 
 } // namespace
 
-StaticLimit staticLimit(const Organisation &organisation, size_t entries,
-                        const LimitSettings &settings) {
+LimitShare staticLimit(const Organisation &organisation, size_t entries,
+                       const LimitSettings &settings) {
   double share =
       settings.StaticShare / static_cast<double>(std::max<size_t>(entries, 1));
-  StaticLimit out;
+  LimitShare out;
   out.Rate = organisation.RequestsPerSecond * share;
   out.Depth = std::max(settings.LeastDepth, organisation.Burst * share);
   out.Slots = static_cast<uint32_t>(
@@ -49,10 +52,10 @@
   return out;
 }
 
-StaticLimit pooledLimit(const Organisation &organisation,
-                        const LimitSettings &settings) {
+LimitShare pooledLimit(const Organisation &organisation,
+                       const LimitSettings &settings) {
   double share = 1.0 - settings.StaticShare;
-  StaticLimit out;
+  LimitShare out;
   out.Rate = organisation.RequestsPerSecond * share;
   out.Depth = organisation.Burst * share;
   out.Slots = static_cast<uint32_t>(organisation.MaxConcurrent * share);
@@ -61,8 +64,8 @@
 
 double admissionBound(const Organisation &organisation, size_t entries,
                       Duration window, const LimitSettings &settings) {
-  StaticLimit local = staticLimit(organisation, entries, settings);
-  StaticLimit pool = pooledLimit(organisation, settings);
+  LimitShare local = staticLimit(organisation, entries, settings);
+  LimitShare pool = pooledLimit(organisation, settings);
   double each = local.Rate * seconds(window) + local.Depth;
   return static_cast<double>(entries) * each +
          pool.Rate * seconds(window + settings.Valid) + pool.Depth;
@@ -70,31 +73,31 @@
 
 const Member *allotmentOwner(uint64_t organisationHash,
                              std::span<const Member> entries) {
-  const Member *best = nullptr;
-  uint64_t bestWeight = 0;
+  const Member *owner = nullptr;
+  uint64_t ownerWeight = 0;
   for (const Member &entry : entries) {
     uint64_t weight = mix64(organisationHash ^ hashName(entry.Name));
-    if (best != nullptr && weight <= bestWeight)
+    if (owner != nullptr && weight <= ownerWeight)
       continue;
-    best = &entry;
-    bestWeight = weight;
+    owner = &entry;
+    ownerWeight = weight;
   }
-  return best;
+  return owner;
 }
 
 OrganisationLimits::OrganisationLimits(uint64_t entry, LimitSettings settings)
     : Entry(entry), Settings(settings) {}
 
 void OrganisationLimits::refresh(State &state, TimePoint now) const {
-  const StaticLimit &limit = state.Limit;
-  if (!state.Known) {
-    state.Known = true;
+  const LimitShare &limit = state.Limit;
+  if (!state.IsInitialised) {
+    state.IsInitialised = true;
     state.Tokens = limit.Depth;
     state.RefilledAt = now;
-    state.DemandAt = now;
-    state.AskedAt = now - Settings.AskInterval;
+    state.DemandUpdatedAt = now;
+    state.RequestedAt = now - Settings.AskInterval;
   }
-  // Granted tokens may stand above the static depth; what flows in may not.
+  // Granted tokens may exceed the static depth; refilled tokens may not.
   TimePoint leased = std::clamp(state.GrantedUntil, state.RefilledAt,
                                 std::max(now, state.RefilledAt));
   double inflow = state.RateGranted * seconds(leased - state.RefilledAt);
@@ -108,51 +111,54 @@
     state.RateGranted = 0;
     state.SlotsGranted = 0;
   }
-  if (now > state.DemandAt) {
+  if (now > state.DemandUpdatedAt) {
     state.Demand *=
-        std::exp(-seconds(now - state.DemandAt) / seconds(DemandWindow));
-    state.DemandAt = now;
+        std::exp(-seconds(now - state.DemandUpdatedAt) / seconds(DemandWindow));
+    state.DemandUpdatedAt = now;
   }
 }
 
-/// Only an entry that is busy beyond its static share asks ahead, so that
-/// organisations with little traffic cost no messages.
-bool OrganisationLimits::shouldAskAhead(const State &state,
-                                        TimePoint now) const {
-  const StaticLimit &limit = state.Limit;
+/// Whether to request quota although the current request was admitted. Only an
+/// entry that is busy beyond its static share does so, so that organisations
+/// with little traffic cause no messages.
+bool OrganisationLimits::shouldRequestEarly(const State &state,
+                                            TimePoint now) const {
+  const LimitShare &limit = state.Limit;
   bool busy = state.Demand * seconds(DemandWindow) >= BusyRequests &&
               state.Demand > limit.Rate;
-  bool manySlots = limit.Slots > 1 && state.Running >= limit.Slots;
-  if (!busy && !manySlots)
+  bool staticSlotsExhausted = limit.Slots > 1 && state.Running >= limit.Slots;
+  if (!busy && !staticSlotsExhausted)
     return false;
-  bool ending = now + Settings.Valid / 2 >= state.GrantedUntil;
-  bool fewSlots = state.Running >= limit.Slots + state.SlotsGranted;
-  bool fewRequests = state.Demand > limit.Rate + state.RateGranted;
-  return ending || fewSlots || fewRequests;
+  bool grantEndsSoon = now + Settings.Valid / 2 >= state.GrantedUntil;
+  bool slotsExhausted = state.Running >= limit.Slots + state.SlotsGranted;
+  bool rateExceeded = state.Demand > limit.Rate + state.RateGranted;
+  return grantEndsSoon || slotsExhausted || rateExceeded;
 }
 
-std::optional<AllotmentRequest> OrganisationLimits::ask(uint64_t organisation,
-                                                        State &state,
-                                                        TimePoint now) const {
-  const StaticLimit &limit = state.Limit;
-  if (now < state.AskedAt + Settings.AskInterval)
+std::optional<AllotmentRequest>
+OrganisationLimits::requestQuota(uint64_t organisation, State &state,
+                                 TimePoint now) const {
+  const LimitShare &limit = state.Limit;
+  if (now < state.RequestedAt + Settings.AskInterval)
     return std::nullopt;
-  state.AskedAt = now;
-  state.Asking = true;
+  state.RequestedAt = now;
+  state.IsGrantPending = true;
   ++state.Sequence;
-  double beyond = std::max(state.Demand * AskMargin - limit.Rate, 0.0);
-  uint32_t used = state.Running > limit.Slots ? state.Running - limit.Slots : 0;
+  double excessRate = std::max(state.Demand * DemandMargin - limit.Rate, 0.0);
+  uint32_t slotsInUse =
+      state.Running > limit.Slots ? state.Running - limit.Slots : 0;
   AllotmentRequest out;
   out.Organisation = organisation;
   out.Entry = Entry;
   out.Sequence = state.Sequence;
   out.Requests =
       state.Tokens >= 1.0 ? 0 : static_cast<uint32_t>(std::ceil(limit.Depth));
-  out.Rate = static_cast<uint32_t>(std::min(beyond * MillisPerUnit, 4e9));
-  out.RateHeld = static_cast<uint32_t>(state.RateGranted * MillisPerUnit);
+  out.Rate =
+      static_cast<uint32_t>(std::min(excessRate * MillisPerRequest, 4e9));
+  out.RateHeld = static_cast<uint32_t>(state.RateGranted * MillisPerRequest);
   if (state.Running >= limit.Slots)
-    out.Slots = used + std::max<uint32_t>(1, used / 4);
-  out.SlotsHeld = used;
+    out.Slots = slotsInUse + std::max<uint32_t>(1, slotsInUse / 4);
+  out.SlotsHeld = slotsInUse;
   return out;
 }
 
@@ -163,7 +169,7 @@
   States.insert(it, hash);
   State &state = it->second;
   state.Limit = staticLimit(organisation, entries, Settings);
-  const StaticLimit &limit = state.Limit;
+  const LimitShare &limit = state.Limit;
   refresh(state, now);
   state.Demand += 1.0 / seconds(DemandWindow);
 
@@ -173,18 +179,20 @@
     state.Tokens -= 1.0;
     ++state.Running;
     out.Verdict = LimitVerdict::Admitted;
-    out.Left = state.Tokens;
-    if (shouldAskAhead(state, now))
-      out.Ask = ask(hash, state, now);
+    out.TokensLeft = state.Tokens;
+    if (shouldRequestEarly(state, now))
+      out.Ask = requestQuota(hash, state, now);
     return out;
   }
-  out.Left = state.Tokens;
-  out.Ask = ask(hash, state, now);
-  bool answerDue = state.Asking && now < state.AskedAt + Settings.GrantWait;
-  out.Verdict = answerDue ? LimitVerdict::AskOwner : LimitVerdict::Refused;
+  out.TokensLeft = state.Tokens;
+  out.Ask = requestQuota(hash, state, now);
+  bool isGrantExpected =
+      state.IsGrantPending && now < state.RequestedAt + Settings.GrantWait;
+  out.Verdict =
+      isGrantExpected ? LimitVerdict::AskOwner : LimitVerdict::Refused;
   out.Reason.Kind = ErrorKind::OrganisationLimit;
   out.Reason.RetryAfter =
-      std::max(state.AskedAt + Settings.AskInterval - now, Duration{1});
+      std::max(state.RequestedAt + Settings.AskInterval - now, Duration{1});
   double rate = limit.Rate + state.RateGranted;
   if (slotFree && rate > 0)
     out.Reason.RetryAfter = std::min(out.Reason.RetryAfter,
@@ -203,45 +211,46 @@
   if (!States.find(it, grant.Organisation))
     return;
   State &state = it->second;
-  if (!state.Asking || state.Sequence != grant.Sequence)
+  if (!state.IsGrantPending || state.Sequence != grant.Sequence)
     return;
-  state.Asking = false;
-  // From the ask on: a grant that was long on its way is worth less.
+  state.IsGrantPending = false;
+  // The validity counts from the quota request, so that a delayed grant does
+  // not outlive the owner's lease.
   Duration valid = std::min(Duration(static_cast<int64_t>(grant.ValidMicros)),
                             Settings.Valid);
-  TimePoint until = state.AskedAt + valid;
+  TimePoint until = state.RequestedAt + valid;
   if (now >= until)
     return;
-  refresh(state, now); // What flowed in at the rate until now.
+  refresh(state, now); // Refills at the old rate until now.
   state.Tokens += grant.Requests;
-  state.RateGranted = grant.Rate / MillisPerUnit;
+  state.RateGranted = grant.Rate / MillisPerRequest;
   state.SlotsGranted = grant.Slots;
   state.GrantedUntil = until;
 }
 
 void OrganisationLimits::forgetIdle(Duration idle, TimePoint now) {
-  std::vector<uint64_t> gone;
+  std::vector<uint64_t> idleHashes;
   for (const auto &[hash, state] : States)
     if (state.Running == 0 && state.RefilledAt + idle < now)
-      gone.push_back(hash);
-  for (uint64_t hash : gone)
+      idleHashes.push_back(hash);
+  for (uint64_t hash : idleHashes)
     States.erase(hash);
 }
 
 AllotmentOwner::AllotmentOwner(LimitSettings settings) : Settings(settings) {}
 
-void AllotmentOwner::refresh(PoolState &pool, const StaticLimit &limit,
+void AllotmentOwner::refresh(PoolState &pool, const LimitShare &limit,
                              TimePoint now) const {
-  if (!pool.Known) {
-    pool.Known = true;
+  if (!pool.IsInitialised) {
+    pool.IsInitialised = true;
     pool.RefilledAt = now;
-    pool.Since = now;
+    pool.CreatedAt = now;
   }
   double leased = 0;
   for (const auto &[entry, lease] : pool.Leases)
     leased += lease.Rate;
-  // Leases that ended meanwhile are counted to now: the pool errs on the side
-  // of too little.
+  // The rate of an expired lease is subtracted until now, not only until its
+  // end: the pool refills too little rather than too much.
   refill(pool.Tokens, pool.RefilledAt, std::max(limit.Rate - leased, 0.0),
          limit.Depth, now);
   std::erase_if(pool.Leases,
@@ -249,7 +258,7 @@
 }
 
 AllotmentOwner::Lease AllotmentOwner::lease(const PoolState &pool,
-                                            const StaticLimit &limit,
+                                            const LimitShare &limit,
                                             const AllotmentRequest &request,
                                             TimePoint now) const {
   Lease others;
@@ -263,28 +272,31 @@
     others.Slots += it.Slots;
     others.SlotsWanted += it.SlotsWanted;
   }
-  // An equal part, or more where the others want less; never what they hold,
-  // and never less than what can't be given back.
-  auto part = [holders](double all, double held, double wantedByOthers,
-                        double wanted, double inUse) {
+  // An equal share of the pool, or more if the other entries want less. It
+  // covers what is in use, as running requests can't be taken back, but never
+  // exceeds what the other entries leave free.
+  auto quotaPart = [holders](double all, double held, double wantedByOthers,
+                             double wanted, double inUse) {
     double fair = std::max({all / holders, all - wantedByOthers, inUse});
     return std::max(0.0, std::min({wanted, fair, all - held}));
   };
-  // Until an earlier owner's grants have ended, only what is held is renewed.
-  bool settled = now >= pool.Since + Settings.Valid;
+  // Until the grants of a previous owner have expired, an entry only gets what
+  // it already holds.
+  bool priorGrantsExpired = now >= pool.CreatedAt + Settings.Valid;
   Lease out;
-  out.RateWanted = request.Rate / MillisPerUnit;
+  out.RateWanted = request.Rate / MillisPerRequest;
   out.SlotsWanted = request.Slots;
-  out.Rate =
-      part(limit.Rate, others.Rate, others.RateWanted,
-           settled ? out.RateWanted
-                   : std::min(out.RateWanted, request.RateHeld / MillisPerUnit),
-           0);
-  out.Slots = std::floor(
-      part(limit.Slots, others.Slots, others.SlotsWanted,
-           settled ? out.SlotsWanted
-                   : std::min<double>(request.Slots, request.SlotsHeld),
-           request.SlotsHeld));
+  out.Rate = quotaPart(
+      limit.Rate, others.Rate, others.RateWanted,
+      priorGrantsExpired
+          ? out.RateWanted
+          : std::min(out.RateWanted, request.RateHeld / MillisPerRequest),
+      0);
+  out.Slots = std::floor(quotaPart(
+      limit.Slots, others.Slots, others.SlotsWanted,
+      priorGrantsExpired ? out.SlotsWanted
+                         : std::min<double>(request.Slots, request.SlotsHeld),
+      request.SlotsHeld));
   out.Until = now + Settings.Valid;
   return out;
 }
@@ -295,36 +307,36 @@
   PoolMap::accessor it;
   Pools.insert(it, request.Organisation);
   PoolState &pool = it->second;
-  StaticLimit limit = pooledLimit(organisation, Settings);
+  LimitShare limit = pooledLimit(organisation, Settings);
   refresh(pool, limit, now);
-  pool.LastAsk = now;
+  pool.LastRequestAt = now;
   Lease granted = lease(pool, limit, request, now);
   if (granted.RateWanted > 0 || granted.SlotsWanted > 0)
     pool.Leases[request.Entry] = granted;
   else
     pool.Leases.erase(request.Entry);
 
-  // Half of the pool at most, so that the next entry finds something.
-  double part = std::max(std::floor(pool.Tokens / 2), 1.0);
-  double tokens = std::min(
-      {static_cast<double>(request.Requests), part, std::floor(pool.Tokens)});
+  // At most half of the tokens, so that some are left for other entries.
+  double maxTokens = std::max(std::floor(pool.Tokens / 2), 1.0);
+  double tokens = std::min({static_cast<double>(request.Requests), maxTokens,
+                            std::floor(pool.Tokens)});
   AllotmentGrant out;
   out.Organisation = request.Organisation;
   out.Sequence = request.Sequence;
   out.Requests = static_cast<uint32_t>(std::max(tokens, 0.0));
   pool.Tokens -= out.Requests;
-  out.Rate = static_cast<uint32_t>(granted.Rate * MillisPerUnit);
+  out.Rate = static_cast<uint32_t>(granted.Rate * MillisPerRequest);
   out.Slots = static_cast<uint32_t>(granted.Slots);
   out.ValidMicros = static_cast<uint64_t>(Settings.Valid.count());
   return out;
 }
 
 void AllotmentOwner::forgetIdle(Duration idle, TimePoint now) {
-  std::vector<uint64_t> gone;
+  std::vector<uint64_t> idleHashes;
   for (const auto &[hash, pool] : Pools)
-    if (pool.LastAsk + idle < now)
-      gone.push_back(hash);
-  for (uint64_t hash : gone)
+    if (pool.LastRequestAt + idle < now)
+      idleHashes.push_back(hash);
+  for (uint64_t hash : idleHashes)
     Pools.erase(hash);
 }
 
--- a/tests/decide/limits_test.cpp
+++ b/tests/decide/limits_test.cpp
@@ -22,12 +22,13 @@
   return out;
 }
 
-/// Entries and one owner, with grants that come back at once unless cut off.
+/// Several entries and the owner of the pool. Grants arrive immediately, or
+/// never if IsPartitioned is set.
 struct Fleet {
   LimitSettings Settings;
   std::deque<OrganisationLimits> Entries;
   AllotmentOwner Owner;
-  bool CutOff = false;
+  bool IsPartitioned = false;
 
   Fleet(size_t entries, LimitSettings settings)
       : Settings(settings), Owner(settings) {
@@ -36,7 +37,7 @@
   }
   bool admit(size_t entry, const Organisation &organisation, TimePoint now) {
     LimitDecision out = Entries[entry].admit(organisation, Entries.size(), now);
-    if (out.Ask && !CutOff)
+    if (out.Ask && !IsPartitioned)
       Entries[entry].apply(Owner.grant(organisation, *out.Ask, now), now);
     if (out.Verdict == LimitVerdict::AskOwner)
       out = Entries[entry].admit(organisation, Entries.size(), now);
@@ -51,12 +52,12 @@
   Organisation organisation =
       makeOrganisation(*rc::gen::inRange(1, 200), *rc::gen::inRange(1, 200));
   Fleet fleet(entries, {});
-  fleet.CutOff = *rc::gen::arbitrary<bool>();
+  fleet.IsPartitioned = *rc::gen::arbitrary<bool>();
   std::vector<TimePoint> admitted;
   TimePoint now = Epoch;
-  auto hot = *rc::gen::inRange<size_t>(0, entries);
+  auto busyEntry = *rc::gen::inRange<size_t>(0, entries);
   for (int i = 0; i < 2'000; ++i) {
-    size_t entry = i % 3 == 0 ? i % entries : hot;
+    size_t entry = i % 3 == 0 ? i % entries : busyEntry;
     if (fleet.admit(entry, organisation, now))
       admitted.push_back(now);
     fleet.Entries[entry].finished(hashName(organisation.Name));
@@ -76,18 +77,19 @@
   }
 }
 
-TEST(Limits, ABusyEntryGetsThePoolAndACutOffOneItsStaticShare) {
+TEST(Limits, ABusyEntryGetsThePoolAndAPartitionedOneItsStaticShare) {
   Organisation organisation = makeOrganisation(300, 30);
-  for (bool cutOff : {false, true}) {
+  for (bool isPartitioned : {false, true}) {
     Fleet fleet(3, {});
-    fleet.CutOff = cutOff;
+    fleet.IsPartitioned = isPartitioned;
     int admitted = 0;
     for (int i = 0; i < 10'000; ++i) {
       admitted += fleet.admit(0, organisation, at(i)) ? 1 : 0;
       fleet.Entries[0].finished(hashName(organisation.Name));
     }
-    // Ten seconds: the static share of one entry is 50 a second, the pool 150.
-    if (cutOff) {
+    // In these ten seconds, the static share of one entry is 50 requests/s and
+    // the rate of the pool 150 requests/s.
+    if (isPartitioned) {
       EXPECT_NEAR(admitted, 505, 5);
     } else {
       EXPECT_GT(admitted, 1'700);
@@ -96,7 +98,7 @@
   }
 }
 
-TEST(Limits, ConcurrencyIsSharedAndGivenBack) {
+TEST(Limits, ConcurrencyIsSharedAndReleased) {
   Organisation organisation = makeOrganisation(1e6, 1'000'000, 12);
   Fleet fleet(3, {});
   int admitted = 0;
@@ -118,18 +120,18 @@
   EXPECT_EQ(owner.grant(organisation, other, at(2'000)).Slots, 4U);
 }
 
-TEST(Limits, GrantsAreTakenOnceAndLateOnesAreWorthLess) {
+TEST(Limits, GrantsApplyOnceAndExpireFromTheRequestOn) {
   Organisation organisation = makeOrganisation(1, 2);
   LimitSettings settings;
   settings.LeastDepth = 1;
   OrganisationLimits entry(1, settings);
   ASSERT_EQ(entry.admit(organisation, 2, Epoch).Verdict,
             LimitVerdict::Admitted);
-  LimitDecision dry = entry.admit(organisation, 2, Epoch);
-  ASSERT_EQ(dry.Verdict, LimitVerdict::AskOwner);
-  ASSERT_TRUE(dry.Ask);
+  LimitDecision exhausted = entry.admit(organisation, 2, Epoch);
+  ASSERT_EQ(exhausted.Verdict, LimitVerdict::AskOwner);
+  ASSERT_TRUE(exhausted.Ask);
   AllotmentGrant grant{
-      dry.Ask->Organisation, dry.Ask->Sequence, 1, 0, 0, 2'000'000};
+      exhausted.Ask->Organisation, exhausted.Ask->Sequence, 1, 0, 0, 2'000'000};
   entry.apply(grant, Epoch);
   entry.apply(grant, Epoch);
   EXPECT_EQ(entry.admit(organisation, 2, Epoch).Verdict,
@@ -145,7 +147,7 @@
             LimitVerdict::Admitted);
 }
 
-TEST(Limits, OwnerIsOneOfTheEntriesAndOnlyItsOrganisationsMove) {
+TEST(Limits, RemovingAnEntryMovesOnlyItsOrganisations) {
   std::vector<Member> entries(10);
   for (size_t i = 0; i < entries.size(); ++i)
     entries[i].Name = "entry" + std::to_string(i);
