--- a/src/decide/hash_ring.cpp
+++ b/src/decide/hash_ring.cpp
@@ -10,18 +10,19 @@
 
 namespace {
 
-constexpr uint64_t Step = 0x9e3779b97f4a7c15ULL;
+/// 2^64 divided by the golden ratio.
+constexpr uint64_t PointStep = 0x9e3779b97f4a7c15ULL;
 constexpr uint32_t PositionBits = 32;
-constexpr size_t PointsPerBucket = 4;
+constexpr size_t PointsPerBucket = 4; ///< On average.
 
 uint32_t positionOf(uint64_t member, uint32_t n) {
-  return static_cast<uint32_t>(mix64(member + n * Step) >> PositionBits);
+  return static_cast<uint32_t>(mix64(member + n * PointStep) >> PositionBits);
 }
 
 } // namespace
 
-/// A counting sort into buckets of a few points each, then a sort within each:
-/// linear, where sorting all would not be.
+/// Sorts the points in linear time: a counting sort distributes them to buckets
+/// of a few points, and each bucket is then sorted by itself.
 HashRing::HashRing(std::vector<uint64_t> members)
     : Members(std::move(members)) {
   size_t count = Members.size() * PointsPerMember;
--- a/src/decide/hash_ring.h
+++ b/src/decide/hash_ring.h
@@ -1,6 +1,6 @@
-/// Consistent-hash ring: places keys on members so that the cost of a lookup
-/// does not grow with their number, and a member that comes or goes moves its
-/// own keys only. See docs/ROUTING.md for what it was weighed against.
+/// Consistent-hash ring. The cost of a lookup does not grow with the number of
+/// members, and adding or removing a member moves only that member's keys. See
+/// docs/ROUTING.md for the alternatives.
 #pragma once
 
 #include <compare>
@@ -11,25 +11,26 @@
 
 namespace daisytack {
 
-/// Positions of each member on a ring. The share of keys of one member varies
-/// by about 1 / sqrt(PointsPerMember) of the mean.
+/// Points (virtual nodes) of each member on a ring. The standard deviation of a
+/// member's share of the keys is about 1 / sqrt(PointsPerMember) of the mean.
 constexpr uint32_t PointsPerMember = 128;
 
-/// Immutable. Members are named by 64-bit hashes and by their index in the list
-/// given.
+/// An immutable ring. A member is identified by a 64-bit hash in the list given
+/// to the constructor, and in results by its index in that list.
 class HashRing {
 public:
   explicit HashRing(std::vector<uint64_t> members);
 
   const std::vector<uint64_t> &members() const { return Members; }
-  /// Bytes held.
+  /// Heap memory of the ring, in bytes.
   size_t memory() const;
 
-  /// Walks the ring from a key on. A member is met once per position, so the
-  /// caller skips those it has seen.
+  /// Iterates over the points of the ring, starting at a key and wrapping
+  /// around. Each member comes up PointsPerMember times per round, so the
+  /// caller skips the members that it has seen. The ring must outlive the walk.
   class Walk {
   public:
-    /// Index of the member at the present position; there must be members.
+    /// Index of the member at the current point. The ring must not be empty.
     uint32_t member() const { return Points[At].Member; }
     void advance() {
       if (++At == Points.size())
@@ -48,7 +49,7 @@
     size_t At;
   };
   Walk walk(uint64_t key) const;
-  /// Positions in all: a walk of so many steps has met every member.
+  /// Number of points. A walk over this many points visits every member.
   size_t points() const { return Points.size(); }
 
 private:
@@ -56,8 +57,9 @@
 
   std::vector<uint64_t> Members;
   std::vector<Walk::Point> Points; ///< Sorted by position, then member.
-  std::vector<uint32_t> Buckets;   ///< First point of each range of positions.
-  uint32_t Shift = 31;
+  std::vector<uint32_t> Buckets; ///< Index of the first point of each bucket, a
+                                 ///< range of positions of equal size.
+  uint32_t Shift = 31; ///< Right shift that turns a position into a bucket.
 };
 
 } // namespace daisytack
--- a/src/decide/insertion_sort.h
+++ b/src/decide/insertion_sort.h
@@ -1,4 +1,4 @@
-/// Sorts a handful of elements in place.
+/// Insertion sort for short ranges.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,8 @@
 
 namespace daisytack {
 
-/// Stable, without allocation; faster than std::sort for a few elements.
+/// Sorts the range in place. Stable, without allocation, and faster than
+/// std::sort for a few elements.
 template <class T> void insertionSort(std::span<T> range) {
   for (size_t i = 1; i < range.size(); ++i)
     for (size_t at = i; at > 0 && range[at] < range[at - 1]; --at)
--- a/src/decide/load_view.cpp
+++ b/src/decide/load_view.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// A longer reported wait, an hour, is taken for this.
-constexpr uint64_t MostMicros = 3'600'000'000ULL;
+/// Upper bound of a reported wait: one hour.
+constexpr uint64_t MaxWaitMicros = 3'600'000'000ULL;
 
 int64_t microsOf(TimePoint t) { return t.time_since_epoch().count(); }
 
@@ -29,38 +29,38 @@
   return nullptr;
 }
 
-LoadView::Slot &LoadView::claim(uint64_t server, TimePoint now) {
+LoadView::Slot &LoadView::findOrAssign(uint64_t server, TimePoint now) {
   Slot *set = &Slots[(server & SetMask) * SetSize];
-  Slot *oldest = set;
+  Slot *candidate = set;
   for (size_t i = 0; i < SetSize; ++i) {
-    uint64_t owner = set[i].Server.load(std::memory_order_acquire);
-    if (owner == server)
+    uint64_t assigned = set[i].Server.load(std::memory_order_acquire);
+    if (assigned == server)
       return set[i];
-    if (owner == 0) {
-      oldest = &set[i];
+    if (assigned == 0) {
+      candidate = &set[i];
       break;
     }
-    if (set[i].At.load(std::memory_order_relaxed) <
-        oldest->At.load(std::memory_order_relaxed))
-      oldest = &set[i];
+    if (set[i].UpdatedAt.load(std::memory_order_relaxed) <
+        candidate->UpdatedAt.load(std::memory_order_relaxed))
+      candidate = &set[i];
   }
-  oldest->WaitMicros.store(0, std::memory_order_relaxed);
-  oldest->PrefillRate.store(0, std::memory_order_relaxed);
-  oldest->Leaving.store(false, std::memory_order_relaxed);
-  oldest->NewSince.store(NeverNew, std::memory_order_relaxed);
-  oldest->At.store(microsOf(now), std::memory_order_relaxed);
-  oldest->Server.store(server, std::memory_order_release);
-  return *oldest;
+  candidate->WaitMicros.store(0, std::memory_order_relaxed);
+  candidate->PrefillRate.store(0, std::memory_order_relaxed);
+  candidate->Leaving.store(false, std::memory_order_relaxed);
+  candidate->SlowStartSince.store(NoSlowStart, std::memory_order_relaxed);
+  candidate->UpdatedAt.store(microsOf(now), std::memory_order_relaxed);
+  candidate->Server.store(server, std::memory_order_release);
+  return *candidate;
 }
 
-Duration LoadView::decayed(const Slot &slot, TimePoint now) const {
-  int64_t age = microsOf(now) - slot.At.load(std::memory_order_relaxed);
+Duration LoadView::decayedWait(const Slot &slot, TimePoint now) const {
+  int64_t age = microsOf(now) - slot.UpdatedAt.load(std::memory_order_relaxed);
   auto wait =
       static_cast<double>(slot.WaitMicros.load(std::memory_order_relaxed));
   if (age <= 0 || wait <= 0)
     return Duration(static_cast<int64_t>(std::max(wait, 0.0)));
-  // A queue of so much work lasts for about as long: a short wait is soon
-  // gone, a long one tells for longer.
+  // A queue takes about as long as its wait to empty, so a short wait becomes
+  // outdated sooner than a long one.
   double halfLife =
       std::clamp(wait, static_cast<double>(Settings.ShortestHalfLife.count()),
                  static_cast<double>(Settings.LongestHalfLife.count()));
@@ -70,25 +70,26 @@
 
 void LoadView::observe(uint64_t server, const wire::LoadReport &report,
                        TimePoint now) {
-  Slot &slot = claim(server, now);
+  Slot &slot = findOrAssign(server, now);
   slot.WaitMicros.store(
-      static_cast<int64_t>(std::min(report.WaitMicros, MostMicros)),
+      static_cast<int64_t>(std::min(report.WaitMicros, MaxWaitMicros)),
       std::memory_order_relaxed);
   slot.PrefillRate.store(report.PrefillTokensPerSecond,
                          std::memory_order_relaxed);
   slot.Leaving.store(report.Leaving, std::memory_order_relaxed);
-  slot.At.store(microsOf(now), std::memory_order_relaxed);
+  slot.UpdatedAt.store(microsOf(now), std::memory_order_relaxed);
 }
 
-void LoadView::charge(uint64_t server, Duration work, TimePoint now) {
-  Slot &slot = claim(server, now);
-  Duration wait = decayed(slot, now) + work;
+void LoadView::addWork(uint64_t server, Duration work, TimePoint now) {
+  Slot &slot = findOrAssign(server, now);
+  Duration wait = decayedWait(slot, now) + work;
   slot.WaitMicros.store(wait.count(), std::memory_order_relaxed);
-  slot.At.store(microsOf(now), std::memory_order_relaxed);
+  slot.UpdatedAt.store(microsOf(now), std::memory_order_relaxed);
 }
 
-void LoadView::markNew(uint64_t server, TimePoint now) {
-  claim(server, now).NewSince.store(microsOf(now), std::memory_order_relaxed);
+void LoadView::startSlowStart(uint64_t server, TimePoint now) {
+  findOrAssign(server, now)
+      .SlowStartSince.store(microsOf(now), std::memory_order_relaxed);
 }
 
 LoadEstimate LoadView::estimate(uint64_t server, TimePoint now) const {
@@ -99,15 +100,15 @@
     return out;
   out.Known = true;
   out.Leaving = slot->Leaving.load(std::memory_order_relaxed);
-  out.Wait = decayed(*slot, now);
+  out.Wait = decayedWait(*slot, now);
   if (uint32_t rate = slot->PrefillRate.load(std::memory_order_relaxed))
     out.PrefillRate = rate;
-  int64_t since = slot->NewSince.load(std::memory_order_relaxed);
-  if (since == NeverNew)
+  int64_t since = slot->SlowStartSince.load(std::memory_order_relaxed);
+  if (since == NoSlowStart)
     return out;
   double ramp = static_cast<double>(microsOf(now) - since) /
                 static_cast<double>(Settings.SlowStart.count());
-  out.Share = std::clamp(ramp, Settings.SlowStartFloor, 1.0);
+  out.TrafficShare = std::clamp(ramp, Settings.SlowStartFloor, 1.0);
   return out;
 }
 
--- a/src/decide/prefix_popularity.cpp
+++ b/src/decide/prefix_popularity.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Lengths of prefix that are looked at: a longer one is looked at only while
-/// the shorter is hot.
+/// Prefix lengths that are counted, in pieces. A longer prefix is counted only
+/// if the next shorter one is hot.
 constexpr std::array<uint32_t, 9> Depths{
     RoutingPieces, 3, 4, 6, 8, 12, 16, 24, 32};
 
@@ -26,38 +26,43 @@
 PrefixPopularity::PrefixPopularity(PopularitySettings settings)
     : Settings(settings) {
   Settings.Counters = std::bit_ceil(std::max<size_t>(Settings.Counters, 1));
-  for (Epoch &it : Epochs)
+  for (WindowSketch &it : Sketches)
     it.Counts = std::vector<std::atomic<uint32_t>>(Settings.Counters * Rows);
 }
 
-/// The first request of a window empties the older of the two sketches.
-void PrefixPopularity::turn(int64_t number) {
-  int64_t latest = Latest.load(std::memory_order_acquire);
-  if (latest >= number || !Latest.compare_exchange_strong(
-                              latest, number, std::memory_order_acq_rel))
+/// Starts the window with the number unless it has already started: the first
+/// caller clears the older one of the two sketches.
+void PrefixPopularity::startWindow(int64_t windowNumber) {
+  int64_t latest = LatestWindow.load(std::memory_order_acquire);
+  if (latest >= windowNumber ||
+      !LatestWindow.compare_exchange_strong(latest, windowNumber,
+                                            std::memory_order_acq_rel))
     return;
-  Epoch &epoch = Epochs[static_cast<size_t>(number) % Epochs.size()];
-  for (std::atomic<uint32_t> &it : epoch.Counts)
+  WindowSketch &sketch =
+      Sketches[static_cast<size_t>(windowNumber) % Sketches.size()];
+  for (std::atomic<uint32_t> &it : sketch.Counts)
     it.store(0, std::memory_order_relaxed);
-  epoch.Number.store(number, std::memory_order_release);
+  sketch.WindowNumber.store(windowNumber, std::memory_order_release);
 }
 
-uint32_t PrefixPopularity::add(uint64_t key, int64_t number) {
+uint32_t PrefixPopularity::increment(uint64_t key, int64_t windowNumber) {
   uint32_t out = 0;
-  for (Epoch &epoch : Epochs) {
-    int64_t age = number - epoch.Number.load(std::memory_order_acquire);
+  for (WindowSketch &sketch : Sketches) {
+    int64_t age =
+        windowNumber - sketch.WindowNumber.load(std::memory_order_acquire);
     if (age < 0 || age > 1)
       continue;
-    uint32_t least = UINT32_MAX;
+    uint32_t minimum = UINT32_MAX;
     for (size_t row = 0; row < Rows; ++row) {
       size_t at = mix64(key + row) & (Settings.Counters - 1);
-      std::atomic<uint32_t> &count = epoch.Counts[row * Settings.Counters + at];
+      std::atomic<uint32_t> &count =
+          sketch.Counts[row * Settings.Counters + at];
       uint32_t seen = age == 0
                           ? count.fetch_add(1, std::memory_order_relaxed) + 1
                           : count.load(std::memory_order_relaxed);
-      least = std::min(least, seen);
+      minimum = std::min(minimum, seen);
     }
-    out += least;
+    out += minimum;
   }
   return out;
 }
@@ -65,24 +70,25 @@
 std::optional<uint32_t>
 PrefixPopularity::count(std::span<const PieceKey> pieces, uint64_t pool,
                         size_t servers, TimePoint now) {
-  int64_t number = now.time_since_epoch() / Settings.Window;
-  turn(number);
-  uint32_t all = add(pool, number);
-  auto most = static_cast<uint32_t>(pieces.size());
+  int64_t windowNumber = now.time_since_epoch() / Settings.Window;
+  startWindow(windowNumber);
+  uint32_t all = increment(pool, windowNumber);
+  auto maxDepth = static_cast<uint32_t>(pieces.size());
   for (uint32_t depth : Depths) {
-    depth = std::min(depth, most);
+    depth = std::min(depth, maxDepth);
     if (depth == 0)
       return std::nullopt;
-    uint32_t seen = add(pool ^ leadingBytes(pieces[depth - 1]), number);
+    uint32_t seen =
+        increment(pool ^ leadingBytes(pieces[depth - 1]), windowNumber);
     double share = static_cast<double>(seen) / all;
-    bool hot = seen >= Settings.LeastCount &&
+    bool hot = seen >= Settings.MinCount &&
                share * static_cast<double>(servers) > Settings.HotShare;
     if (!hot)
       return depth;
-    if (depth == most)
+    if (depth == maxDepth)
       return std::nullopt;
   }
-  return most;
+  return maxDepth;
 }
 
 } // namespace daisytack
--- a/src/decide/reuse_estimate.cpp
+++ b/src/decide/reuse_estimate.cpp
@@ -6,27 +6,27 @@
 
 namespace {
 
-/// Weight of one answer.
-constexpr double Step = 0.02;
+/// Weight of a new observation in the moving average.
+constexpr double ObservationWeight = 0.02;
 
 } // namespace
 
-ReuseEstimate::ReuseEstimate(double home, double next) {
+ReuseEstimate::ReuseEstimate(double homeShare, double nextRatio) {
   for (std::atomic<double> &it : Shares) {
-    it.store(home, std::memory_order_relaxed);
-    home *= next;
+    it.store(homeShare, std::memory_order_relaxed);
+    homeShare *= nextRatio;
   }
 }
 
-void ReuseEstimate::observe(uint32_t place, uint32_t promptTokens,
+void ReuseEstimate::observe(uint32_t position, uint32_t promptTokens,
                             uint32_t recomputed) {
-  if (place >= MaxCandidates || promptTokens == 0)
+  if (position >= MaxCandidates || promptTokens == 0)
     return;
   double reused =
       1.0 - std::min(1.0, static_cast<double>(recomputed) / promptTokens);
-  double before = Shares[place].load(std::memory_order_relaxed);
-  Shares[place].store(before + Step * (reused - before),
-                      std::memory_order_relaxed);
+  double before = Shares[position].load(std::memory_order_relaxed);
+  Shares[position].store(before + ObservationWeight * (reused - before),
+                         std::memory_order_relaxed);
 }
 
 std::array<double, MaxCandidates> ReuseEstimate::shares() const {
--- a/src/decide/reuse_estimate.h
+++ b/src/decide/reuse_estimate.h
@@ -1,5 +1,5 @@
-/// How much of a prompt's prefill each candidate saves, learned from answers:
-/// what a request loses when it leaves its home.
+/// Estimates how much of a prompt's prefill each routing candidate saves by
+/// reusing cached context. Routing weighs this against the candidates' load.
 #pragma once
 
 #include "daisytack/limits.h"
@@ -10,17 +10,21 @@
 
 namespace daisytack {
 
-/// Thread-safe and lock-free; of two answers at once one may be lost.
+/// For each position in the candidate list, a moving average of the share of
+/// prompt tokens that were reused. Thread-safe and lock-free; one of two
+/// concurrent observations of a position may be lost.
 class ReuseEstimate {
 public:
-  /// The home's share until learned, and that of each further candidate as a
-  /// share of the one before.
-  ReuseEstimate(double home, double next);
+  /// Sets the initial shares: that of the home, which is the first candidate,
+  /// and that of each further candidate as a multiple of the previous one's.
+  ReuseEstimate(double homeShare, double nextRatio);
 
-  /// A server that stood at this place of the candidate list recomputed so many
-  /// of the prompt's tokens.
-  void observe(uint32_t place, uint32_t promptTokens, uint32_t recomputed);
-  /// Shares by place.
+  /// Records how many of a prompt's tokens were recomputed by the server at the
+  /// given position of the candidate list. Positions beyond the list are
+  /// ignored.
+  void observe(uint32_t position, uint32_t promptTokens, uint32_t recomputed);
+  /// Reused shares of the prompt, from 0 to 1, by position in the candidate
+  /// list.
   std::array<double, MaxCandidates> shares() const;
 
 private:
--- a/src/decide/routing.cpp
+++ b/src/decide/routing.cpp
@@ -21,11 +21,11 @@
 
 struct ScoredCandidate {
   RankedCandidate Candidate;
-  bool PutLast = false; ///< Offered to only when all others have refused.
+  bool IsLastResort = false; ///< Ranked after all candidates without this flag.
 
   bool operator<(const ScoredCandidate &other) const {
-    if (PutLast != other.PutLast)
-      return !PutLast;
+    if (IsLastResort != other.IsLastResort)
+      return !IsLastResort;
     return Candidate.FirstToken < other.Candidate.FirstToken;
   }
 };
@@ -35,16 +35,16 @@
       static_cast<int64_t>(tokens * MicrosPerSecond / load.PrefillRate));
 }
 
-/// Slow start: whether this request is of the share that a new server is
-/// spared. The draw is the request's own, so that a repeated decision is the
-/// same.
-bool isHeldBack(const LoadEstimate &load, const RouteKey &key,
-                const Server &server) {
-  if (load.Share >= 1.0)
+/// Whether slow start exempts the server from this request. The random draw is
+/// a hash of the request and the server, so that a repeated decision has the
+/// same result.
+bool isExemptBySlowStart(const LoadEstimate &load, const RouteKey &key,
+                         const Server &server) {
+  if (load.TrafficShare >= 1.0)
     return false;
   double draw = static_cast<double>(mix64(key.Spill ^ server.NameHash)) /
                 static_cast<double>(UINT64_MAX);
-  return draw > load.Share;
+  return draw > load.TrafficShare;
 }
 
 void append(CandidateList &out, ServerHandle server) {
@@ -84,26 +84,26 @@
   build(&previous);
 }
 
-RoutingTable::PoolIndex RoutingTable::indexOf(const Pool &pool) const {
+RoutingTable::PoolIndex RoutingTable::buildIndex(const Pool &pool) const {
   PoolIndex out{pool.Name, pool.IsService, {}};
   for (ServerHandle handle : pool.Servers) {
     const Server &server = Source->Servers[handle.Index];
-    auto part =
+    auto group =
         std::lower_bound(out.Regions.begin(), out.Regions.end(), server.Region,
                          [](const RegionServers &it, const std::string &name) {
                            return it.Region < name;
                          });
-    if (part == out.Regions.end() || part->Region != server.Region) {
-      part = out.Regions.emplace(part);
-      part->Region = server.Region;
+    if (group == out.Regions.end() || group->Region != server.Region) {
+      group = out.Regions.emplace(group);
+      group->Region = server.Region;
     }
-    auto domain = std::find(part->DomainNames.begin(), part->DomainNames.end(),
-                            server.FailureDomain);
-    part->Domains.push_back(
-        static_cast<uint32_t>(domain - part->DomainNames.begin()));
-    if (domain == part->DomainNames.end())
-      part->DomainNames.push_back(server.FailureDomain);
-    part->Servers.push_back(handle);
+    auto domain = std::find(group->DomainNames.begin(),
+                            group->DomainNames.end(), server.FailureDomain);
+    group->Domains.push_back(
+        static_cast<uint32_t>(domain - group->DomainNames.begin()));
+    if (domain == group->DomainNames.end())
+      group->DomainNames.push_back(server.FailureDomain);
+    group->Servers.push_back(handle);
   }
   return out;
 }
@@ -111,20 +111,20 @@
 void RoutingTable::build(const RoutingTable *previous) {
   Pools.reserve(Source->Pools.size());
   for (const Pool &pool : Source->Pools) {
-    Pools.push_back(indexOf(pool));
-    const PoolIndex *old = nullptr;
+    Pools.push_back(buildIndex(pool));
+    const PoolIndex *oldPool = nullptr;
     if (previous != nullptr)
-      old = previous->find(pool.Name, pool.IsService);
-    for (RegionServers &part : Pools.back().Regions) {
+      oldPool = previous->find(pool.Name, pool.IsService);
+    for (RegionServers &group : Pools.back().Regions) {
       std::vector<uint64_t> hashes;
-      hashes.reserve(part.Servers.size());
-      for (ServerHandle server : part.Servers)
+      hashes.reserve(group.Servers.size());
+      for (ServerHandle server : group.Servers)
         hashes.push_back(Source->Servers[server.Index].NameHash);
-      const RegionServers *same = find(old, part.Region);
-      if (same != nullptr && same->Ring->members() == hashes)
-        part.Ring = same->Ring;
+      const RegionServers *oldGroup = find(oldPool, group.Region);
+      if (oldGroup != nullptr && oldGroup->Ring->members() == hashes)
+        group.Ring = oldGroup->Ring;
       else
-        part.Ring = std::make_shared<const HashRing>(std::move(hashes));
+        group.Ring = std::make_shared<const HashRing>(std::move(hashes));
     }
   }
 }
@@ -141,34 +141,35 @@
                                                       std::string_view region) {
   if (pool == nullptr)
     return nullptr;
-  for (const RegionServers &part : pool->Regions)
-    if (part.Region == region)
-      return &part;
+  for (const RegionServers &group : pool->Regions)
+    if (group.Region == region)
+      return &group;
   return nullptr;
 }
 
-/// Adds the servers that follow the key on the ring until the list is so long.
-/// The part must hold enough that the list does not have yet.
-void RoutingTable::appendNext(CandidateList &out, const RegionServers &part,
-                              uint64_t key, size_t upTo) {
-  HashRing::Walk walk = part.Ring->walk(key);
+/// Appends the servers that follow the key on the ring until the list has upTo
+/// entries. The region must have enough servers that are not in the list yet.
+void RoutingTable::appendFromRing(CandidateList &out,
+                                  const RegionServers &group, uint64_t key,
+                                  size_t upTo) {
+  HashRing::Walk walk = group.Ring->walk(key);
   for (; out.Count < upTo; walk.advance())
-    append(out, part.Servers[walk.member()]);
+    append(out, group.Servers[walk.member()]);
 }
 
-void RoutingTable::appendLocal(CandidateList &out, const RegionServers &part,
+void RoutingTable::appendLocal(CandidateList &out, const RegionServers &group,
                                const RouteKey &key) {
-  HashRing::Walk walk = part.Ring->walk(key.Home);
-  append(out, part.Servers[walk.member()]);
-  if (part.DomainNames.size() > 1) {
-    uint32_t home = part.Domains[walk.member()];
-    while (part.Domains[walk.member()] == home)
+  HashRing::Walk walk = group.Ring->walk(key.Home);
+  append(out, group.Servers[walk.member()]);
+  if (group.DomainNames.size() > 1) {
+    uint32_t home = group.Domains[walk.member()];
+    while (group.Domains[walk.member()] == home)
       walk.advance();
-    append(out, part.Servers[walk.member()]);
+    append(out, group.Servers[walk.member()]);
   }
-  size_t n = part.Servers.size();
-  appendNext(out, part, key.Home, std::min(n, MaxCandidates - 1));
-  appendNext(out, part, key.Spill, std::min(n, MaxCandidates));
+  size_t n = group.Servers.size();
+  appendFromRing(out, group, key.Home, std::min(n, MaxCandidates - 1));
+  appendFromRing(out, group, key.Spill, std::min(n, MaxCandidates));
 }
 
 CandidateList RoutingTable::candidates(std::string_view serves, bool isService,
@@ -183,25 +184,25 @@
     appendLocal(out, *local, key);
   size_t n = pool->Regions.size();
   for (size_t i = 0; i < n && out.Count < MaxCandidates; ++i) {
-    const RegionServers &part = pool->Regions[(key.Home + i) % n];
-    if (&part != local)
-      appendNext(out, part, key.Home,
-                 std::min(MaxCandidates, out.Count + part.Servers.size()));
+    const RegionServers &group = pool->Regions[(key.Home + i) % n];
+    if (&group != local)
+      appendFromRing(out, group, key.Home,
+                     std::min(MaxCandidates, out.Count + group.Servers.size()));
   }
   return out;
 }
 
 size_t RoutingTable::servers(std::string_view serves, bool isService,
                              std::string_view region) const {
-  const RegionServers *part = find(find(serves, isService), region);
-  return part == nullptr ? 0 : part->Servers.size();
+  const RegionServers *group = find(find(serves, isService), region);
+  return group == nullptr ? 0 : group->Servers.size();
 }
 
 size_t RoutingTable::memory() const {
   size_t out = 0;
   for (const PoolIndex &pool : Pools)
-    for (const RegionServers &part : pool.Regions)
-      out += part.Ring->memory();
+    for (const RegionServers &group : pool.Regions)
+      out += group.Ring->memory();
   return out;
 }
 
@@ -229,16 +230,16 @@
     ServerHandle handle = candidates.Servers[out.Count];
     const Server &server = snapshot.Servers[handle.Index];
     LoadEstimate load = loads.estimate(server.NameHash, now);
-    double lacking = (1.0 - reuse[out.Count]) * promptTokens;
+    double uncachedTokens = (1.0 - reuse[out.Count]) * promptTokens;
     ScoredCandidate &it = scored[out.Count];
     it.Candidate.Server = handle;
     it.Candidate.Place = out.Count;
     it.Candidate.Wait = load.Wait;
-    it.Candidate.FirstToken = load.Wait + prefillTime(lacking, load);
+    it.Candidate.FirstToken = load.Wait + prefillTime(uncachedTokens, load);
     if (server.Region != region)
-      it.Candidate.FirstToken += settings.OtherRegion;
-    it.PutLast =
-        load.Leaving || isHeldBack(load, key, server) ||
+      it.Candidate.FirstToken += settings.OtherRegionDelay;
+    it.IsLastResort =
+        load.Leaving || isExemptBySlowStart(load, key, server) ||
         (ejector != nullptr && ejector->isEjected(server.NameHash, now));
   }
   insertionSort(std::span(scored).first(out.Count));
@@ -246,10 +247,10 @@
     out.Ranked[i] = scored[i].Candidate;
   for (uint32_t i = 0; i < out.Count; ++i) {
     RankedCandidate &it = out.Ranked[i];
-    Duration more{0};
+    Duration margin{0};
     if (i + 1 < out.Count)
-      more = out.Ranked[i + 1].FirstToken - it.FirstToken;
-    it.Patience = std::max(it.Wait + more, settings.LeastPatience);
+      margin = out.Ranked[i + 1].FirstToken - it.FirstToken;
+    it.Patience = std::max(it.Wait + margin, settings.MinPatience);
   }
   return out;
 }
--- a/src/decide/routing.h
+++ b/src/decide/routing.h
@@ -1,6 +1,6 @@
-/// Which backend servers a request should be offered to, and in which order.
-/// Every entry of a region computes the same candidates from the same
-/// membership. See docs/ROUTING.md.
+/// Routing: which backend servers a request should be offered to, and in which
+/// order. From the same membership, all entries of a region compute the same
+/// candidates. See docs/ROUTING.md.
 #pragma once
 
 #include "control/snapshot.h"
@@ -20,23 +20,27 @@
 
 namespace daisytack {
 
-/// What places a request: Home is shared by prompts that may reuse one
-/// another's context, Spill differs from request to request.
+/// The hash keys that place a request on the ring.
 struct RouteKey {
+  /// Chooses the home server; equal for prompts that may reuse one another's
+  /// context.
   uint64_t Home = 0;
+  /// Chooses the last candidate; differs from request to request.
   uint64_t Spill = 0;
   auto operator<=>(const RouteKey &) const = default;
 };
 
-/// The key of a request. Of the piece keys only the leading ones count, so many
-/// as PrefixPopularity says. A request without whole pieces (a short prompt, or
-/// a call to a plain service) or without a depth has nothing to gain from a
-/// home and is spread over the pool by the request hash.
+/// Computes the key of a request to the model or service named by serves. The
+/// home depends on the first depth piece keys, where depth comes from
+/// PrefixPopularity. A request without pieces (a short prompt or a call to a
+/// plain service) or without a depth would not benefit from a common home; it
+/// is spread over the pool by its hash.
 RouteKey makeRouteKey(uint64_t organisationHash, std::string_view serves,
                       std::span<const PieceKey> pieces, uint64_t requestHash,
                       std::optional<uint32_t> depth = RoutingPieces);
 
-/// Distinct servers in the order in which they should be weighed.
+/// Distinct candidate servers of a request, in order of preference before their
+/// load is considered.
 struct CandidateList {
   std::array<ServerHandle, MaxCandidates> Servers{};
   uint32_t Count = 0;
@@ -47,56 +51,58 @@
   bool operator==(const CandidateList &) const = default;
 };
 
-/// Candidates of one snapshot. Immutable; built whenever a snapshot is
-/// published, and kept with it.
+/// Finds the candidates of requests in one snapshot. Immutable; built whenever
+/// a snapshot is published, and kept together with it.
 class RoutingTable {
 public:
   explicit RoutingTable(std::shared_ptr<const Snapshot> source);
-  /// Takes over the rings of pools that have not changed: most snapshots differ
-  /// by one server or by configuration alone.
+  /// Reuses the previous table's rings of pools that have not changed, since
+  /// most snapshots differ only by one server or by configuration.
   RoutingTable(std::shared_ptr<const Snapshot> source,
                const RoutingTable &previous);
 
   const Snapshot &snapshot() const { return *Source; }
 
-  /// In order: the key's home in the region; the next server of the region in
-  /// another failure domain, if there is one; the next one whatever its domain;
-  /// and one that depends on the request, so that a popular key spills over the
-  /// whole pool. Servers of other regions fill what the region can't. Empty
-  /// when nothing serves the name.
+  /// Candidates for a request to the model or service named by serves, in
+  /// order: the home of the key in the region; the next server on the ring that
+  /// is in another failure domain, if there is one; the next servers in any
+  /// domain; and one that depends on key.Spill, so that the load of a popular
+  /// home spreads over the whole pool. Servers of other regions fill the
+  /// remaining positions. Empty if no server serves the name.
   CandidateList candidates(std::string_view serves, bool isService,
                            const RouteKey &key, std::string_view region) const;
-  /// Bytes of all rings.
+  /// Heap memory of all rings, in bytes.
   size_t memory() const;
-  /// Servers of the pool in the region.
+  /// Number of servers of the pool in the region.
   size_t servers(std::string_view serves, bool isService,
                  std::string_view region) const;
 
 private:
-  /// The servers of one pool in one region. Indices are those of the ring's
-  /// members.
+  /// The servers of one pool in one region. Servers and Domains have the same
+  /// indices as the members of Ring.
   struct RegionServers {
     std::string Region;
     std::vector<ServerHandle> Servers;
-    std::vector<uint32_t> Domains; ///< Index into DomainNames.
+    std::vector<uint32_t> Domains; ///< Indices into DomainNames.
     std::vector<std::string> DomainNames;
     std::shared_ptr<const HashRing> Ring;
   };
+  /// The servers of one pool, by region.
   struct PoolIndex {
-    std::string Name;
+    std::string Name; ///< Of the model or service.
     bool IsService = false;
     std::vector<RegionServers> Regions; ///< One per region, sorted by name.
   };
 
   void build(const RoutingTable *previous);
-  PoolIndex indexOf(const Pool &pool) const;
+  PoolIndex buildIndex(const Pool &pool) const;
   const PoolIndex *find(std::string_view serves, bool isService) const;
   static const RegionServers *find(const PoolIndex *pool,
                                    std::string_view region);
-  static void appendLocal(CandidateList &out, const RegionServers &part,
+  static void appendLocal(CandidateList &out, const RegionServers &group,
                           const RouteKey &key);
-  static void appendNext(CandidateList &out, const RegionServers &part,
-                         uint64_t key, size_t upTo);
+  static void appendFromRing(CandidateList &out, const RegionServers &group,
+                             uint64_t key, size_t upTo);
 
   std::shared_ptr<const Snapshot> Source;
   std::vector<PoolIndex> Pools;
@@ -105,45 +111,53 @@
 struct RouterSettings {
   double HomeReuse = 0.8; ///< Share of a prompt's prefill that its home is
                           ///< expected to save.
-  double NextReuse = 0.5; ///< The same of each further candidate, over the one
-                          ///< before it: a home's overflow meets there again.
-  Duration LeastPatience{100'000}; ///< Wait that is not worth another offer.
-  Duration OtherRegion{50'000};    ///< Added for a server of another region.
+  /// Expected saving of each further candidate, relative to the previous one.
+  /// It is not zero because prompts that their home refuses go to the same next
+  /// candidates.
+  double NextReuse = 0.5;
+  /// Lower bound of RankedCandidate::Patience: a shorter wait is not worth an
+  /// offer to another server.
+  Duration MinPatience{100'000};
+  /// Added to the predicted first token of a server in another region.
+  Duration OtherRegionDelay{50'000};
   bool operator==(const RouterSettings &) const = default;
 };
 
 /// One candidate with its score.
 struct RankedCandidate {
   ServerHandle Server;
-  Duration FirstToken{0}; ///< Predicted, from the offer on.
-  Duration Wait{0};       ///< Part of FirstToken.
-  /// Wait from which on the next candidate promises the earlier first token: a
-  /// server that predicts a longer one should refuse, so that its true wait is
-  /// known and the next is tried. Waits are known late or not at all, and a
-  /// refusal costs one trip. Offers that follow when all have refused carry
-  /// none.
+  Duration FirstToken{0}; ///< Predicted time from the offer to the first token.
+  Duration Wait{0}; ///< The part of FirstToken that is spent in the queue.
+  /// Wait beyond which the next candidate is predicted to have its first token
+  /// earlier. A server that predicts a longer wait should refuse the offer, so
+  /// that the next candidate is tried. This makes up for outdated or missing
+  /// load reports at the price of one round trip per refusal. Offers that are
+  /// repeated after all candidates have refused have no such limit.
   Duration Patience{0};
-  uint32_t Place = 0; ///< In the list of candidates, for ReuseEstimate.
+  uint32_t Place = 0; ///< Position in the CandidateList, for ReuseEstimate.
   bool operator==(const RankedCandidate &) const = default;
 };
 
-/// Candidates in the order in which to offer, earliest first token first.
+/// Candidates in the order in which to offer the request to them.
 struct RouteDecision {
   std::array<RankedCandidate, MaxCandidates> Ranked{};
   uint32_t Count = 0;
 
   const RankedCandidate *begin() const { return Ranked.data(); }
   const RankedCandidate *end() const { return Ranked.data() + Count; }
-  /// FirstToken of each in microseconds, for the RequestRouted event.
+  /// FirstToken of each candidate in microseconds, for the RequestRouted event;
+  /// zero beyond Count.
   std::array<int64_t, MaxCandidates> scores() const;
   bool operator==(const RouteDecision &) const = default;
 };
 
-/// Orders the candidates by predicted first token: wait, plus the prefill of
-/// the tokens that the server is expected to lack. The prompt's tokens thus
-/// decide how much wait the home's reuse is worth. Servers that said that they
-/// leave, that are ejected, or whose slow start spares them this request, come
-/// after all others. Without a learned reuse, that of the settings counts.
+/// Orders the candidates by the predicted time to the first token: the wait
+/// plus the prefill of the tokens that the server is not expected to have
+/// cached. The longer the prompt, the longer the wait at its home that is
+/// accepted for reuse. Servers that are shutting down, that are ejected or that
+/// slow start exempts from this request come after all others. ejector and
+/// learned may be nullptr: then no server counts as ejected, and the expected
+/// reuse is that of the settings.
 RouteDecision rankCandidates(const CandidateList &candidates,
                              const Snapshot &snapshot, const LoadView &loads,
                              const RouterSettings &settings,
--- a/tests/decide/prefix_test.cpp
+++ b/tests/decide/prefix_test.cpp
@@ -10,7 +10,9 @@
 
 namespace {
 
-/// Keys of a prompt that shares its first pieces with all others of a guide.
+/// Piece keys of a prompt. Its first pieces, as many as shared says, are common
+/// to all prompts of the guide; the others, as many as own says, belong to the
+/// document.
 std::vector<PieceKey> prompt(uint8_t guide, size_t shared, uint32_t document,
                              size_t own) {
   std::vector<PieceKey> out(shared + own);
@@ -41,13 +43,13 @@
   EXPECT_EQ(hot, 4U);
   EXPECT_EQ(guideOnly, std::nullopt);
   EXPECT_EQ(rare, RoutingPieces);
-  // Another pool knows nothing of it, and after two windows neither does this.
+  // Pools are counted separately, and counts expire after two windows.
   EXPECT_EQ(it.count(prompt(1, 3, 5, 2), 8, 12, at(20'000)), RoutingPieces);
   EXPECT_EQ(it.count(prompt(1, 3, 5, 2), 7, 12, at(300'000)), RoutingPieces);
   EXPECT_EQ(it.count({}, 7, 12, at(300'000)), std::nullopt);
 }
 
-TEST(PrefixPopularity, DepthDecidesWhichPromptsMeet) {
+TEST(PrefixPopularity, PromptsShareAHomeUpToTheDepth) {
   auto first = prompt(1, 3, 1, 2);
   auto second = prompt(1, 3, 2, 2);
   auto home = [](const std::vector<PieceKey> &pieces, uint64_t request,
@@ -60,7 +62,7 @@
   EXPECT_NE(home(first, 1, std::nullopt), home(first, 2, std::nullopt));
 }
 
-TEST(ReuseEstimate, LearnsWhatEachPlaceSaves) {
+TEST(ReuseEstimate, LearnsTheReuseOfEachPosition) {
   ReuseEstimate it(0.8, 0.5);
   EXPECT_DOUBLE_EQ(it.shares()[1], 0.4);
   for (int i = 0; i < 500; ++i)
--- a/tests/decide/routing_test.cpp
+++ b/tests/decide/routing_test.cpp
@@ -37,7 +37,7 @@
               serverOf(table, list.Servers[1]).FailureDomain);
 }
 
-TEST(Routing, EntriesAgreeAndRequestsOfOnePromptMeet) {
+TEST(Routing, EntriesAgreeAndEqualPrefixesShareAHome) {
   RoutingTable one(makeSnapshot(50));
   RoutingTable other(makeSnapshot(50));
   std::vector<PieceKey> pieces(3);
@@ -82,7 +82,7 @@
   }
 }
 
-TEST(Routing, StepsPastALoadedHomeOnlyWhenTheWaitOutweighsItsReuse) {
+TEST(Routing, LeavesALoadedHomeOnlyIfItsWaitOutweighsItsReuse) {
   auto snapshot = makeSnapshot(12);
   RoutingTable table(snapshot);
   LoadView loads({});
@@ -98,8 +98,9 @@
   busy.WaitMicros = 1'000'000;
   busy.PrefillTokensPerSecond = 10'000;
   loads.observe(serverOf(table, list.Servers[0]).NameHash, busy, Epoch);
-  // 40,000 tokens take 4 s. The home is expected to save 0.8 of that, the
-  // second candidate 0.4: 1.6 s less, which is worth a wait of 1 s.
+  // The prefill of 40,000 tokens takes 4 s. The home is expected to save 0.8 of
+  // it and the second candidate 0.4, so that the home saves 1.6 s more, which
+  // outweighs its wait of 1 s.
   EXPECT_EQ(rank(40'000), list.Servers[0]);
   EXPECT_NE(rank(5'000), list.Servers[0]);
 }
@@ -111,8 +112,8 @@
   CandidateList list = table.candidates("m", false, key, "r0");
   RouteDecision out = rankCandidates(list, *snapshot, LoadView({}), {}, 20'000,
                                      key, "r0", Epoch);
-  // 20,000 tokens take 2 s; the home is expected to save 0.8 of it, the next
-  // 0.4.
+  // The prefill of 20,000 tokens takes 2 s. The home is expected to save 0.8 of
+  // it and the next candidate 0.4, a difference of 0.8 s.
   EXPECT_NEAR(static_cast<double>(out.Ranked[0].Patience.count()), 800'000, 2);
   EXPECT_EQ(out.Ranked[3].Patience, millis(100));
 }
@@ -131,23 +132,23 @@
   EXPECT_EQ(out.Ranked[out.Count - 1].Server, list.Servers[0]);
 }
 
-TEST(LoadView, DecaysChargesAndRampsUp) {
+TEST(LoadView, DecaysAddsWorkAndRampsUp) {
   LoadView loads({});
   wire::LoadReport report;
   report.WaitMicros = 4'000'000;
   loads.observe(42, report, Epoch);
   EXPECT_EQ(loads.estimate(42, Epoch).Wait, millis(4'000));
   EXPECT_EQ(loads.estimate(42, at(4'000)).Wait, millis(2'000));
-  loads.charge(42, millis(500), at(4'000));
+  loads.addWork(42, millis(500), at(4'000));
   EXPECT_EQ(loads.estimate(42, at(4'000)).Wait, millis(2'500));
-  loads.markNew(42, at(2'000));
-  EXPECT_DOUBLE_EQ(loads.estimate(42, at(2'000)).Share, 0.1);
-  EXPECT_DOUBLE_EQ(loads.estimate(42, at(7'000)).Share, 0.5);
-  EXPECT_DOUBLE_EQ(loads.estimate(42, at(60'000)).Share, 1.0);
+  loads.startSlowStart(42, at(2'000));
+  EXPECT_DOUBLE_EQ(loads.estimate(42, at(2'000)).TrafficShare, 0.1);
+  EXPECT_DOUBLE_EQ(loads.estimate(42, at(7'000)).TrafficShare, 0.5);
+  EXPECT_DOUBLE_EQ(loads.estimate(42, at(60'000)).TrafficShare, 1.0);
   EXPECT_FALSE(loads.estimate(43, Epoch).Known);
 }
 
-TEST(LoadView, ForgetsTheOldestOfAFullSet) {
+TEST(LoadView, ReplacesTheOldestOfAFullSet) {
   LoadViewSettings settings;
   settings.Capacity = 8;
   LoadView loads(settings);
