--- a/src/decide/backoff.cpp
+++ b/src/decide/backoff.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Doublings beyond this exceed any sensible bound.
+/// Keeps the shift below from overflowing; after so many doublings the delay is
+/// at its upper bound.
 constexpr uint32_t MaxDoublings = 20;
 
 } // namespace
@@ -16,10 +17,10 @@
                                    const BackoffSettings &settings,
                                    const RandomSource &random) {
   uint32_t doublings = std::min(attempt > 0 ? attempt - 1 : 0, MaxDoublings);
-  int64_t ceiling =
-      std::min(settings.Base.count() << doublings, settings.Most.count());
+  int64_t maxJitter = std::min(settings.BaseDelay.count() << doublings,
+                               settings.MaxDelay.count());
   auto jitter = static_cast<int64_t>(
-      random() % static_cast<uint64_t>(std::max<int64_t>(ceiling, 0) + 1));
+      random() % static_cast<uint64_t>(std::max<int64_t>(maxJitter, 0) + 1));
   Duration delay = std::max(retryAfter, Duration{0}) + Duration(jitter);
   if (delay + needed > remaining)
     return std::nullopt;
--- a/src/decide/backoff.h
+++ b/src/decide/backoff.h
@@ -1,5 +1,5 @@
-/// Waits between attempts: exponential, with full jitter, never past the
-/// deadline.
+/// Backoff between attempts at a request: exponential with full jitter, and
+/// limited by the deadline.
 #pragma once
 
 #include "daisytack/types.h"
@@ -9,15 +9,16 @@
 namespace daisytack {
 
 struct BackoffSettings {
-  Duration Base{10'000}; ///< Upper end of the first wait.
-  Duration Most{2'000'000};
+  Duration BaseDelay{10'000};   ///< Upper bound of the first delay.
+  Duration MaxDelay{2'000'000}; ///< Upper bound of every delay.
   bool operator==(const BackoffSettings &) const = default;
 };
 
-/// The wait before the attempt after the given one (from 1), drawn evenly from
-/// zero to Base doubled per attempt. A server's RetryAfter is waited for first.
-/// Nothing when the attempt could then not end before the deadline: it needs
-/// the given time.
+/// The delay between the given attempt (numbered from 1) and the next one: the
+/// server's retryAfter (zero if it gave none) plus a jitter drawn uniformly
+/// from zero to BaseDelay, which is doubled for each earlier retry up to
+/// MaxDelay. Returns nullopt if the next attempt, which takes the time needed,
+/// could not end within the time remaining until the deadline.
 std::optional<Duration> retryDelay(Attempt attempt, Duration retryAfter,
                                    Duration remaining, Duration needed,
                                    const BackoffSettings &settings,
--- a/src/decide/ejection.cpp
+++ b/src/decide/ejection.cpp
@@ -18,40 +18,42 @@
 
 Ejector::Ejector(EjectionSettings settings) : Settings(settings) {}
 
-bool Ejector::isAllowed(PoolState &pool, size_t poolSize,
-                        const ServerState &server, TimePoint now) const {
-  while (!pool.Recent.empty() && pool.Recent.front() + Settings.Window <= now)
-    pool.Recent.pop_front();
+bool Ejector::mayEject(PoolState &pool, size_t poolSize,
+                       const ServerState &server, TimePoint now) const {
+  while (!pool.RecentEjections.empty() &&
+         pool.RecentEjections.front() + Settings.Window <= now)
+    pool.RecentEjections.pop_front();
   if (!Settings.Capped)
     return true;
   if (poolSize <= 1 && now < server.FailingSince + Settings.LastServerDelay)
     return false;
-  return pool.Recent.size() < ejectionCap(poolSize);
+  return pool.RecentEjections.size() < ejectionCap(poolSize);
 }
 
 EjectionVerdict Ejector::onFailure(uint64_t pool, size_t poolSize,
                                    uint64_t server, TimePoint now) {
   std::lock_guard guard(Lock);
   ServerState &state = Servers[server];
-  if (state.Until > now)
+  if (state.EjectedUntil > now)
     return EjectionVerdict::None;
   if (state.Failures++ == 0)
     state.FailingSince = now;
-  if (state.Failures < Settings.Failures)
+  if (state.Failures < Settings.ConsecutiveFailures)
     return EjectionVerdict::None;
-  PoolState &group = Pools[pool];
-  if (!isAllowed(group, poolSize, state, now))
+  PoolState &poolState = Pools[pool];
+  if (!mayEject(poolState, poolSize, state, now))
     return EjectionVerdict::HeldBack;
-  group.Recent.push_back(now);
+  poolState.RecentEjections.push_back(now);
   uint32_t doublings = std::min(state.Ejections, MaxDoublings);
-  state.Until =
-      now + std::min<Duration>(Settings.FirstTime * (1LL << doublings),
-                               Settings.LongestTime);
+  state.EjectedUntil =
+      now + std::min<Duration>(Settings.BaseEjectionTime * (1LL << doublings),
+                               Settings.MaxEjectionTime);
   ++state.Ejections;
   state.Failures = 0;
-  LatestReturn.store(std::max(LatestReturn.load(std::memory_order_relaxed),
-                              microsOf(state.Until)),
-                     std::memory_order_release);
+  LatestEjectionEnd.store(
+      std::max(LatestEjectionEnd.load(std::memory_order_relaxed),
+               microsOf(state.EjectedUntil)),
+      std::memory_order_release);
   return EjectionVerdict::Ejected;
 }
 
@@ -63,17 +65,17 @@
     return onFailure(pool, poolSize, server, now);
   std::lock_guard guard(Lock);
   auto it = Servers.find(server);
-  if (it != Servers.end() && it->second.Until <= now)
+  if (it != Servers.end() && it->second.EjectedUntil <= now)
     Servers.erase(it);
   return EjectionVerdict::None;
 }
 
 bool Ejector::isEjected(uint64_t server, TimePoint now) const {
-  if (LatestReturn.load(std::memory_order_acquire) <= microsOf(now))
+  if (LatestEjectionEnd.load(std::memory_order_acquire) <= microsOf(now))
     return false;
   std::lock_guard guard(Lock);
   auto it = Servers.find(server);
-  return it != Servers.end() && it->second.Until > now;
+  return it != Servers.end() && it->second.EjectedUntil > now;
 }
 
 void Ejector::forget(uint64_t server) {
--- a/src/decide/ejection.h
+++ b/src/decide/ejection.h
@@ -1,5 +1,5 @@
-/// Which servers an entry leaves alone for a while because they fail or are
-/// slow. See docs/ROUTING.md.
+/// Outlier ejection: an entry temporarily sends no requests to a server that
+/// fails or is slow. See docs/ROUTING.md.
 #pragma once
 
 #include "daisytack/types.h"
@@ -13,64 +13,82 @@
 namespace daisytack {
 
 struct EjectionSettings {
-  uint32_t Failures = 3; ///< Consecutive ones that eject.
-  double SlowFactor = 4; ///< Measured over predicted first token that counts
-                         ///< as a failure.
-  Duration FirstTime{5'000'000}; ///< Doubled by each ejection soon after.
-  Duration LongestTime{300'000'000};
+  /// Number of consecutive failures after which a server is ejected.
+  uint32_t ConsecutiveFailures = 3;
+  /// An answer counts as a failure if its first token takes more than this many
+  /// times the predicted time.
+  double SlowFactor = 4;
+  /// Duration of a server's first ejection. It doubles with each further
+  /// ejection until the server answers in time again.
+  Duration BaseEjectionTime{5'000'000};
+  /// Upper bound of an ejection's duration.
+  Duration MaxEjectionTime{300'000'000};
+  /// Length of the sliding window in which ejections are counted for the cap.
   Duration Window{60'000'000};
-  Duration LastServerDelay{600'000'000}; ///< Before the last server of a pool
-                                         ///< may be ejected.
-  bool Capped = true; ///< At most max(floor(n / 3), 1) of n per window.
+  /// Time for which the only server of a pool must have been failing before it
+  /// may be ejected.
+  Duration LastServerDelay{600'000'000};
+  /// Whether ejections are limited to ejectionCap per pool and window, and by
+  /// LastServerDelay.
+  bool Capped = true;
   bool operator==(const EjectionSettings &) const = default;
 };
 
 enum class EjectionVerdict : uint8_t {
-  None, ///< Not enough failures.
-  Ejected,
-  HeldBack, ///< Would be ejected, but for the cap.
+  None,     ///< The server is not ejected by this result.
+  Ejected,  ///< The server is ejected from now on.
+  HeldBack, ///< The server should be ejected, but the pool's limit forbids it.
 };
 
-/// Thread-safe. The lock is taken for failures, and for queries only while
-/// something is ejected.
+/// Counts the failures of servers and ejects those that keep failing.
+/// Thread-safe. The lock is taken for each result of an attempt, and for
+/// queries only while a server is ejected.
 class Ejector {
 public:
   explicit Ejector(EjectionSettings settings);
 
-  /// An attempt was answered after so long, and was predicted to take the given
-  /// time to its first token.
+  /// Records an answer by its predicted and measured time to the first token. A
+  /// slow answer counts as a failure. Any other answer of a server that is not
+  /// ejected resets its failure count and ejection duration.
   EjectionVerdict onAnswer(uint64_t pool, size_t poolSize, uint64_t server,
                            Duration predicted, Duration measured,
                            TimePoint now);
+  /// Records a failed attempt. The pool is identified by a hash and has
+  /// poolSize servers; the server is identified by the hash of its name.
   EjectionVerdict onFailure(uint64_t pool, size_t poolSize, uint64_t server,
                             TimePoint now);
   bool isEjected(uint64_t server, TimePoint now) const;
-  /// Forgets a server that has left.
+  /// Drops the state of a server that is no longer a member.
   void forget(uint64_t server);
 
 private:
   struct ServerState {
-    uint32_t Failures = 0;
-    uint32_t Ejections = 0;
-    TimePoint FailingSince;
-    TimePoint Until;
+    uint32_t Failures = 0;  ///< Consecutive, since the last ejection.
+    uint32_t Ejections = 0; ///< Since the last answer in time.
+    TimePoint FailingSince; ///< First of the consecutive failures.
+    TimePoint EjectedUntil; ///< End of the latest ejection.
   };
   struct PoolState {
-    std::deque<TimePoint> Recent; ///< Ejections in the window.
-    uint32_t Out = 0;             ///< Ejected now, as last counted.
+    /// Times of the ejections in the window.
+    std::deque<TimePoint> RecentEjections;
+    uint32_t EjectedCount = 0; ///< Unused.
   };
 
-  bool isAllowed(PoolState &pool, size_t poolSize, const ServerState &server,
-                 TimePoint now) const;
+  /// Whether the cap allows to eject the server now. Drops expired ejections
+  /// from pool.
+  bool mayEject(PoolState &pool, size_t poolSize, const ServerState &server,
+                TimePoint now) const;
 
   EjectionSettings Settings;
   mutable std::mutex Lock;
   std::unordered_map<uint64_t, ServerState> Servers;
   std::unordered_map<uint64_t, PoolState> Pools;
-  std::atomic<int64_t> LatestReturn{INT64_MIN};
+  /// Latest end of any ejection, in microseconds. Lets isEjected skip the lock.
+  std::atomic<int64_t> LatestEjectionEnd{INT64_MIN};
 };
 
-/// Ejections that the rule allows to a pool of so many servers in one window.
+/// Number of ejections allowed per window in a pool of the size:
+/// max(floor(poolSize / 3), 1).
 size_t ejectionCap(size_t poolSize);
 
 } // namespace daisytack
--- a/src/decide/release.cpp
+++ b/src/decide/release.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-/// Nothing means due at once.
-std::optional<WallTime> releaseOf(const std::vector<RequestClass> &classes,
-                                  const std::string &name) {
+/// Release time of the class with the name; nullopt if the class has none or is
+/// not configured, so that its answers are due at once.
+std::optional<WallTime> releaseTimeOf(const std::vector<RequestClass> &classes,
+                                      const std::string &name) {
   for (const RequestClass &it : classes)
     if (it.Name == name)
       return it.ReleaseAt;
@@ -37,11 +38,11 @@
   return out;
 }
 
-void ReleaseGate::hold(const HeldAnswer &answer) {
+void ReleaseQueue::hold(const HeldAnswer &answer) {
   ByClass[answer.Class].push_back(answer);
 }
 
-bool ReleaseGate::forget(const RequestId &id) {
+bool ReleaseQueue::forget(const RequestId &id) {
   for (auto it = ByClass.begin(); it != ByClass.end(); ++it) {
     size_t n = std::erase_if(
         it->second, [&](const HeldAnswer &held) { return held.Id == id; });
@@ -55,10 +56,10 @@
 }
 
 std::vector<HeldAnswer>
-ReleaseGate::takeDue(const std::vector<RequestClass> &classes, WallTime now) {
+ReleaseQueue::takeDue(const std::vector<RequestClass> &classes, WallTime now) {
   std::vector<HeldAnswer> out;
   for (auto it = ByClass.begin(); it != ByClass.end();) {
-    std::optional<WallTime> at = releaseOf(classes, it->first);
+    std::optional<WallTime> at = releaseTimeOf(classes, it->first);
     if (at && *at > now) {
       ++it;
       continue;
@@ -70,17 +71,17 @@
 }
 
 std::optional<WallTime>
-ReleaseGate::nextDue(const std::vector<RequestClass> &classes) const {
+ReleaseQueue::nextDue(const std::vector<RequestClass> &classes) const {
   std::optional<WallTime> out;
   for (const auto &[name, answers] : ByClass) {
-    WallTime at = releaseOf(classes, name).value_or(WallTime{});
+    WallTime at = releaseTimeOf(classes, name).value_or(WallTime{});
     if (!out || at < *out)
       out = at;
   }
   return out;
 }
 
-size_t ReleaseGate::held() const {
+size_t ReleaseQueue::held() const {
   size_t n = 0;
   for (const auto &[name, answers] : ByClass)
     n += answers.size();
--- a/src/decide/release.h
+++ b/src/decide/release.h
@@ -1,4 +1,5 @@
-/// Answers of a class that are held whole and let go at one moment.
+/// Scheduled release: the answers of a request class can be held until a
+/// configured time and are then sent together.
 #pragma once
 
 #include "daisytack/error.h"
@@ -12,25 +13,27 @@
 
 namespace daisytack {
 
-/// What an entry does with a whole answer.
+/// What an entry does with a complete answer.
 enum class ReleaseStep : uint8_t {
-  SendNow,  ///< The class has no release time.
-  SendLate, ///< The release time has passed: the answer is late for it.
-  HoldUntil,
+  SendNow,   ///< Send it at once: the class has no release time.
+  SendLate,  ///< Send it at once: the release time has already passed.
+  HoldUntil, ///< Hold it until the release time.
 };
 
 struct ReleaseDecision {
   ReleaseStep Step = ReleaseStep::SendNow;
-  WallTime At;      ///< With HoldUntil.
-  Duration Late{0}; ///< With SendLate.
+  WallTime At;      ///< The release time; unset with SendNow.
+  Duration Late{0}; ///< Time since the release time, with SendLate; else zero.
   bool operator==(const ReleaseDecision &) const = default;
 };
 
+/// Decides what to do with a complete answer of the class.
 ReleaseDecision decideRelease(const RequestClass &requestClass, WallTime now);
 
-/// Whether a request of the class can be both held until its release and
-/// answered before its deadline: None, or DeadlineTooShort. The deadline is the
-/// time left from now.
+/// Checks that the release time of the class is not after a request's deadline.
+/// The remaining time is that from now to the deadline. Returns an error of
+/// kind None, or DeadlineTooShort if the answer would have to be held past the
+/// deadline.
 Error checkRelease(const RequestClass &requestClass, Duration remaining,
                    WallTime now);
 
@@ -42,20 +45,24 @@
   auto operator<=>(const HeldAnswer &) const = default;
 };
 
-/// The answers that one entry holds. When a release time is moved, the answers
-/// move with it; when it is taken away, they are due at once. Not thread-safe.
-class ReleaseGate {
+/// The answers that one entry holds until their release. They follow changes of
+/// their class: if its release time is changed, so is theirs, and if it is
+/// removed, they are due at once. Not thread-safe.
+class ReleaseQueue {
 public:
   void hold(const HeldAnswer &answer);
-  /// The caller has gone.
+  /// Drops the answer to the request, for example because its caller has
+  /// disconnected. Returns false if no such answer is held.
   bool forget(const RequestId &id);
-  /// Takes out what is due now by the classes' present release times. A class
-  /// that is no longer configured counts as released.
+  /// Removes and returns the answers that are due now by the release times of
+  /// the given classes. The answers of a class that is not among them are due.
   std::vector<HeldAnswer> takeDue(const std::vector<RequestClass> &classes,
                                   WallTime now);
-  /// When takeDue should next be called, unless the configuration changes.
+  /// Time at which takeDue should be called next, unless the configuration
+  /// changes before; nullopt if no answer is held.
   std::optional<WallTime>
   nextDue(const std::vector<RequestClass> &classes) const;
+  /// Number of answers held.
   size_t held() const;
 
 private:
--- a/src/decide/retry_budget.h
+++ b/src/decide/retry_budget.h
@@ -1,5 +1,5 @@
-/// Keeps retries to a share of recent requests, so that a failing domain does
-/// not multiply the load on the rest.
+/// Limits retries to a share of recent requests, so that the retries caused by
+/// a failing failure domain don't overload the other ones.
 #pragma once
 
 #include <atomic>
@@ -8,30 +8,33 @@
 namespace daisytack {
 
 struct RetryBudgetSettings {
-  double Share = 0.2;    ///< Retries per request.
-  uint32_t Reserve = 10; ///< Retries that may be saved up; also the start.
+  double Share = 0.2;    ///< Retries allowed per request.
+  uint32_t Reserve = 10; ///< Upper bound of the balance, in retries; also the
+                         ///< initial balance.
   bool operator==(const RetryBudgetSettings &) const = default;
 };
 
-/// Over any stretch of time the retries are at most Share times the requests of
-/// that stretch, plus Reserve. Thread-safe and lock-free.
+/// A token bucket to which each request adds Share tokens and from which each
+/// retry takes one. In any period, the number of retries is at most Share times
+/// the number of requests plus Reserve. Thread-safe and lock-free.
 class RetryBudget {
 public:
   explicit RetryBudget(RetryBudgetSettings settings);
 
-  /// A first attempt is made.
+  /// Records the first attempt at a request.
   void onRequest();
-  /// Takes one retry from the budget; false when it is spent.
+  /// Takes one retry from the budget. Returns false if less than one is left.
   bool tryRetry();
-  /// Whole retries left.
+  /// Number of whole retries left.
   uint32_t left() const;
 
 private:
-  static constexpr int64_t Unit = 1'000'000;
+  /// One retry, in the units of the fields below.
+  static constexpr int64_t UnitsPerRetry = 1'000'000;
 
-  int64_t Deposit;
-  int64_t Most;
-  std::atomic<int64_t> Saved;
+  int64_t Deposit;              ///< Added to the balance by each request.
+  int64_t MaxBalance;           ///< Upper bound of the balance.
+  std::atomic<int64_t> Balance; ///< Current balance.
 };
 
 } // namespace daisytack
--- a/tests/decide/recovery_test.cpp
+++ b/tests/decide/recovery_test.cpp
@@ -38,11 +38,12 @@
   if (!delay)
     return;
   RC_ASSERT(*delay >= after);
-  RC_ASSERT(*delay <= after + settings.Most);
+  RC_ASSERT(*delay <= after + settings.MaxDelay);
   RC_ASSERT(*delay + needed <= remaining);
 }
 
-/// The rule of RFD 1: in no window are more than max(floor(n / 3), 1) ejected.
+/// RFD 1 requires that at most max(floor(n / 3), 1) of n servers are ejected in
+/// any window.
 RC_GTEST_PROP(Ejection, IsCappedPerWindow, ()) {
   auto n = *rc::gen::inRange<size_t>(2, 30);
   EjectionSettings settings;
@@ -61,7 +62,7 @@
     RC_ASSERT(ejected[i] - ejected[i - ejectionCap(n)] >= settings.Window);
 }
 
-TEST(Ejection, TheLastServerStaysForItsDelayAndServersReturn) {
+TEST(Ejection, TheLastServerIsEjectedAfterItsDelayAndReturns) {
   Ejector ejector({});
   for (int i = 0; i < 10; ++i)
     EXPECT_NE(ejector.onFailure(7, 1, 1, at(i)), EjectionVerdict::Ejected);
@@ -70,7 +71,7 @@
   EXPECT_FALSE(ejector.isEjected(1, at(605'000)));
 }
 
-TEST(Ejection, SlowAnswersCountAndGoodOnesClear) {
+TEST(Ejection, SlowAnswersCountAsFailuresAndOthersResetThem) {
   Ejector ejector({});
   auto answer = [&](int64_t took) {
     return ejector.onAnswer(7, 9, 1, millis(100), millis(took), Epoch);
@@ -96,7 +97,7 @@
 
 } // namespace
 
-TEST(Release, LateMissingAndMovedTimes) {
+TEST(Release, HandlesLateMissingAndChangedReleaseTimes) {
   EXPECT_EQ(decideRelease(bulletin({}), wall(5)).Step, ReleaseStep::SendNow);
   EXPECT_EQ(decideRelease(bulletin(wall(9)), wall(5)),
             (ReleaseDecision{ReleaseStep::HoldUntil, wall(9), millis(0)}));
@@ -106,19 +107,20 @@
             ErrorKind::DeadlineTooShort);
   EXPECT_FALSE(checkRelease(bulletin(wall(10)), millis(5), wall(5)));
 
-  ReleaseGate gate;
-  gate.hold({{1, 1}, "bulletin", wall(1)});
-  gate.hold({{1, 2}, "bulletin", wall(2)});
-  gate.hold({{1, 3}, "bulletin", wall(3)});
-  EXPECT_TRUE(gate.forget({1, 3}));
-  EXPECT_FALSE(gate.forget({1, 3}));
-  EXPECT_EQ(gate.nextDue({bulletin(wall(9))}), wall(9));
-  EXPECT_TRUE(gate.takeDue({bulletin(wall(9))}, wall(8)).empty());
-  // Moved later, then taken away: both go at once and together.
-  EXPECT_TRUE(gate.takeDue({bulletin(wall(20))}, wall(9)).empty());
-  EXPECT_EQ(gate.takeDue({bulletin({})}, wall(9)).size(), 2U);
-  EXPECT_EQ(gate.held(), 0U);
-  EXPECT_EQ(gate.nextDue({}), std::nullopt);
+  ReleaseQueue queue;
+  queue.hold({{1, 1}, "bulletin", wall(1)});
+  queue.hold({{1, 2}, "bulletin", wall(2)});
+  queue.hold({{1, 3}, "bulletin", wall(3)});
+  EXPECT_TRUE(queue.forget({1, 3}));
+  EXPECT_FALSE(queue.forget({1, 3}));
+  EXPECT_EQ(queue.nextDue({bulletin(wall(9))}), wall(9));
+  EXPECT_TRUE(queue.takeDue({bulletin(wall(9))}, wall(8)).empty());
+  // The release time is moved to a later one, then removed: then both answers
+  // are due at once.
+  EXPECT_TRUE(queue.takeDue({bulletin(wall(20))}, wall(9)).empty());
+  EXPECT_EQ(queue.takeDue({bulletin({})}, wall(9)).size(), 2U);
+  EXPECT_EQ(queue.held(), 0U);
+  EXPECT_EQ(queue.nextDue({}), std::nullopt);
 }
 
 } // namespace daisytack
