--- a/bench/decide.cpp
+++ b/bench/decide.cpp
@@ -180,7 +180,7 @@
     all[i].RequestsPerSecond = 1e6;
   }
   OrganisationLimits limits(1, {});
-  AllotmentOwner owner({});
+  QuotaOwner owner({});
   RetryBudget budget({});
   uint64_t sink = 0;
   measure("limit: admit and finish", size.c_str(), 20'000, [&](uint64_t i) {
@@ -193,7 +193,7 @@
   measure("limit: owner's grant", size.c_str(), 20'000, [&](uint64_t i) {
     const Organisation &organisation = all[mix64(i) % organisations];
     TimePoint now = Epoch + Duration(static_cast<int64_t>(i) * 7'000);
-    AllotmentRequest request;
+    QuotaRequest request;
     request.Organisation = hashName(organisation.Name);
     request.Entry = mix64(i % Entries);
     request.Requests = 1;
--- a/bench/limits.cpp
+++ b/bench/limits.cpp
@@ -74,7 +74,7 @@
     ++out.Requests;
     if (decision.Ask) {
       ++out.Asks;
-      AllotmentGrant grant;
+      QuotaGrant grant;
       grant.Organisation = decision.Ask->Organisation;
       grant.Sequence = decision.Ask->Sequence;
       grant.Requests = decision.Ask->Requests;
@@ -98,8 +98,8 @@
   settings.StaticShare = staticShare;
   settings.LeastDepth = depth;
   Row row = run(settings);
-  size_t bytes = wire::encode(std::variant<AllotmentRequest>()).size() +
-                 wire::encode(std::variant<AllotmentGrant>()).size();
+  size_t bytes = wire::encode(std::variant<QuotaRequest>()).size() +
+                 wire::encode(std::variant<QuotaGrant>()).size();
   Organisation usual;
   usual.RequestsPerSecond = 46;
   usual.Burst = 460;
--- a/bench/policy_run.h
+++ b/bench/policy_run.h
@@ -153,7 +153,7 @@
   std::vector<std::unique_ptr<PrefixPopularity>> Popularity;
   std::vector<std::unique_ptr<ReuseEstimate>> Reuse;
   std::vector<std::unique_ptr<OrganisationLimits>> Limits;
-  std::vector<std::unique_ptr<AllotmentOwner>> Owners;
+  std::vector<std::unique_ptr<QuotaOwner>> Owners;
   std::shared_ptr<Snapshot> Members;
   std::unique_ptr<RoutingTable> Table;
   RouterSettings RouteSettings;
--- a/bench/policy_steps.h
+++ b/bench/policy_steps.h
@@ -38,7 +38,7 @@
                                                     RouteSettings.NextReuse));
     Limits.push_back(
         std::make_unique<OrganisationLimits>(i + 1, LimitSettings{}));
-    Owners.push_back(std::make_unique<AllotmentOwner>(LimitSettings{}));
+    Owners.push_back(std::make_unique<QuotaOwner>(LimitSettings{}));
   }
   Out.Records.resize(stream.size());
   buildSnapshot();
--- a/src/control/peer_messages.h
+++ b/src/control/peer_messages.h
@@ -103,6 +103,6 @@
 /// Every message. The order is part of the protocol: append only.
 using PeerMessage =
     std::variant<Digest, Rumour, Pull, TooLarge, Page, ForceProbe, ForceAnswer,
-                 AllotmentRequest, AllotmentGrant>;
+                 QuotaRequest, QuotaGrant>;
 
 } // namespace daisytack::control
--- a/src/decide/limit_messages.h
+++ b/src/decide/limit_messages.h
@@ -10,7 +10,7 @@
 /// Requests a part of an organisation's pool. Organisation and Entry are the
 /// hashName of the respective name. Rates are in thousandths of a request per
 /// second.
-struct AllotmentRequest {
+struct QuotaRequest {
   uint64_t Organisation = 0;
   uint64_t Entry = 0;
   uint64_t Sequence = 0; ///< Increases with each request of the entry for the
@@ -21,7 +21,7 @@
   uint32_t Slots = 0; ///< Wanted concurrent requests beyond the static share.
   uint32_t SlotsHeld = 0; ///< Concurrent requests now running beyond the static
                           ///< share.
-  bool operator==(const AllotmentRequest &) const = default;
+  bool operator==(const QuotaRequest &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Organisation, Entry, Sequence, Requests, Rate, RateHeld, Slots,
        SlotsHeld);
@@ -32,14 +32,14 @@
 /// ValidMicros from the time at which the entry sent its request. Rate and
 /// Slots replace those of the previous grant; Requests are added to the entry's
 /// tokens.
-struct AllotmentGrant {
+struct QuotaGrant {
   uint64_t Organisation = 0;
   uint64_t Sequence = 0;
   uint32_t Requests = 0;
   uint32_t Rate = 0;
   uint32_t Slots = 0;
   uint64_t ValidMicros = 0;
-  bool operator==(const AllotmentGrant &) const = default;
+  bool operator==(const QuotaGrant &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Organisation, Sequence, Requests, Rate, Slots, ValidMicros);
   }
--- a/src/decide/limits.cpp
+++ b/src/decide/limits.cpp
@@ -71,8 +71,8 @@
          pool.Rate * seconds(window + settings.Valid) + pool.Depth;
 }
 
-const Member *allotmentOwner(uint64_t organisationHash,
-                             std::span<const Member> entries) {
+const Member *quotaOwner(uint64_t organisationHash,
+                         std::span<const Member> entries) {
   const Member *owner = nullptr;
   uint64_t ownerWeight = 0;
   for (const Member &entry : entries) {
@@ -135,7 +135,7 @@
   return grantEndsSoon || slotsExhausted || rateExceeded;
 }
 
-std::optional<AllotmentRequest>
+std::optional<QuotaRequest>
 OrganisationLimits::requestQuota(uint64_t organisation, State &state,
                                  TimePoint now) const {
   const LimitShare &limit = state.Limit;
@@ -147,7 +147,7 @@
   double excessRate = std::max(state.Demand * DemandMargin - limit.Rate, 0.0);
   uint32_t slotsInUse =
       state.Running > limit.Slots ? state.Running - limit.Slots : 0;
-  AllotmentRequest out;
+  QuotaRequest out;
   out.Organisation = organisation;
   out.Entry = Entry;
   out.Sequence = state.Sequence;
@@ -206,7 +206,7 @@
     --it->second.Running;
 }
 
-void OrganisationLimits::apply(const AllotmentGrant &grant, TimePoint now) {
+void OrganisationLimits::apply(const QuotaGrant &grant, TimePoint now) {
   StateMap::accessor it;
   if (!States.find(it, grant.Organisation))
     return;
@@ -237,10 +237,10 @@
     States.erase(hash);
 }
 
-AllotmentOwner::AllotmentOwner(LimitSettings settings) : Settings(settings) {}
+QuotaOwner::QuotaOwner(LimitSettings settings) : Settings(settings) {}
 
-void AllotmentOwner::refresh(PoolState &pool, const LimitShare &limit,
-                             TimePoint now) const {
+void QuotaOwner::refresh(PoolState &pool, const LimitShare &limit,
+                         TimePoint now) const {
   if (!pool.IsInitialised) {
     pool.IsInitialised = true;
     pool.RefilledAt = now;
@@ -257,10 +257,10 @@
                 [now](const auto &it) { return it.second.Until <= now; });
 }
 
-AllotmentOwner::Lease AllotmentOwner::lease(const PoolState &pool,
-                                            const LimitShare &limit,
-                                            const AllotmentRequest &request,
-                                            TimePoint now) const {
+QuotaOwner::Lease QuotaOwner::lease(const PoolState &pool,
+                                    const LimitShare &limit,
+                                    const QuotaRequest &request,
+                                    TimePoint now) const {
   Lease others;
   double holders = 1;
   for (const auto &[entry, it] : pool.Leases) {
@@ -301,9 +301,8 @@
   return out;
 }
 
-AllotmentGrant AllotmentOwner::grant(const Organisation &organisation,
-                                     const AllotmentRequest &request,
-                                     TimePoint now) {
+QuotaGrant QuotaOwner::grant(const Organisation &organisation,
+                             const QuotaRequest &request, TimePoint now) {
   PoolMap::accessor it;
   Pools.insert(it, request.Organisation);
   PoolState &pool = it->second;
@@ -320,7 +319,7 @@
   double maxTokens = std::max(std::floor(pool.Tokens / 2), 1.0);
   double tokens = std::min({static_cast<double>(request.Requests), maxTokens,
                             std::floor(pool.Tokens)});
-  AllotmentGrant out;
+  QuotaGrant out;
   out.Organisation = request.Organisation;
   out.Sequence = request.Sequence;
   out.Requests = static_cast<uint32_t>(std::max(tokens, 0.0));
@@ -331,7 +330,7 @@
   return out;
 }
 
-void AllotmentOwner::forgetIdle(Duration idle, TimePoint now) {
+void QuotaOwner::forgetIdle(Duration idle, TimePoint now) {
   std::vector<uint64_t> idleHashes;
   for (const auto &[hash, pool] : Pools)
     if (pool.LastRequestAt + idle < now)
--- a/src/decide/limits.h
+++ b/src/decide/limits.h
@@ -57,8 +57,8 @@
 
 /// The entry that owns the organisation's pool; nullptr if there are no
 /// entries.
-const Member *allotmentOwner(uint64_t organisationHash,
-                             std::span<const Member> entries);
+const Member *quotaOwner(uint64_t organisationHash,
+                         std::span<const Member> entries);
 
 enum class LimitVerdict : uint8_t {
   Admitted,
@@ -74,7 +74,7 @@
   /// Quota request that the caller must send to the owner; nullopt for none. An
   /// admitted request can carry one as well: a busy entry requests quota before
   /// it runs out.
-  std::optional<AllotmentRequest> Ask;
+  std::optional<QuotaRequest> Ask;
   double TokensLeft = 0; ///< Requests that could still be admitted now.
   bool operator==(const LimitDecision &) const = default;
 };
@@ -95,7 +95,7 @@
   void finished(uint64_t organisationHash);
   /// Applies a grant. It is ignored unless it answers the latest quota request
   /// for the organisation and that one has not been answered yet.
-  void apply(const AllotmentGrant &grant, TimePoint now);
+  void apply(const QuotaGrant &grant, TimePoint now);
   /// Drops the state of organisations that have no running requests and got
   /// neither requests nor grants for the given time.
   void forgetIdle(Duration idle, TimePoint now);
@@ -123,8 +123,8 @@
 
   void refresh(State &state, TimePoint now) const;
   bool shouldRequestEarly(const State &state, TimePoint now) const;
-  std::optional<AllotmentRequest>
-  requestQuota(uint64_t organisation, State &state, TimePoint now) const;
+  std::optional<QuotaRequest> requestQuota(uint64_t organisation, State &state,
+                                           TimePoint now) const;
 
   uint64_t Entry;
   LimitSettings Settings;
@@ -134,13 +134,13 @@
 /// Grants parts of the pools that one entry owns. A pool starts empty, so that
 /// a new owner doesn't grant again what its predecessor has granted.
 /// Thread-safe: a grant takes a short lock on its organisation.
-class AllotmentOwner {
+class QuotaOwner {
 public:
-  explicit AllotmentOwner(LimitSettings settings);
+  explicit QuotaOwner(LimitSettings settings);
 
   /// Answers an entry's quota request. The grant may be zero in every part.
-  AllotmentGrant grant(const Organisation &organisation,
-                       const AllotmentRequest &request, TimePoint now);
+  QuotaGrant grant(const Organisation &organisation,
+                   const QuotaRequest &request, TimePoint now);
   /// Drops the pools for which no quota request came for the given time.
   void forgetIdle(Duration idle, TimePoint now);
   size_t size() const { return Pools.size(); }
@@ -169,7 +169,7 @@
   void refresh(PoolState &pool, const LimitShare &limit, TimePoint now) const;
   /// The lease to grant for the request.
   Lease lease(const PoolState &pool, const LimitShare &limit,
-              const AllotmentRequest &request, TimePoint now) const;
+              const QuotaRequest &request, TimePoint now) const;
 
   LimitSettings Settings;
   PoolMap Pools;
--- a/src/runtime/control_process.cpp
+++ b/src/runtime/control_process.cpp
@@ -224,13 +224,13 @@
   } else if (const auto *force = std::get_if<control::ForceAnswer>(&message)) {
     for (auto &[number, gathering] : Gatherings)
       gathering.State.onAnswer(*force);
-  } else if (const auto *asked = std::get_if<AllotmentRequest>(&message)) {
-    std::optional<AllotmentGrant> grant;
+  } else if (const auto *asked = std::get_if<QuotaRequest>(&message)) {
+    std::optional<QuotaGrant> grant;
     if (AllotmentAsked)
       grant = AllotmentAsked(*asked);
     if (grant)
       Peers->send(from, wire::encode(control::PeerMessage(*grant)));
-  } else if (const auto *grant = std::get_if<AllotmentGrant>(&message)) {
+  } else if (const auto *grant = std::get_if<QuotaGrant>(&message)) {
     if (Granted)
       Granted(*grant);
   } else {
--- a/src/runtime/control_process.h
+++ b/src/runtime/control_process.h
@@ -39,7 +39,7 @@
   void propose(control::Command command, CommandDone done);
   void gatherInForce(uint64_t revision, Duration timeout,
                      std::function<void(control::ForceReport)> done);
-  void requestAllotment(const Endpoint &peer, const AllotmentRequest &request);
+  void requestAllotment(const Endpoint &peer, const QuotaRequest &request);
   void setKeys(net::PeerKeys keys);
 
   /// From any thread.
@@ -50,9 +50,8 @@
 
   /// Set before start().
   std::function<void(std::shared_ptr<const Snapshot>)> Published;
-  std::function<std::optional<AllotmentGrant>(const AllotmentRequest &)>
-      AllotmentAsked;
-  std::function<void(const AllotmentGrant &)> Granted;
+  std::function<std::optional<QuotaGrant>(const QuotaRequest &)> AllotmentAsked;
+  std::function<void(const QuotaGrant &)> Granted;
 
 private:
   /// A question how far a revision got.
--- a/src/runtime/control_requests.cpp
+++ b/src/runtime/control_requests.cpp
@@ -81,7 +81,7 @@
 }
 
 void ControlProcess::requestAllotment(const Endpoint &peer,
-                                      const AllotmentRequest &request) {
+                                      const QuotaRequest &request) {
   Peers->send(peer, wire::encode(control::PeerMessage(request)));
 }
 
--- a/src/runtime/control_runtime.cpp
+++ b/src/runtime/control_runtime.cpp
@@ -38,17 +38,16 @@
 }
 
 void ControlRuntime::onAllotmentRequest(
-    std::function<std::optional<AllotmentGrant>(const AllotmentRequest &)>
-        hook) {
+    std::function<std::optional<QuotaGrant>(const QuotaRequest &)> hook) {
   Self->AllotmentAsked = std::move(hook);
 }
 
-void ControlRuntime::onGrant(std::function<void(const AllotmentGrant &)> hook) {
+void ControlRuntime::onGrant(std::function<void(const QuotaGrant &)> hook) {
   Self->Granted = std::move(hook);
 }
 
 void ControlRuntime::requestAllotment(const Endpoint &peer,
-                                      const AllotmentRequest &request) {
+                                      const QuotaRequest &request) {
   Self->post([peer, request](ControlProcess &self) {
     self.requestAllotment(peer, request);
   });
--- a/src/runtime/control_runtime.h
+++ b/src/runtime/control_runtime.h
@@ -102,13 +102,12 @@
 
   /// Asks the entry that allots an organisation's limits; onGrant receives the
   /// answer, when one comes.
-  void requestAllotment(const Endpoint &peer, const AllotmentRequest &request);
+  void requestAllotment(const Endpoint &peer, const QuotaRequest &request);
   /// Both are called on I/O threads, one at a time. Set before start(). Without
   /// a grant the request stays unanswered.
   void onAllotmentRequest(
-      std::function<std::optional<AllotmentGrant>(const AllotmentRequest &)>
-          hook);
-  void onGrant(std::function<void(const AllotmentGrant &)> hook);
+      std::function<std::optional<QuotaGrant>(const QuotaRequest &)> hook);
+  void onGrant(std::function<void(const QuotaGrant &)> hook);
 
   /// Asks live members which revision they have in force.
   void gatherInForce(uint64_t revision, Duration timeout,
--- a/tests/decide/limits_test.cpp
+++ b/tests/decide/limits_test.cpp
@@ -27,7 +27,7 @@
 struct Fleet {
   LimitSettings Settings;
   std::deque<OrganisationLimits> Entries;
-  AllotmentOwner Owner;
+  QuotaOwner Owner;
   bool IsPartitioned = false;
 
   Fleet(size_t entries, LimitSettings settings)
@@ -112,9 +112,9 @@
 
 TEST(Limits, ANewOwnerRenewsSlotsInUseBeforeItGrantsOthers) {
   Organisation organisation = makeOrganisation(100, 100, 20);
-  AllotmentOwner owner({});
-  AllotmentRequest held{hashName("o"), 1, 1, 0, 0, 0, 8, 6};
-  AllotmentRequest other{hashName("o"), 2, 1, 0, 0, 0, 8, 0};
+  QuotaOwner owner({});
+  QuotaRequest held{hashName("o"), 1, 1, 0, 0, 0, 8, 6};
+  QuotaRequest other{hashName("o"), 2, 1, 0, 0, 0, 8, 0};
   EXPECT_EQ(owner.grant(organisation, other, Epoch).Slots, 0U);
   EXPECT_EQ(owner.grant(organisation, held, at(100)).Slots, 6U);
   EXPECT_EQ(owner.grant(organisation, other, at(2'000)).Slots, 4U);
@@ -130,7 +130,7 @@
   LimitDecision exhausted = entry.admit(organisation, 2, Epoch);
   ASSERT_EQ(exhausted.Verdict, LimitVerdict::AskOwner);
   ASSERT_TRUE(exhausted.Ask);
-  AllotmentGrant grant{
+  QuotaGrant grant{
       exhausted.Ask->Organisation, exhausted.Ask->Sequence, 1, 0, 0, 2'000'000};
   entry.apply(grant, Epoch);
   entry.apply(grant, Epoch);
@@ -151,12 +151,12 @@
   std::vector<Member> entries(10);
   for (size_t i = 0; i < entries.size(); ++i)
     entries[i].Name = "entry" + std::to_string(i);
-  EXPECT_EQ(allotmentOwner(1, {}), nullptr);
+  EXPECT_EQ(quotaOwner(1, {}), nullptr);
   std::vector<Member> fewer(entries.begin() + 1, entries.end());
   for (uint64_t i = 0; i < 500; ++i) {
-    const Member *before = allotmentOwner(mix64(i), entries);
+    const Member *before = quotaOwner(mix64(i), entries);
     if (before->Name != "entry0") {
-      EXPECT_EQ(allotmentOwner(mix64(i), fewer)->Name, before->Name);
+      EXPECT_EQ(quotaOwner(mix64(i), fewer)->Name, before->Name);
     }
   }
 }
--- a/tests/matrix/entry_host.cpp
+++ b/tests/matrix/entry_host.cpp
@@ -62,7 +62,7 @@
     return refuse(submission, {ErrorKind::Unauthenticated, "deleted"});
   LimitDecision decision =
       Limits.admit(*caller, config.Entries.size(), On.Now());
-  const Member *owner = allotmentOwner(hashName(caller->Name), config.Entries);
+  const Member *owner = quotaOwner(hashName(caller->Name), config.Entries);
   if (decision.Ask && owner != nullptr)
     On.AskOwner(owner->Name, *decision.Ask);
   if (decision.Verdict == LimitVerdict::Admitted)
@@ -284,14 +284,14 @@
     push(id, ConfigChanged{});
 }
 
-AllotmentGrant EntryHost::grant(const AllotmentRequest &ask) {
+QuotaGrant EntryHost::grant(const QuotaRequest &ask) {
   for (const Organisation &it : Routes->snapshot().Organisations)
     if (hashName(it.Name) == ask.Organisation)
       return Owner.grant(it, ask, On.Now());
   return {};
 }
 
-void EntryHost::onGrant(const AllotmentGrant &grant) {
+void EntryHost::onGrant(const QuotaGrant &grant) {
   Limits.apply(grant, On.Now());
 }
 
--- a/tests/matrix/entry_host.h
+++ b/tests/matrix/entry_host.h
@@ -46,7 +46,7 @@
     /// Connects when there is no link; onHello or onLinkClosed follows.
     std::function<void(const std::string &server)> Connect;
     std::function<void(const std::string &server, wire::Message)> Send;
-    std::function<void(const std::string &peer, AllotmentRequest)> AskOwner;
+    std::function<void(const std::string &peer, QuotaRequest)> AskOwner;
     std::function<void(Step)> Reached;
     std::function<void()> Exit;
     RandomSource Random;
@@ -62,8 +62,8 @@
   void onMessage(const std::string &server, wire::Message message);
   void onLinkClosed(const std::string &server);
   void onSnapshot(std::shared_ptr<const Snapshot> snapshot);
-  AllotmentGrant grant(const AllotmentRequest &ask);
-  void onGrant(const AllotmentGrant &grant);
+  QuotaGrant grant(const QuotaRequest &ask);
+  void onGrant(const QuotaGrant &grant);
   void drain();
 
   /// Submissions without a final answer, with the server and the number of
@@ -137,7 +137,7 @@
   std::shared_ptr<const RoutingTable> Routes;
   LoadView Loads;
   OrganisationLimits Limits;
-  AllotmentOwner Owner;
+  QuotaOwner Owner;
   RetryBudget Retries;
   PieceKeyer Keyer;
   BindingBudget Bindings;
--- a/tests/matrix/world.cpp
+++ b/tests/matrix/world.cpp
@@ -192,11 +192,10 @@
   hooks.Send = [this, name](const std::string &server, wire::Message message) {
     sendToAgent(name, server, message);
   };
-  hooks.AskOwner = [this, name](const std::string &owner,
-                                AllotmentRequest ask) {
+  hooks.AskOwner = [this, name](const std::string &owner, QuotaRequest ask) {
     after(owner, Processes.at(owner).Life, Duration(1'000),
           [this, name, owner, ask] {
-            AllotmentGrant grant = Processes.at(owner).Entry->grant(ask);
+            QuotaGrant grant = Processes.at(owner).Entry->grant(ask);
             after(name, Processes.at(name).Life, Duration(1'000),
                   [this, name, grant] {
                     Processes.at(name).Entry->onGrant(grant);
--- a/tools/entry/entry_shell.cpp
+++ b/tools/entry/entry_shell.cpp
@@ -24,7 +24,7 @@
 
 EntryPeers peersOf(runtime::ControlRuntime &control) {
   EntryPeers out;
-  out.Ask = [&control](const Endpoint &peer, const AllotmentRequest &request) {
+  out.Ask = [&control](const Endpoint &peer, const QuotaRequest &request) {
     control.requestAllotment(peer, request);
   };
   out.ReportDraining = [&control](const std::string &server) {
@@ -69,11 +69,11 @@
   Control.onPublished([this](std::shared_ptr<const Snapshot> snapshot) {
     State.publish(std::move(snapshot));
   });
-  Control.onAllotmentRequest([this](const AllotmentRequest &request) {
+  Control.onAllotmentRequest([this](const QuotaRequest &request) {
     return State.Limits.grant(request, State.table()->snapshot());
   });
   Control.onGrant(
-      [this](const AllotmentGrant &grant) { State.Limits.apply(grant); });
+      [this](const QuotaGrant &grant) { State.Limits.apply(grant); });
   return Control.start(reason) && Operators.start(reason) &&
          Callers.start(reason);
 }
--- a/tools/entry/limit_desk.cpp
+++ b/tools/entry/limit_desk.cpp
@@ -47,9 +47,8 @@
 }
 
 bool LimitDesk::ask(const Organisation &organisation, const Snapshot &config,
-                    const AllotmentRequest &request) {
-  const Member *owner =
-      allotmentOwner(hashName(organisation.Name), config.Entries);
+                    const QuotaRequest &request) {
+  const Member *owner = quotaOwner(hashName(organisation.Name), config.Entries);
   if (owner == nullptr)
     return false;
   if (owner->Name != Self) {
@@ -65,16 +64,16 @@
   Limits.finished(hashName(organisation));
 }
 
-std::optional<AllotmentGrant> LimitDesk::grant(const AllotmentRequest &request,
-                                               const Snapshot &config) {
+std::optional<QuotaGrant> LimitDesk::grant(const QuotaRequest &request,
+                                           const Snapshot &config) {
   const Organisation *organisation = findByHash(config, request.Organisation);
-  const Member *owner = allotmentOwner(request.Organisation, config.Entries);
+  const Member *owner = quotaOwner(request.Organisation, config.Entries);
   if (organisation == nullptr || owner == nullptr || owner->Name != Self)
     return std::nullopt;
   return Owner.grant(*organisation, request, monotonicNow());
 }
 
-void LimitDesk::apply(const AllotmentGrant &grant) {
+void LimitDesk::apply(const QuotaGrant &grant) {
   Limits.apply(grant, monotonicNow());
 }
 
--- a/tools/entry/limit_desk.h
+++ b/tools/entry/limit_desk.h
@@ -15,7 +15,7 @@
 
 /// How peers are asked; from ControlRuntime.
 using AskPeer =
-    std::function<void(const Endpoint &peer, const AllotmentRequest &request)>;
+    std::function<void(const Endpoint &peer, const QuotaRequest &request)>;
 
 /// Thread-safe.
 class LimitDesk {
@@ -31,21 +31,21 @@
   void finished(std::string_view organisation);
 
   /// From peers.
-  std::optional<AllotmentGrant> grant(const AllotmentRequest &request,
-                                      const Snapshot &config);
-  void apply(const AllotmentGrant &grant);
+  std::optional<QuotaGrant> grant(const QuotaRequest &request,
+                                  const Snapshot &config);
+  void apply(const QuotaGrant &grant);
 
 private:
   /// True when this process is the owner and has answered already.
   bool ask(const Organisation &organisation, const Snapshot &config,
-           const AllotmentRequest &request);
+           const QuotaRequest &request);
 
   boost::asio::io_context &Io;
   const std::string Self;
   const LimitSettings Settings;
   const AskPeer Ask;
   OrganisationLimits Limits;
-  AllotmentOwner Owner;
+  QuotaOwner Owner;
 };
 
 } // namespace daisytack::entry
