--- a/bench/decide.cpp
+++ b/bench/decide.cpp
@@ -188,7 +188,7 @@
     TimePoint now = Epoch + Duration(static_cast<int64_t>(i) * 7'000);
     LimitDecision out = limits.admit(organisation, Entries, now);
     sink += out.Verdict == LimitVerdict::Admitted;
-    limits.finished(hashName(organisation.Name));
+    limits.releaseSlot(hashName(organisation.Name));
   });
   measure("limit: owner's grant", size.c_str(), 20'000, [&](uint64_t i) {
     const Organisation &organisation = all[mix64(i) % organisations];
--- a/bench/limits.cpp
+++ b/bench/limits.cpp
@@ -72,21 +72,21 @@
     TimePoint now(Duration(static_cast<int64_t>((1'000 + t) * 1e6)));
     LimitDecision decision = limits.admit(organisation, Entries, now);
     ++out.Requests;
-    if (decision.Ask) {
+    if (decision.OwnerRequest) {
       ++out.Asks;
       QuotaGrant grant;
-      grant.Organisation = decision.Ask->Organisation;
-      grant.Sequence = decision.Ask->Sequence;
-      grant.Requests = decision.Ask->Requests;
-      grant.Rate = decision.Ask->Rate;
-      grant.Slots = decision.Ask->Slots;
-      grant.ValidMicros = static_cast<uint64_t>(settings.Valid.count());
+      grant.Organisation = decision.OwnerRequest->Organisation;
+      grant.Sequence = decision.OwnerRequest->Sequence;
+      grant.Requests = decision.OwnerRequest->Requests;
+      grant.Rate = decision.OwnerRequest->Rate;
+      grant.Slots = decision.OwnerRequest->Slots;
+      grant.ValidMicros = static_cast<uint64_t>(settings.GrantValidity.count());
       limits.apply(grant, now);
     }
-    if (decision.Verdict == LimitVerdict::AskOwner)
+    if (decision.Verdict == LimitVerdict::AwaitGrant)
       decision = limits.admit(organisation, Entries, now);
     if (decision.Verdict == LimitVerdict::Admitted)
-      limits.finished(hashName(organisation.Name));
+      limits.releaseSlot(hashName(organisation.Name));
     else
       ++out.Refused;
   }
@@ -96,7 +96,7 @@
 void measure(double staticShare, double depth) {
   LimitSettings settings;
   settings.StaticShare = staticShare;
-  settings.LeastDepth = depth;
+  settings.MinDepth = depth;
   Row row = run(settings);
   size_t bytes = wire::encode(std::variant<QuotaRequest>()).size() +
                  wire::encode(std::variant<QuotaGrant>()).size();
--- a/bench/policy_steps.h
+++ b/bench/policy_steps.h
@@ -124,11 +124,12 @@
 inline bool PolicyRun::isWithinLimit(const Request &request, uint32_t entry) {
   const Organisation &customer = Customers[request.Organisation];
   LimitDecision decision = Limits[entry]->admit(customer, What.Entries, Now);
-  if (decision.Ask) {
+  if (decision.OwnerRequest) {
     auto &owner = *Owners[request.Organisation % Owners.size()];
-    Limits[entry]->apply(owner.grant(customer, *decision.Ask, Now), Now);
+    Limits[entry]->apply(owner.grant(customer, *decision.OwnerRequest, Now),
+                         Now);
   }
-  if (decision.Verdict == LimitVerdict::AskOwner)
+  if (decision.Verdict == LimitVerdict::AwaitGrant)
     decision = Limits[entry]->admit(customer, What.Entries, Now);
   return decision.Verdict == LimitVerdict::Admitted;
 }
@@ -150,7 +151,7 @@
   if (place(job, entry, std::nullopt))
     return;
   record.Refused = true;
-  Limits[entry]->finished(hashName(Customers[request.Organisation].Name));
+  Limits[entry]->releaseSlot(hashName(Customers[request.Organisation].Name));
 }
 
 inline std::vector<uint32_t> PolicyRun::route(const Request &request,
@@ -334,7 +335,8 @@
   agent.Jobs.erase(index);
   job.Done = true;
   Out.Records[index].Took = Now - job.What->At + NetworkTime;
-  Limits[job.Entry]->finished(hashName(Customers[job.What->Organisation].Name));
+  Limits[job.Entry]->releaseSlot(
+      hashName(Customers[job.What->Organisation].Name));
   exportPieces(job);
   pumpQueue(job.Server);
   if (auto it = job.Places.find(job.Server); it != job.Places.end())
--- a/src/decide/limits.cpp
+++ b/src/decide/limits.cpp
@@ -46,7 +46,7 @@
       settings.StaticShare / static_cast<double>(std::max<size_t>(entries, 1));
   LimitShare out;
   out.Rate = organisation.RequestsPerSecond * share;
-  out.Depth = std::max(settings.LeastDepth, organisation.Burst * share);
+  out.Depth = std::max(settings.MinDepth, organisation.Burst * share);
   out.Slots = static_cast<uint32_t>(
       std::max(1.0, std::floor(organisation.MaxConcurrent * share)));
   return out;
@@ -68,7 +68,7 @@
   LimitShare pool = pooledLimit(organisation, settings);
   double each = local.Rate * seconds(window) + local.Depth;
   return static_cast<double>(entries) * each +
-         pool.Rate * seconds(window + settings.Valid) + pool.Depth;
+         pool.Rate * seconds(window + settings.GrantValidity) + pool.Depth;
 }
 
 const Member *quotaOwner(uint64_t organisationHash,
@@ -95,7 +95,7 @@
     state.Tokens = limit.Depth;
     state.RefilledAt = now;
     state.DemandUpdatedAt = now;
-    state.RequestedAt = now - Settings.AskInterval;
+    state.RequestedAt = now - Settings.QuotaRequestInterval;
   }
   // Granted tokens may exceed the static depth; refilled tokens may not.
   TimePoint leased = std::clamp(state.GrantedUntil, state.RefilledAt,
@@ -129,7 +129,7 @@
   bool staticSlotsExhausted = limit.Slots > 1 && state.Running >= limit.Slots;
   if (!busy && !staticSlotsExhausted)
     return false;
-  bool grantEndsSoon = now + Settings.Valid / 2 >= state.GrantedUntil;
+  bool grantEndsSoon = now + Settings.GrantValidity / 2 >= state.GrantedUntil;
   bool slotsExhausted = state.Running >= limit.Slots + state.SlotsGranted;
   bool rateExceeded = state.Demand > limit.Rate + state.RateGranted;
   return grantEndsSoon || slotsExhausted || rateExceeded;
@@ -139,7 +139,7 @@
 OrganisationLimits::requestQuota(uint64_t organisation, State &state,
                                  TimePoint now) const {
   const LimitShare &limit = state.Limit;
-  if (now < state.RequestedAt + Settings.AskInterval)
+  if (now < state.RequestedAt + Settings.QuotaRequestInterval)
     return std::nullopt;
   state.RequestedAt = now;
   state.IsGrantPending = true;
@@ -181,18 +181,18 @@
     out.Verdict = LimitVerdict::Admitted;
     out.TokensLeft = state.Tokens;
     if (shouldRequestEarly(state, now))
-      out.Ask = requestQuota(hash, state, now);
+      out.OwnerRequest = requestQuota(hash, state, now);
     return out;
   }
   out.TokensLeft = state.Tokens;
-  out.Ask = requestQuota(hash, state, now);
+  out.OwnerRequest = requestQuota(hash, state, now);
   bool isGrantExpected =
-      state.IsGrantPending && now < state.RequestedAt + Settings.GrantWait;
+      state.IsGrantPending && now < state.RequestedAt + Settings.MaxGrantWait;
   out.Verdict =
-      isGrantExpected ? LimitVerdict::AskOwner : LimitVerdict::Refused;
+      isGrantExpected ? LimitVerdict::AwaitGrant : LimitVerdict::Refused;
   out.Reason.Kind = ErrorKind::OrganisationLimit;
-  out.Reason.RetryAfter =
-      std::max(state.RequestedAt + Settings.AskInterval - now, Duration{1});
+  out.Reason.RetryAfter = std::max(
+      state.RequestedAt + Settings.QuotaRequestInterval - now, Duration{1});
   double rate = limit.Rate + state.RateGranted;
   if (slotFree && rate > 0)
     out.Reason.RetryAfter = std::min(out.Reason.RetryAfter,
@@ -200,7 +200,7 @@
   return out;
 }
 
-void OrganisationLimits::finished(uint64_t organisationHash) {
+void OrganisationLimits::releaseSlot(uint64_t organisationHash) {
   StateMap::accessor it;
   if (States.find(it, organisationHash) && it->second.Running > 0)
     --it->second.Running;
@@ -217,7 +217,7 @@
   // The validity counts from the quota request, so that a delayed grant does
   // not outlive the owner's lease.
   Duration valid = std::min(Duration(static_cast<int64_t>(grant.ValidMicros)),
-                            Settings.Valid);
+                            Settings.GrantValidity);
   TimePoint until = state.RequestedAt + valid;
   if (now >= until)
     return;
@@ -282,7 +282,7 @@
   };
   // Until the grants of a previous owner have expired, an entry only gets what
   // it already holds.
-  bool priorGrantsExpired = now >= pool.CreatedAt + Settings.Valid;
+  bool priorGrantsExpired = now >= pool.CreatedAt + Settings.GrantValidity;
   Lease out;
   out.RateWanted = request.Rate / MillisPerRequest;
   out.SlotsWanted = request.Slots;
@@ -297,7 +297,7 @@
       priorGrantsExpired ? out.SlotsWanted
                          : std::min<double>(request.Slots, request.SlotsHeld),
       request.SlotsHeld));
-  out.Until = now + Settings.Valid;
+  out.Until = now + Settings.GrantValidity;
   return out;
 }
 
@@ -326,7 +326,7 @@
   pool.Tokens -= out.Requests;
   out.Rate = static_cast<uint32_t>(granted.Rate * MillisPerRequest);
   out.Slots = static_cast<uint32_t>(granted.Slots);
-  out.ValidMicros = static_cast<uint64_t>(Settings.Valid.count());
+  out.ValidMicros = static_cast<uint64_t>(Settings.GrantValidity.count());
   return out;
 }
 
--- a/src/decide/limits.h
+++ b/src/decide/limits.h
@@ -21,14 +21,14 @@
 struct LimitSettings {
   double StaticShare = 0.5; ///< Share of rate, burst and concurrency that is
                             ///< split evenly among the entries.
-  double LeastDepth = 2; ///< Lower bound of the token bucket depth of an entry,
-                         ///< in requests, however many entries there are.
+  double MinDepth = 2; ///< Lower bound of the token bucket depth of an entry,
+                       ///< in requests, however many entries there are.
   /// Minimum time between two quota requests of an entry for one organisation.
-  Duration AskInterval{250'000};
+  Duration QuotaRequestInterval{250'000};
   /// Time for which a grant is valid, counted from the quota request.
-  Duration Valid{2'000'000};
+  Duration GrantValidity{2'000'000};
   /// Longest time for which a caller's request may be held for a grant.
-  Duration GrantWait{25'000};
+  Duration MaxGrantWait{25'000};
   bool operator==(const LimitSettings &) const = default;
 };
 
@@ -62,9 +62,9 @@
 
 enum class LimitVerdict : uint8_t {
   Admitted,
-  AskOwner, ///< A grant is expected soon. The caller may hold the request for
-            ///< up to GrantWait and then call admit again.
-  Refused,
+  AwaitGrant, ///< A grant is expected soon. The caller may hold the request for
+              ///< up to MaxGrantWait and then call admit again.
+  Refused
 };
 
 struct LimitDecision {
@@ -74,7 +74,7 @@
   /// Quota request that the caller must send to the owner; nullopt for none. An
   /// admitted request can carry one as well: a busy entry requests quota before
   /// it runs out.
-  std::optional<QuotaRequest> Ask;
+  std::optional<QuotaRequest> OwnerRequest;
   double TokensLeft = 0; ///< Requests that could still be admitted now.
   bool operator==(const LimitDecision &) const = default;
 };
@@ -92,7 +92,7 @@
   LimitDecision admit(const Organisation &organisation, size_t entries,
                       TimePoint now);
   /// Frees the concurrency slot of an admitted request that has ended.
-  void finished(uint64_t organisationHash);
+  void releaseSlot(uint64_t organisationHash);
   /// Applies a grant. It is ignored unless it answers the latest quota request
   /// for the organisation and that one has not been answered yet.
   void apply(const QuotaGrant &grant, TimePoint now);
--- a/tests/decide/limits_test.cpp
+++ b/tests/decide/limits_test.cpp
@@ -37,9 +37,10 @@
   }
   bool admit(size_t entry, const Organisation &organisation, TimePoint now) {
     LimitDecision out = Entries[entry].admit(organisation, Entries.size(), now);
-    if (out.Ask && !IsPartitioned)
-      Entries[entry].apply(Owner.grant(organisation, *out.Ask, now), now);
-    if (out.Verdict == LimitVerdict::AskOwner)
+    if (out.OwnerRequest && !IsPartitioned)
+      Entries[entry].apply(Owner.grant(organisation, *out.OwnerRequest, now),
+                           now);
+    if (out.Verdict == LimitVerdict::AwaitGrant)
       out = Entries[entry].admit(organisation, Entries.size(), now);
     return out.Verdict == LimitVerdict::Admitted;
   }
@@ -60,7 +61,7 @@
     size_t entry = i % 3 == 0 ? i % entries : busyEntry;
     if (fleet.admit(entry, organisation, now))
       admitted.push_back(now);
-    fleet.Entries[entry].finished(hashName(organisation.Name));
+    fleet.Entries[entry].releaseSlot(hashName(organisation.Name));
     if (i % 16 == 0)
       now += millis(*rc::gen::inRange(0, 500));
   }
@@ -85,7 +86,7 @@
     int admitted = 0;
     for (int i = 0; i < 10'000; ++i) {
       admitted += fleet.admit(0, organisation, at(i)) ? 1 : 0;
-      fleet.Entries[0].finished(hashName(organisation.Name));
+      fleet.Entries[0].releaseSlot(hashName(organisation.Name));
     }
     // In these ten seconds, the static share of one entry is 50 requests/s and
     // the rate of the pool 150 requests/s.
@@ -106,7 +107,7 @@
     admitted += fleet.admit(0, organisation, at(i * 250)) ? 1 : 0;
   EXPECT_EQ(admitted, 2 + 6);
   EXPECT_FALSE(fleet.admit(0, organisation, at(60'000)));
-  fleet.Entries[0].finished(hashName(organisation.Name));
+  fleet.Entries[0].releaseSlot(hashName(organisation.Name));
   EXPECT_TRUE(fleet.admit(0, organisation, at(60'300)));
 }
 
@@ -123,15 +124,19 @@
 TEST(Limits, GrantsApplyOnceAndExpireFromTheRequestOn) {
   Organisation organisation = makeOrganisation(1, 2);
   LimitSettings settings;
-  settings.LeastDepth = 1;
+  settings.MinDepth = 1;
   OrganisationLimits entry(1, settings);
   ASSERT_EQ(entry.admit(organisation, 2, Epoch).Verdict,
             LimitVerdict::Admitted);
   LimitDecision exhausted = entry.admit(organisation, 2, Epoch);
-  ASSERT_EQ(exhausted.Verdict, LimitVerdict::AskOwner);
-  ASSERT_TRUE(exhausted.Ask);
-  QuotaGrant grant{
-      exhausted.Ask->Organisation, exhausted.Ask->Sequence, 1, 0, 0, 2'000'000};
+  ASSERT_EQ(exhausted.Verdict, LimitVerdict::AwaitGrant);
+  ASSERT_TRUE(exhausted.OwnerRequest);
+  QuotaGrant grant{exhausted.OwnerRequest->Organisation,
+                   exhausted.OwnerRequest->Sequence,
+                   1,
+                   0,
+                   0,
+                   2'000'000};
   entry.apply(grant, Epoch);
   entry.apply(grant, Epoch);
   EXPECT_EQ(entry.admit(organisation, 2, Epoch).Verdict,
@@ -139,10 +144,10 @@
   EXPECT_NE(entry.admit(organisation, 2, Epoch).Verdict,
             LimitVerdict::Admitted);
   LimitDecision again = entry.admit(organisation, 2, at(300));
-  ASSERT_TRUE(again.Ask);
-  entry.apply(
-      {again.Ask->Organisation, again.Ask->Sequence, 1, 0, 0, 2'000'000},
-      at(2'400));
+  ASSERT_TRUE(again.OwnerRequest);
+  entry.apply({again.OwnerRequest->Organisation, again.OwnerRequest->Sequence,
+               1, 0, 0, 2'000'000},
+              at(2'400));
   EXPECT_NE(entry.admit(organisation, 2, at(2'400)).Verdict,
             LimitVerdict::Admitted);
 }
--- a/tests/matrix/entry_actions.cpp
+++ b/tests/matrix/entry_actions.cpp
@@ -188,7 +188,7 @@
 }
 
 void EntryHost::on(Going &going, FlowEnded & /*action*/) {
-  Limits.finished(hashName(going.What.Call.Organisation));
+  Limits.releaseSlot(hashName(going.What.Call.Organisation));
   Flows.erase(going.What.Id);
 }
 
--- a/tests/matrix/entry_host.cpp
+++ b/tests/matrix/entry_host.cpp
@@ -63,14 +63,14 @@
   LimitDecision decision =
       Limits.admit(*caller, config.Entries.size(), On.Now());
   const Member *owner = quotaOwner(hashName(caller->Name), config.Entries);
-  if (decision.Ask && owner != nullptr)
-    On.AskOwner(owner->Name, *decision.Ask);
+  if (decision.OwnerRequest && owner != nullptr)
+    On.AskOwner(owner->Name, *decision.OwnerRequest);
   if (decision.Verdict == LimitVerdict::Admitted)
     return begin(submission);
   if (decision.Verdict == LimitVerdict::Refused || !mayAsk)
     return refuse(submission, decision.Reason);
   ++BeingAdmitted;
-  On.After(LimitSettings().GrantWait, [this, submission] {
+  On.After(LimitSettings().MaxGrantWait, [this, submission] {
     --BeingAdmitted;
     admit(submission, false);
   });
--- a/tools/entry/limit_desk.cpp
+++ b/tools/entry/limit_desk.cpp
@@ -29,7 +29,8 @@
                       std::function<void(const Error &)> done) {
   size_t entries = config->Entries.size();
   LimitDecision first = Limits.admit(organisation, entries, monotonicNow());
-  bool isAnswered = first.Ask && ask(organisation, *config, *first.Ask);
+  bool isAnswered =
+      first.OwnerRequest && ask(organisation, *config, *first.OwnerRequest);
   if (first.Verdict == LimitVerdict::Admitted)
     return done({});
   if (first.Verdict == LimitVerdict::Refused)
@@ -41,7 +42,7 @@
   if (isAnswered)
     return again();
   auto timer = std::make_shared<net::Timer>(Io);
-  timer->expires_after(Settings.GrantWait);
+  timer->expires_after(Settings.MaxGrantWait);
   timer->async_wait(
       [timer, again = std::move(again)](const auto & /*ec*/) { again(); });
 }
@@ -61,7 +62,7 @@
 }
 
 void LimitDesk::finished(std::string_view organisation) {
-  Limits.finished(hashName(organisation));
+  Limits.releaseSlot(hashName(organisation));
 }
 
 std::optional<QuotaGrant> LimitDesk::grant(const QuotaRequest &request,
