--- a/bench/ejection.cpp
+++ b/bench/ejection.cpp
@@ -99,7 +99,7 @@
   }
   void note(EjectionVerdict verdict) {
     Out.Ejections += verdict == EjectionVerdict::Ejected ? 1 : 0;
-    Out.HeldBack += verdict == EjectionVerdict::HeldBack ? 1 : 0;
+    Out.HeldBack += verdict == EjectionVerdict::CapReached ? 1 : 0;
   }
   uint64_t draw() { return mix64(++Draws); }
 
--- a/src/decide/ejection.cpp
+++ b/src/decide/ejection.cpp
@@ -42,7 +42,7 @@
     return EjectionVerdict::None;
   PoolState &poolState = Pools[pool];
   if (!mayEject(poolState, poolSize, state, now))
-    return EjectionVerdict::HeldBack;
+    return EjectionVerdict::CapReached;
   poolState.RecentEjections.push_back(now);
   uint32_t doublings = std::min(state.Ejections, MaxDoublings);
   state.EjectedUntil =
--- a/src/decide/ejection.h
+++ b/src/decide/ejection.h
@@ -35,9 +35,10 @@
 };
 
 enum class EjectionVerdict : uint8_t {
-  None,     ///< The server is not ejected by this result.
-  Ejected,  ///< The server is ejected from now on.
-  HeldBack, ///< The server should be ejected, but the pool's limit forbids it.
+  None,       ///< The server is not ejected by this result.
+  Ejected,    ///< The server is ejected from now on.
+  CapReached, ///< The server should be ejected, but the pool's limit forbids
+              ///< it.
 };
 
 /// Counts the failures of servers and ejects those that keep failing.
--- a/tools/entry/entry_state.cpp
+++ b/tools/entry/entry_state.cpp
@@ -140,8 +140,9 @@
   event.Kind = EventKind::ServerEjected;
   event.Request = spec.Offer.Id;
   event.Subject = note.Server;
-  event.Reason = verdict == EjectionVerdict::HeldBack ? ErrorKind::BudgetSpent
-                                                      : ErrorKind::ServerFailed;
+  event.Reason = verdict == EjectionVerdict::CapReached
+                     ? ErrorKind::BudgetSpent
+                     : ErrorKind::ServerFailed;
   Events(std::move(event));
 }
 
