--- a/bench/decide.cpp
+++ b/bench/decide.cpp
@@ -131,7 +131,7 @@
   out.Organisation = mix64(i % organisations);
   out.Priority = static_cast<uint8_t>(4 + i % 3);
   out.Deadline = Epoch + Duration(60'000'000 + mix64(i) % 60'000'000);
-  out.Ready = Epoch;
+  out.ContextReady = Epoch;
   out.Prefill = Duration(100'000);
   out.Decode = Duration(500'000);
   return out;
--- a/bench/policy_steps.h
+++ b/bench/policy_steps.h
@@ -12,7 +12,7 @@
       Options(options), Chance(options.Seed), Stores(deployment.Stores),
       Jobs(stream.size()), KeptBytes(Organisations) {
   QueueSettings.Slots = EngineSlots;
-  QueueSettings.Prefills = 1;
+  QueueSettings.MaxPrefills = 1;
   QueueSettings.MaxWait = std::chrono::seconds(60);
   for (uint32_t i = 0; i < What.Servers; ++i)
     Agents.push_back(std::make_unique<AgentModel>(options.Seed + i, What.Stores,
@@ -229,7 +229,7 @@
   RunRequest out = job.Run;
   out.Prefill = agent.Predictor.prefill(job.Plan.RecomputedTokens);
   out.Decode = agent.Predictor.decode(shape.AnswerTokens);
-  out.Ready = Now + job.Plan.FetchTime;
+  out.ContextReady = Now + job.Plan.FetchTime;
   if (!How.Accepts) {
     out.Deadline = request.At; // First come, first served.
     return out;
@@ -275,9 +275,9 @@
   startFetches(job, agent);
   agent.Queue.push(job.Run, Now);
   if (job.FetchesLeft == 0)
-    agent.Queue.setReady(job.Run.Id, job.Run.Try, Now);
+    agent.Queue.setContextReady(job.Run.Id, job.Run.Try, Now);
   else
-    at(job.Run.Ready, Kind::ReadyDue, job.Index, job.Epoch);
+    at(job.Run.ContextReady, Kind::ReadyDue, job.Index, job.Epoch);
   pumpQueue(server);
 }
 
@@ -311,7 +311,7 @@
   agent.Predictor.observePrefill(job.Recomputed, Now - job.Started);
   agent.Engine.keep(job.What->Pieces);
   agent.View.confirm(job.What->Pieces);
-  agent.Queue.prefilled(job.Run.Id, job.Run.Try);
+  agent.Queue.markPrefilled(job.Run.Id, job.Run.Try);
   pumpQueue(job.Server);
   Record &record = Out.Records[index];
   record.Recomputed += job.Recomputed;
--- a/src/decide/run_queue.cpp
+++ b/src/decide/run_queue.cpp
@@ -30,7 +30,7 @@
 }
 
 SlotTimes RunQueue::slotTimes(TimePoint now) const {
-  SlotTimes out(Settings.Prefills > 0, now);
+  SlotTimes out(Settings.MaxPrefills > 0, now);
   for (const ActiveRun &run : Running) {
     out.addSlot(expectedFinish(run.Request, run.Finish, now));
     TimePoint prefilled = run.Start + run.Request.Prefill;
@@ -171,10 +171,11 @@
 
 Duration RunQueue::serverTime(const RunRequest &request) const {
   Duration ofSlots = request.service() / Settings.Slots;
-  return Settings.Prefills > 0 ? std::max(ofSlots, request.Prefill) : ofSlots;
+  return Settings.MaxPrefills > 0 ? std::max(ofSlots, request.Prefill)
+                                  : ofSlots;
 }
 
-void RunQueue::noteRefused(const RunRequest &request, TimePoint now) {
+void RunQueue::recordRefused(const RunRequest &request, TimePoint now) {
   Demand.record(request.Organisation, request.Weight, serverTime(request), now);
 }
 
@@ -195,7 +196,7 @@
 bool RunQueue::isPrefillLimitReached() const {
   auto n = std::count_if(Running.begin(), Running.end(),
                          [](const ActiveRun &it) { return !it.Prefilled; });
-  return n >= static_cast<ptrdiff_t>(Settings.Prefills);
+  return n >= static_cast<ptrdiff_t>(Settings.MaxPrefills);
 }
 
 /// Whether a run may start before the runs in front of it, whose context has
@@ -207,7 +208,7 @@
   bool isFree = running() + 1 < Settings.Slots;
   bool harmless = true;
   for (const WaitingRun *it = Waiting.data(); it != &run; ++it) {
-    bool inTime = isFree && prefilled <= it->Request.Ready;
+    bool inTime = isFree && prefilled <= it->Request.ContextReady;
     harmless = harmless && inTime;
     if (!inTime && it->Request.Priority > run.Request.Priority)
       return false;
@@ -229,13 +230,13 @@
 /// idle.
 std::vector<RunQueue::WaitingRun>::iterator
 RunQueue::firstStartable(TimePoint now) {
-  if (Settings.Prefills == 0)
+  if (Settings.MaxPrefills == 0)
     return Waiting.begin();
   if (isPrefillLimitReached())
     return Waiting.end();
   auto it =
       std::find_if(Waiting.begin(), Waiting.end(), [&](const WaitingRun &run) {
-        return run.Request.Ready <= now;
+        return run.Request.ContextReady <= now;
       });
   if (it == Waiting.begin() || it == Waiting.end() || mayOvertake(*it, now))
     return it;
@@ -252,14 +253,14 @@
   Waiting.erase(it);
   double &time = VirtualTime[run.Request.Priority];
   time = std::max(time, run.StartTag);
-  TimePoint begin = std::max(now, run.Request.Ready);
+  TimePoint begin = std::max(now, run.Request.ContextReady);
   Running.push_back({run.Request, now, begin + run.Request.service()});
   if (Waiting.empty())
     endBusyPeriod();
   return run.Request;
 }
 
-void RunQueue::prefilled(const RequestId &id, Attempt attempt) {
+void RunQueue::markPrefilled(const RequestId &id, Attempt attempt) {
   for (ActiveRun &it : Running)
     if (matches(it.Request, id, attempt))
       it.Prefilled = true;
@@ -296,10 +297,11 @@
   return true;
 }
 
-bool RunQueue::setReady(const RequestId &id, Attempt attempt, TimePoint ready) {
+bool RunQueue::setContextReady(const RequestId &id, Attempt attempt,
+                               TimePoint ready) {
   for (WaitingRun &it : Waiting)
     if (matches(it.Request, id, attempt)) {
-      it.Request.Ready = ready;
+      it.Request.ContextReady = ready;
       return true;
     }
   return false;
--- a/src/decide/run_queue.h
+++ b/src/decide/run_queue.h
@@ -23,9 +23,10 @@
   /// Maximum number of runs that the engine has started but that have no first
   /// token yet; 0 for no limit except Slots. The value 1 suits an engine that
   /// prefills one run after another: the other runs stay in this queue, which
-  /// can still reorder them. With a limit, prefilled() must be called, and a
-  /// run whose context has not been fetched yet can be overtaken by later ones.
-  uint32_t Prefills = 0;
+  /// can still reorder them. With a limit, markPrefilled() must be called, and
+  /// a run whose context has not been fetched yet can be overtaken by later
+  /// ones.
+  uint32_t MaxPrefills = 0;
   Duration MaxWait{30'000'000}; ///< Longest predicted wait of a request.
   /// Work that an organisation of weight 1 gets done in one round of fair
   /// sharing.
@@ -83,19 +84,19 @@
   /// Recent demand of organisations on this server.
   const DemandTracker &demand() const { return Demand; }
   /// Server time that a request uses: its service time divided by the number of
-  /// slots or, if Settings.Prefills limits prefills, its prefill time if that
-  /// is longer.
+  /// slots or, if Settings.MaxPrefills limits prefills, its prefill time if
+  /// that is longer.
   Duration serverTime(const RunRequest &request) const;
 
   /// Queues an accepted request. The caller must have checked its plan.
   void push(const RunRequest &request, TimePoint now);
   /// Records a refused request: its work counts as demand of its organisation.
-  void noteRefused(const RunRequest &request, TimePoint now);
+  void recordRefused(const RunRequest &request, TimePoint now);
   /// Moves the next waiting request to a free slot and returns it; nullopt if
   /// no request can start now.
   std::optional<RunRequest> start(TimePoint now);
   /// Records that the engine has produced the first token of a running request.
-  void prefilled(const RequestId &id, Attempt attempt);
+  void markPrefilled(const RequestId &id, Attempt attempt);
   /// Frees the slot of a running request. Returns false if it is not running.
   bool finish(const RequestId &id, Attempt attempt);
   /// Removes a waiting request. Returns false if it is not waiting.
@@ -105,7 +106,7 @@
   bool suspend(const RequestId &id, Attempt attempt, TimePoint now);
   /// Updates the time until which the context of a waiting request is being
   /// fetched. Returns false if the request is not waiting.
-  bool setReady(const RequestId &id, Attempt attempt, TimePoint ready);
+  bool setContextReady(const RequestId &id, Attempt attempt, TimePoint ready);
   /// Updates the predicted prefill time of a waiting request, once it is known
   /// how much context can be reused. Returns false if it is not waiting.
   bool setPrefill(const RequestId &id, Attempt attempt, Duration prefill);
--- a/src/decide/run_request.h
+++ b/src/decide/run_request.h
@@ -26,7 +26,7 @@
   bool Preemptible = false;  ///< May be suspended while running and run again.
   TimePoint Deadline; ///< The whole answer must have been produced by then; the
                       ///< entry's re-run reserve is already subtracted.
-  TimePoint Ready;    ///< Expected end of the fetch of its context.
+  TimePoint ContextReady; ///< Expected end of the fetch of its context.
   Duration Patience{0}; ///< Longest predicted wait for which the request should
                         ///< be accepted; zero for no limit.
   Duration Prefill{0};  ///< Predicted duration, at a high percentile.
--- a/src/decide/slot_times.h
+++ b/src/decide/slot_times.h
@@ -39,7 +39,7 @@
   /// Simulates a run of the request on the earliest free slot and returns its
   /// start.
   TimePoint schedule(const RunRequest &request) {
-    TimePoint start = std::max(earliestStart(), request.Ready);
+    TimePoint start = std::max(earliestStart(), request.ContextReady);
     if (IsSerialPrefill)
       PrefillBusyUntil = start + request.Prefill;
     replaceEarliestSlot(start + request.service());
--- a/src/serve/agent_context.cpp
+++ b/src/serve/agent_context.cpp
@@ -67,8 +67,8 @@
   Fetch.begin(std::move(wish), step);
   // Others go first until the stores have answered.
   if (Fetch.isPending(offer.Id))
-    Queue.setReady(offer.Id, offer.Try,
-                   step.Now + Stores.settings().LookupTimeout);
+    Queue.setContextReady(offer.Id, offer.Try,
+                          step.Now + Stores.settings().LookupTimeout);
 }
 
 void AgentCore::Impl::keepContext(const Run &run, const RunDone &done,
@@ -112,7 +112,7 @@
     return;
   uint32_t tokens = run->Request->PromptTokens;
   run->ExpectedPrefill = tokens - std::min(tokens, news.ReusedTokens);
-  Queue.setReady(news.Id, run->Token.Try, news.Ready);
+  Queue.setContextReady(news.Id, run->Token.Try, news.Ready);
   Queue.setPrefill(news.Id, run->Token.Try,
                    Predictor.prefill(run->ExpectedPrefill));
   if (!news.Settled)
--- a/src/serve/agent_offers.cpp
+++ b/src/serve/agent_offers.cpp
@@ -96,7 +96,7 @@
   RunRequest request = queueRequest(*run, step.Now);
   AcceptanceDecision decision = judgeLoad(request, step);
   if (!decision.accepted()) {
-    Queue.noteRefused(request, step.Now);
+    Queue.recordRefused(request, step.Now);
     decision.Reason.Detail = describe(decision);
     refuse(link, offer, decision.Reason, Outcome::NotRun, step,
            decision.scores());
--- a/src/serve/agent_queue.cpp
+++ b/src/serve/agent_queue.cpp
@@ -27,7 +27,7 @@
   out.Priority = std::min<uint8_t>(offer.Priority, MaxPriority);
   out.Preemptible = offer.Idempotent && !Settings.IsService;
   out.Deadline = run.Deadline - Duration(offer.ReserveMicros);
-  out.Ready = now;
+  out.ContextReady = now;
   out.Patience = Duration(static_cast<int64_t>(
       std::min<uint64_t>(offer.PatienceMicros, INT64_MAX)));
   out.Prefill = Predictor.prefill(run.ExpectedPrefill);
@@ -78,7 +78,7 @@
 void AgentCore::Impl::resume(Run &run, Step &step) {
   run.State = RunState::Running;
   if (run.FirstToken)
-    Queue.prefilled(run.Token.Id, run.Token.Try);
+    Queue.markPrefilled(run.Token.Id, run.Token.Try);
   step.Out.push_back(ResumeRun{run.Token});
   Dirty = true;
 }
--- a/src/serve/agent_runs.cpp
+++ b/src/serve/agent_runs.cpp
@@ -76,7 +76,7 @@
     run->FirstToken = step.Now;
     record(step, EventKind::FirstToken, *run, ErrorKind::None,
            {(step.Now - run->Arrived).count()});
-    Queue.prefilled(run->Token.Id, run->Token.Try);
+    Queue.markPrefilled(run->Token.Id, run->Token.Try);
     startWaiting(step);
   }
   size_t before = run->Answer.bytes();
--- a/tests/context/serial_prefill_test.cpp
+++ b/tests/context/serial_prefill_test.cpp
@@ -11,7 +11,7 @@
 RunQueueSettings serial() {
   RunQueueSettings out;
   out.Slots = 8;
-  out.Prefills = 1;
+  out.MaxPrefills = 1;
   return out;
 }
 
@@ -26,19 +26,19 @@
   ASSERT_TRUE(queue.start(Epoch));
   EXPECT_FALSE(queue.start(Epoch));
   EXPECT_EQ(queue.backlog(Epoch), millis(200));
-  queue.prefilled(first.Id, first.Try);
+  queue.markPrefilled(first.Id, first.Try);
   EXPECT_EQ(queue.start(Epoch)->Id, second.Id);
 }
 
 TEST(SerialPrefill, OneThatWaitsForItsContextIsPassedOver) {
   RunQueue queue(serial());
   RunRequest fetching = makeRun(1, 1, millis(100), millis(1), at(1'000));
-  fetching.Ready = at(50);
+  fetching.ContextReady = at(50);
   RunRequest ready = makeRun(2, 1, millis(100), millis(1), at(2'000));
   queue.push(fetching, Epoch);
   queue.push(ready, Epoch);
   EXPECT_EQ(queue.start(Epoch)->Id, ready.Id);
-  queue.prefilled(ready.Id, ready.Try);
+  queue.markPrefilled(ready.Id, ready.Try);
   EXPECT_FALSE(queue.start(at(49)));
   EXPECT_EQ(queue.start(at(50))->Id, fetching.Id);
 }
@@ -58,7 +58,7 @@
     TimePoint now = Epoch;
     while (auto run = queue.start(now)) {
       now += run->Prefill;
-      queue.prefilled(run->Id, run->Try);
+      queue.markPrefilled(run->Id, run->Try);
       RC_ASSERT(now == predicted[run->Id]);
     }
     RC_ASSERT(queue.waiting() == 0U);
--- a/tests/decide/acceptance_test.cpp
+++ b/tests/decide/acceptance_test.cpp
@@ -42,7 +42,7 @@
   auto advance = [&](TimePoint until) {
     for (;;) {
       while (auto run = it.Queue.start(now))
-        ends[run->Id] = std::max(now, run->Ready) + run->service();
+        ends[run->Id] = std::max(now, run->ContextReady) + run->service();
       auto next = std::min_element(
           ends.begin(), ends.end(),
           [](const auto &a, const auto &b) { return a.second < b.second; });
@@ -63,7 +63,7 @@
                              millis(*rc::gen::inRange(1, 1'500)),
                              now + millis(*rc::gen::inRange(0, 8'000)),
                              *rc::gen::inRange<uint8_t>(3, 7));
-    run.Ready = now + millis(*rc::gen::inRange(0, 300));
+    run.ContextReady = now + millis(*rc::gen::inRange(0, 300));
     deadlines[run.Id] = run.Deadline;
     it.offer(run, now);
     advance(now);
@@ -98,7 +98,7 @@
   }
   void offer(const RunRequest &run) {
     if (Agent.offer(run, Now).accepted())
-      Steps.push_back({run.Ready, run, Step::Fetched});
+      Steps.push_back({run.ContextReady, run, Step::Fetched});
   }
   TimePoint Now = Epoch;
 
@@ -106,15 +106,15 @@
   struct Step {
     TimePoint At;
     RunRequest Run;
-    enum { Fetched, Prefilled, Finished } Kind;
+    enum { Fetched, Prefilled, Finished } Type;
   };
 
   void handle(const Step &step) {
     const RunRequest &run = step.Run;
-    if (step.Kind == Step::Prefilled) {
-      Agent.Queue.prefilled(run.Id, run.Try);
+    if (step.Type == Step::Prefilled) {
+      Agent.Queue.markPrefilled(run.Id, run.Try);
       Steps.push_back({Now + drawActualTime(run.Decode), run, Step::Finished});
-    } else if (step.Kind == Step::Finished) {
+    } else if (step.Type == Step::Finished) {
       RC_ASSERT(Now <= run.Deadline);
       RC_ASSERT(Agent.Queue.finish(run.Id, run.Try));
     }
@@ -149,7 +149,7 @@
                              millis(*rc::gen::inRange(1, 1'500)),
                              engine.Now + millis(*rc::gen::inRange(0, 8'000)),
                              *rc::gen::inRange<uint8_t>(3, 7));
-    run.Ready = engine.Now + millis(*rc::gen::inRange(0, 600));
+    run.ContextReady = engine.Now + millis(*rc::gen::inRange(0, 600));
     engine.offer(run);
   }
   engine.advance(engine.Now + millis(1'000'000));
@@ -239,10 +239,10 @@
     uint64_t organisation = i % 10 == 0 ? 1 + i / 10 % 5 : 9;
     RunRequest run =
         makeRun(i, organisation, millis(100), millis(300), now + millis(5'000));
-    run.Ready = now;
+    run.ContextReady = now;
     ++offered[organisation];
     if (!it.offer(run, now).accepted()) {
-      it.Queue.noteRefused(run, now);
+      it.Queue.recordRefused(run, now);
       ++refused[organisation];
     }
     while (auto next = it.Queue.start(now)) {
--- a/tests/decide/fixtures.h
+++ b/tests/decide/fixtures.h
@@ -60,7 +60,7 @@
   out.Organisation = organisation;
   out.Priority = priority;
   out.Deadline = deadline;
-  out.Ready = Epoch;
+  out.ContextReady = Epoch;
   out.Prefill = prefill;
   out.Decode = decode;
   return out;
--- a/tests/serve_agent/agent_serial_test.cpp
+++ b/tests/serve_agent/agent_serial_test.cpp
@@ -9,7 +9,7 @@
 AgentSettings serialSettings() {
   AgentSettings out = modelSettings();
   out.Queue.Slots = 8;
-  out.Queue.Prefills = 1;
+  out.Queue.MaxPrefills = 1;
   out.Stores.Instances = {{"s1", "imanta", {"127.0.0.1", 1}, hashName("s1")}};
   return out;
 }
--- a/tools/agent/agent_options.cpp
+++ b/tools/agent/agent_options.cpp
@@ -26,7 +26,7 @@
   out.Core.MaxWaiting = static_cast<uint32_t>(
       settings.integer("agent.max_waiting", 4096, 1, MaxWaitingAtMost));
   int64_t prefills = out.Core.IsService ? 0 : DefaultPrefills;
-  out.Core.Queue.Prefills = static_cast<uint32_t>(
+  out.Core.Queue.MaxPrefills = static_cast<uint32_t>(
       settings.integer("agent.max_prefills", prefills, 0, MaxRunningAtMost));
 }
 
