--- a/bench/policy_steps.h
+++ b/bench/policy_steps.h
@@ -174,8 +174,8 @@
                      [&](uint32_t a, uint32_t b) { return load(a) < load(b); });
     return out;
   }
-  auto depth = Popularity[entry]->count(request.Pieces, hashName("m"),
-                                        Members->Servers.size(), Now);
+  auto depth = Popularity[entry]->chooseDepth(request.Pieces, hashName("m"),
+                                              Members->Servers.size(), Now);
   RouteKey key = makeRouteKey(hashName(Customers[request.Organisation].Name),
                               "m", request.Pieces, mix64(index), depth);
   CandidateList candidates = Table->candidates("m", false, key, "r");
@@ -187,7 +187,7 @@
     auto server = static_cast<uint32_t>(
         Members->Servers[it.Server.Index].Name.back() - 'a');
     out.push_back(server);
-    Jobs[index].Places[server] = it.Place;
+    Jobs[index].Places[server] = it.Position;
     Jobs[index].Patience[server] = it.Patience;
   }
   return out;
--- a/src/decide/prefix_popularity.cpp
+++ b/src/decide/prefix_popularity.cpp
@@ -68,8 +68,8 @@
 }
 
 std::optional<uint32_t>
-PrefixPopularity::count(std::span<const PieceKey> pieces, uint64_t pool,
-                        size_t servers, TimePoint now) {
+PrefixPopularity::chooseDepth(std::span<const PieceKey> pieces, uint64_t pool,
+                              size_t servers, TimePoint now) {
   int64_t windowNumber = now.time_since_epoch() / Settings.Window;
   startWindow(windowNumber);
   uint32_t all = increment(pool, windowNumber);
--- a/src/decide/prefix_popularity.h
+++ b/src/decide/prefix_popularity.h
@@ -40,8 +40,9 @@
   /// hot; such a prompt should be spread over the pool. The pool is identified
   /// by hashName of the model or service that it serves; servers is its number
   /// of servers in the entry's region.
-  std::optional<uint32_t> count(std::span<const PieceKey> pieces, uint64_t pool,
-                                size_t servers, TimePoint now);
+  std::optional<uint32_t> chooseDepth(std::span<const PieceKey> pieces,
+                                      uint64_t pool, size_t servers,
+                                      TimePoint now);
 
 private:
   static constexpr size_t Rows = 2;
--- a/src/decide/routing.cpp
+++ b/src/decide/routing.cpp
@@ -233,7 +233,7 @@
     double uncachedTokens = (1.0 - reuse[out.Count]) * promptTokens;
     ScoredCandidate &it = scored[out.Count];
     it.Candidate.Server = handle;
-    it.Candidate.Place = out.Count;
+    it.Candidate.Position = out.Count;
     it.Candidate.Wait = load.Wait;
     it.Candidate.FirstToken = load.Wait + prefillTime(uncachedTokens, load);
     if (server.Region != region)
--- a/src/decide/routing.h
+++ b/src/decide/routing.h
@@ -134,7 +134,7 @@
   /// load reports at the price of one round trip per refusal. Offers that are
   /// repeated after all candidates have refused have no such limit.
   Duration Patience{0};
-  uint32_t Place = 0; ///< Position in the CandidateList, for ReuseEstimate.
+  uint32_t Position = 0; ///< Position in the CandidateList, for ReuseEstimate.
   bool operator==(const RankedCandidate &) const = default;
 };
 
--- a/tests/decide/prefix_test.cpp
+++ b/tests/decide/prefix_test.cpp
@@ -35,18 +35,20 @@
   std::optional<uint32_t> guideOnly;
   std::optional<uint32_t> rare;
   for (uint32_t i = 0; i < 400; ++i) {
-    hot = it.count(prompt(1, 3, i, 2), 7, 12, at(i * 50));
-    guideOnly = it.count(prompt(1, 3, 0, 0), 7, 12, at(i * 50));
+    hot = it.chooseDepth(prompt(1, 3, i, 2), 7, 12, at(i * 50));
+    guideOnly = it.chooseDepth(prompt(1, 3, 0, 0), 7, 12, at(i * 50));
     if (i % 100 == 0)
-      rare = it.count(prompt(2, 3, i, 2), 7, 12, at(i * 50));
+      rare = it.chooseDepth(prompt(2, 3, i, 2), 7, 12, at(i * 50));
   }
   EXPECT_EQ(hot, 4U);
   EXPECT_EQ(guideOnly, std::nullopt);
   EXPECT_EQ(rare, RoutingPieces);
   // Pools are counted separately, and counts expire after two windows.
-  EXPECT_EQ(it.count(prompt(1, 3, 5, 2), 8, 12, at(20'000)), RoutingPieces);
-  EXPECT_EQ(it.count(prompt(1, 3, 5, 2), 7, 12, at(300'000)), RoutingPieces);
-  EXPECT_EQ(it.count({}, 7, 12, at(300'000)), std::nullopt);
+  EXPECT_EQ(it.chooseDepth(prompt(1, 3, 5, 2), 8, 12, at(20'000)),
+            RoutingPieces);
+  EXPECT_EQ(it.chooseDepth(prompt(1, 3, 5, 2), 7, 12, at(300'000)),
+            RoutingPieces);
+  EXPECT_EQ(it.chooseDepth({}, 7, 12, at(300'000)), std::nullopt);
 }
 
 TEST(PrefixPopularity, PromptsShareAHomeUpToTheDepth) {
--- a/tools/entry/entry_state.cpp
+++ b/tools/entry/entry_state.cpp
@@ -89,8 +89,8 @@
   std::string_view serves = poolName(spec);
   const std::string &region = Options.self().Region;
   std::optional<uint32_t> depth =
-      Popularity.count(spec.Offer.Pieces, hashName(serves),
-                       routes->servers(serves, isService, region), now);
+      Popularity.chooseDepth(spec.Offer.Pieces, hashName(serves),
+                             routes->servers(serves, isService, region), now);
   RouteKey key =
       makeRouteKey(hashName(spec.Offer.Organisation), serves, spec.Offer.Pieces,
                    std::hash<Id128>()(spec.Offer.Id), depth);
