--- a/src/decide/backoff.cpp
+++ b/src/decide/backoff.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Keeps the shift below from overflowing; after so many doublings the delay is
-/// at its upper bound.
+/// Keeps the shift below from overflowing; after this many doublings the delay
+/// is at its upper bound.
 constexpr uint32_t MaxDoublings = 20;
 
 } // namespace
--- a/src/decide/hash_ring.h
+++ b/src/decide/hash_ring.h
@@ -31,10 +31,10 @@
   class Walk {
   public:
     /// Index of the member at the current point. The ring must not be empty.
-    uint32_t member() const { return Points[At].Member; }
+    uint32_t member() const { return Points[Index].Member; }
     void advance() {
-      if (++At == Points.size())
-        At = 0;
+      if (++Index == Points.size())
+        Index = 0;
     }
 
   private:
@@ -44,9 +44,10 @@
       uint32_t Member = 0;
       auto operator<=>(const Point &) const = default;
     };
-    Walk(std::span<const Point> points, size_t at) : Points(points), At(at) {}
+    Walk(std::span<const Point> points, size_t at)
+        : Points(points), Index(at) {}
     std::span<const Point> Points;
-    size_t At;
+    size_t Index;
   };
   Walk walk(uint64_t key) const;
   /// Number of points. A walk over this many points visits every member.
--- a/src/decide/limits.cpp
+++ b/src/decide/limits.cpp
@@ -98,9 +98,9 @@
     state.RequestedAt = now - Settings.QuotaRequestInterval;
   }
   // Granted tokens may exceed the static depth; refilled tokens may not.
-  TimePoint leased = std::clamp(state.GrantedUntil, state.RefilledAt,
-                                std::max(now, state.RefilledAt));
-  double inflow = state.RateGranted * seconds(leased - state.RefilledAt);
+  TimePoint grantEnd = std::clamp(state.GrantedUntil, state.RefilledAt,
+                                  std::max(now, state.RefilledAt));
+  double inflow = state.RateGranted * seconds(grantEnd - state.RefilledAt);
   if (now > state.RefilledAt) {
     inflow += limit.Rate * seconds(now - state.RefilledAt);
     state.RefilledAt = now;
@@ -246,12 +246,12 @@
     pool.RefilledAt = now;
     pool.CreatedAt = now;
   }
-  double leased = 0;
+  double leasedRate = 0;
   for (const auto &[entry, lease] : pool.Leases)
-    leased += lease.Rate;
+    leasedRate += lease.Rate;
   // The rate of an expired lease is subtracted until now, not only until its
   // end: the pool refills too little rather than too much.
-  refill(pool.Tokens, pool.RefilledAt, std::max(limit.Rate - leased, 0.0),
+  refill(pool.Tokens, pool.RefilledAt, std::max(limit.Rate - leasedRate, 0.0),
          limit.Depth, now);
   std::erase_if(pool.Leases,
                 [now](const auto &it) { return it.second.Until <= now; });
--- a/src/decide/run_queue.h
+++ b/src/decide/run_queue.h
@@ -150,7 +150,11 @@
                                  size_t offset);
   /// The round of fair sharing that the priority has reached.
   uint64_t currentRound(uint8_t priority) const;
+  /// Virtual time at which the request starts in fair queueing: the current
+  /// one, or the end of its organisation's last queued request if that is
+  /// later.
   double startTag(const RunRequest &request) const;
+  /// Sort key of the request if it were queued now.
   OrderKey orderKeyOf(const RunRequest &request) const;
   /// Resets fair sharing when the queue becomes empty, so that earlier work of
   /// an organisation is not held against it.
--- a/src/decide/run_request.h
+++ b/src/decide/run_request.h
@@ -19,7 +19,7 @@
 /// One request in the queue of a server. Time points are absolute.
 struct RunRequest {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt Try = 0;           ///< Number of the attempt, from 1.
   uint64_t Organisation = 0; ///< hashName of the organisation.
   uint32_t Weight = 1;       ///< Fair-share weight of the organisation.
   uint8_t Priority = 0;      ///< From 0, the lowest, to MaxPriority.
--- a/tests/decide/prefix_test.cpp
+++ b/tests/decide/prefix_test.cpp
@@ -10,16 +10,15 @@
 
 namespace {
 
-/// Piece keys of a prompt. Its first pieces, as many as shared says, are common
-/// to all prompts of the guide; the others, as many as own says, belong to the
-/// document.
-std::vector<PieceKey> prompt(uint8_t guide, size_t shared, uint32_t document,
-                             size_t own) {
-  std::vector<PieceKey> out(shared + own);
+/// Piece keys of a prompt. The first sharedPieces are common to all prompts of
+/// the guide, and the ownPieces after them belong to the document.
+std::vector<PieceKey> prompt(uint8_t guide, size_t sharedPieces,
+                             uint32_t document, size_t ownPieces) {
+  std::vector<PieceKey> out(sharedPieces + ownPieces);
   for (size_t i = 0; i < out.size(); ++i) {
     out[i].Bytes[0] = guide;
     out[i].Bytes[1] = static_cast<uint8_t>(i + 1);
-    if (i < shared)
+    if (i < sharedPieces)
       continue;
     out[i].Bytes[2] = static_cast<uint8_t>(document);
     out[i].Bytes[3] = static_cast<uint8_t>(document >> 8U);
--- a/tests/decide/routing_test.cpp
+++ b/tests/decide/routing_test.cpp
@@ -65,14 +65,14 @@
   for (uint32_t servers : {10U, 100U, 1'000U}) {
     auto snapshot = makeSnapshot(servers);
     RoutingTable before(snapshot);
-    ServerHandle gone{servers / 2};
-    RoutingTable after(without(*snapshot, gone.Index));
+    ServerHandle removed{servers / 2};
+    RoutingTable after(without(*snapshot, removed.Index));
     uint64_t moved = 0;
     for (uint64_t i = 0; i < Keys; ++i) {
       auto from = before.candidates("m", false, keyOf(i), "r0").Servers[0];
       auto to = after.candidates("m", false, keyOf(i), "r0").Servers[0];
       moved += from != to ? 1 : 0;
-      if (from != gone) {
+      if (from != removed) {
         EXPECT_EQ(from, to);
       }
     }
