--- a/bench/decide.cpp
+++ b/bench/decide.cpp
@@ -131,7 +131,7 @@
   out.Organisation = mix64(i % organisations);
   out.Priority = static_cast<uint8_t>(4 + i % 3);
   out.Deadline = Epoch + Duration(60'000'000 + mix64(i) % 60'000'000);
-  out.Ready = Epoch;
+  out.ContextReady = Epoch;
   out.Prefill = Duration(100'000);
   out.Decode = Duration(500'000);
   return out;
@@ -180,7 +180,7 @@
     all[i].RequestsPerSecond = 1e6;
   }
   OrganisationLimits limits(1, {});
-  AllotmentOwner owner({});
+  QuotaOwner owner({});
   RetryBudget budget({});
   uint64_t sink = 0;
   measure("limit: admit and finish", size.c_str(), 20'000, [&](uint64_t i) {
@@ -188,12 +188,12 @@
     TimePoint now = Epoch + Duration(static_cast<int64_t>(i) * 7'000);
     LimitDecision out = limits.admit(organisation, Entries, now);
     sink += out.Verdict == LimitVerdict::Admitted;
-    limits.finished(hashName(organisation.Name));
+    limits.releaseSlot(hashName(organisation.Name));
   });
   measure("limit: owner's grant", size.c_str(), 20'000, [&](uint64_t i) {
     const Organisation &organisation = all[mix64(i) % organisations];
     TimePoint now = Epoch + Duration(static_cast<int64_t>(i) * 7'000);
-    AllotmentRequest request;
+    QuotaRequest request;
     request.Organisation = hashName(organisation.Name);
     request.Entry = mix64(i % Entries);
     request.Requests = 1;
--- a/bench/policy_steps.h
+++ b/bench/policy_steps.h
@@ -12,7 +12,7 @@
       Options(options), Chance(options.Seed), Stores(deployment.Stores),
       Jobs(stream.size()), KeptBytes(Organisations) {
   QueueSettings.Slots = EngineSlots;
-  QueueSettings.Prefills = 1;
+  QueueSettings.MaxPrefills = 1;
   QueueSettings.MaxWait = std::chrono::seconds(60);
   for (uint32_t i = 0; i < What.Servers; ++i)
     Agents.push_back(std::make_unique<AgentModel>(options.Seed + i, What.Stores,
@@ -38,7 +38,7 @@
                                                     RouteSettings.NextReuse));
     Limits.push_back(
         std::make_unique<OrganisationLimits>(i + 1, LimitSettings{}));
-    Owners.push_back(std::make_unique<AllotmentOwner>(LimitSettings{}));
+    Owners.push_back(std::make_unique<QuotaOwner>(LimitSettings{}));
   }
   Out.Records.resize(stream.size());
   buildSnapshot();
@@ -124,11 +124,12 @@
 inline bool PolicyRun::isWithinLimit(const Request &request, uint32_t entry) {
   const Organisation &customer = Customers[request.Organisation];
   LimitDecision decision = Limits[entry]->admit(customer, What.Entries, Now);
-  if (decision.Ask) {
+  if (decision.OwnerRequest) {
     auto &owner = *Owners[request.Organisation % Owners.size()];
-    Limits[entry]->apply(owner.grant(customer, *decision.Ask, Now), Now);
+    Limits[entry]->apply(owner.grant(customer, *decision.OwnerRequest, Now),
+                         Now);
   }
-  if (decision.Verdict == LimitVerdict::AskOwner)
+  if (decision.Verdict == LimitVerdict::AwaitGrant)
     decision = Limits[entry]->admit(customer, What.Entries, Now);
   return decision.Verdict == LimitVerdict::Admitted;
 }
@@ -150,7 +151,7 @@
   if (place(job, entry, std::nullopt))
     return;
   record.Refused = true;
-  Limits[entry]->finished(hashName(Customers[request.Organisation].Name));
+  Limits[entry]->releaseSlot(hashName(Customers[request.Organisation].Name));
 }
 
 inline std::vector<uint32_t> PolicyRun::route(const Request &request,
@@ -173,8 +174,8 @@
                      [&](uint32_t a, uint32_t b) { return load(a) < load(b); });
     return out;
   }
-  auto depth = Popularity[entry]->count(request.Pieces, hashName("m"),
-                                        Members->Servers.size(), Now);
+  auto depth = Popularity[entry]->chooseDepth(request.Pieces, hashName("m"),
+                                              Members->Servers.size(), Now);
   RouteKey key = makeRouteKey(hashName(Customers[request.Organisation].Name),
                               "m", request.Pieces, mix64(index), depth);
   CandidateList candidates = Table->candidates("m", false, key, "r");
@@ -186,7 +187,7 @@
     auto server = static_cast<uint32_t>(
         Members->Servers[it.Server.Index].Name.back() - 'a');
     out.push_back(server);
-    Jobs[index].Places[server] = it.Place;
+    Jobs[index].Places[server] = it.Position;
     Jobs[index].Patience[server] = it.Patience;
   }
   return out;
@@ -228,7 +229,7 @@
   RunRequest out = job.Run;
   out.Prefill = agent.Predictor.prefill(job.Plan.RecomputedTokens);
   out.Decode = agent.Predictor.decode(shape.AnswerTokens);
-  out.Ready = Now + job.Plan.FetchTime;
+  out.ContextReady = Now + job.Plan.FetchTime;
   if (!How.Accepts) {
     out.Deadline = request.At; // First come, first served.
     return out;
@@ -274,9 +275,9 @@
   startFetches(job, agent);
   agent.Queue.push(job.Run, Now);
   if (job.FetchesLeft == 0)
-    agent.Queue.setReady(job.Run.Id, job.Run.Try, Now);
+    agent.Queue.setContextReady(job.Run.Id, job.Run.Try, Now);
   else
-    at(job.Run.Ready, Kind::ReadyDue, job.Index, job.Epoch);
+    at(job.Run.ContextReady, Kind::ReadyDue, job.Index, job.Epoch);
   pumpQueue(server);
 }
 
@@ -310,7 +311,7 @@
   agent.Predictor.observePrefill(job.Recomputed, Now - job.Started);
   agent.Engine.keep(job.What->Pieces);
   agent.View.confirm(job.What->Pieces);
-  agent.Queue.prefilled(job.Run.Id, job.Run.Try);
+  agent.Queue.markPrefilled(job.Run.Id, job.Run.Try);
   pumpQueue(job.Server);
   Record &record = Out.Records[index];
   record.Recomputed += job.Recomputed;
@@ -334,7 +335,8 @@
   agent.Jobs.erase(index);
   job.Done = true;
   Out.Records[index].Took = Now - job.What->At + NetworkTime;
-  Limits[job.Entry]->finished(hashName(Customers[job.What->Organisation].Name));
+  Limits[job.Entry]->releaseSlot(
+      hashName(Customers[job.What->Organisation].Name));
   exportPieces(job);
   pumpQueue(job.Server);
   if (auto it = job.Places.find(job.Server); it != job.Places.end())
--- a/tools/entry/entry_state.cpp
+++ b/tools/entry/entry_state.cpp
@@ -89,8 +89,8 @@
   std::string_view serves = poolName(spec);
   const std::string &region = Options.self().Region;
   std::optional<uint32_t> depth =
-      Popularity.count(spec.Offer.Pieces, hashName(serves),
-                       routes->servers(serves, isService, region), now);
+      Popularity.chooseDepth(spec.Offer.Pieces, hashName(serves),
+                             routes->servers(serves, isService, region), now);
   RouteKey key =
       makeRouteKey(hashName(spec.Offer.Organisation), serves, spec.Offer.Pieces,
                    std::hash<Id128>()(spec.Offer.Id), depth);
@@ -140,8 +140,9 @@
   event.Kind = EventKind::ServerEjected;
   event.Request = spec.Offer.Id;
   event.Subject = note.Server;
-  event.Reason = verdict == EjectionVerdict::HeldBack ? ErrorKind::BudgetSpent
-                                                      : ErrorKind::ServerFailed;
+  event.Reason = verdict == EjectionVerdict::CapReached
+                     ? ErrorKind::BudgetSpent
+                     : ErrorKind::ServerFailed;
   Events(std::move(event));
 }
 
--- a/tools/entry/limit_desk.cpp
+++ b/tools/entry/limit_desk.cpp
@@ -29,7 +29,8 @@
                       std::function<void(const Error &)> done) {
   size_t entries = config->Entries.size();
   LimitDecision first = Limits.admit(organisation, entries, monotonicNow());
-  bool isAnswered = first.Ask && ask(organisation, *config, *first.Ask);
+  bool isAnswered =
+      first.OwnerRequest && ask(organisation, *config, *first.OwnerRequest);
   if (first.Verdict == LimitVerdict::Admitted)
     return done({});
   if (first.Verdict == LimitVerdict::Refused)
@@ -41,15 +42,14 @@
   if (isAnswered)
     return again();
   auto timer = std::make_shared<net::Timer>(Io);
-  timer->expires_after(Settings.GrantWait);
+  timer->expires_after(Settings.MaxGrantWait);
   timer->async_wait(
       [timer, again = std::move(again)](const auto & /*ec*/) { again(); });
 }
 
 bool LimitDesk::ask(const Organisation &organisation, const Snapshot &config,
-                    const AllotmentRequest &request) {
-  const Member *owner =
-      allotmentOwner(hashName(organisation.Name), config.Entries);
+                    const QuotaRequest &request) {
+  const Member *owner = quotaOwner(hashName(organisation.Name), config.Entries);
   if (owner == nullptr)
     return false;
   if (owner->Name != Self) {
@@ -62,19 +62,19 @@
 }
 
 void LimitDesk::finished(std::string_view organisation) {
-  Limits.finished(hashName(organisation));
+  Limits.releaseSlot(hashName(organisation));
 }
 
-std::optional<AllotmentGrant> LimitDesk::grant(const AllotmentRequest &request,
-                                               const Snapshot &config) {
+std::optional<QuotaGrant> LimitDesk::grant(const QuotaRequest &request,
+                                           const Snapshot &config) {
   const Organisation *organisation = findByHash(config, request.Organisation);
-  const Member *owner = allotmentOwner(request.Organisation, config.Entries);
+  const Member *owner = quotaOwner(request.Organisation, config.Entries);
   if (organisation == nullptr || owner == nullptr || owner->Name != Self)
     return std::nullopt;
   return Owner.grant(*organisation, request, monotonicNow());
 }
 
-void LimitDesk::apply(const AllotmentGrant &grant) {
+void LimitDesk::apply(const QuotaGrant &grant) {
   Limits.apply(grant, monotonicNow());
 }
 
