--- a/src/context/keep_policy.h
+++ b/src/context/keep_policy.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "context/committed_write.h"
-#include "context/sight_table.h"
+#include "context/sighting_table.h"
 #include "daisytack/objects.h"
 
 #include <cstdint>
--- a/src/context/sight_table.cpp
+++ b/src/context/sighting_table.cpp
@@ -1,4 +1,4 @@
-#include "context/sight_table.h"
+#include "context/sighting_table.h"
 
 #include <algorithm>
 #include <bit>
