--- a/bench/policy_agent.h
+++ b/bench/policy_agent.h
@@ -38,8 +38,8 @@
   uint32_t FetchesLeft = 0;
   TimePoint FetchDeadline;
   std::vector<PieceKey> Imported;
-  std::vector<Sight> Before;      ///< Of each piece.
-  std::vector<PieceState> States; ///< Of each piece, when it was planned.
+  std::vector<SightingHistory> Before; ///< Of each piece.
+  std::vector<PieceState> States;      ///< Of each piece, when it was planned.
   uint32_t Recomputed = 0;
   TimePoint Started;
   uint64_t Epoch = 0; ///< Events of an earlier attempt are stale.
@@ -72,7 +72,7 @@
   RunQueue Queue;
   ServerPredictor Predictor;
   EngineView View;
-  SightTable Sights;
+  SightingTable Sights;
   ReturnModel Returns;
   KeepPolicy Keep;
   std::vector<LinkScheduler> Links;
--- a/bench/policy_kept.h
+++ b/bench/policy_kept.h
@@ -11,7 +11,7 @@
   for (size_t i = 0; i < request.Pieces.size(); ++i) {
     const PieceKey &piece = request.Pieces[i];
     PieceState &state = job.States[i];
-    state.InEngine = agent.View.chance(piece) >= LeastPresence;
+    state.InEngine = agent.View.presenceProbability(piece) >= LeastPresence;
     if (How.Reuse == Context::Oracle)
       state.InEngine = EverSeen.contains(piece);
     if (How.Reuse != Context::Planned && How.Reuse != Context::FetchAll)
@@ -155,7 +155,7 @@
         !agent.Engine.holds(piece))
       continue;
     auto stores = chooseStores(piece, StoreNames);
-    ExportQuestion question;
+    ExportCandidate question;
     question.Rule = How.Reuse == Context::FetchAll
                         ? KeepRule::Always
                         : What.Classes[request.Class].Keep;
--- a/bench/policy_steps.h
+++ b/bench/policy_steps.h
@@ -309,7 +309,7 @@
   const ClassShape &shape = What.Classes[job.What->Class];
   agent.Predictor.observePrefill(job.Recomputed, Now - job.Started);
   agent.Engine.keep(job.What->Pieces);
-  agent.View.confirm(job.What->Pieces);
+  agent.View.markPresent(job.What->Pieces);
   agent.Queue.prefilled(job.Run.Id, job.Run.Try);
   pumpQueue(job.Server);
   Record &record = Out.Records[index];
--- a/src/context/committed_write.cpp
+++ b/src/context/committed_write.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// Each request whose answer was lost is sent so often at most.
-constexpr uint32_t MaxSends = 2;
+constexpr uint32_t MaxSendsPerRequest = 2;
 
 } // namespace
 
@@ -23,8 +23,8 @@
   return Step = WriteStep::Done;
 }
 
-WriteStep CommittedWrite::freeThen(WriteResult result) {
-  AfterFree = result;
+WriteStep CommittedWrite::freeAndFinish(WriteResult result) {
+  ResultAfterFree = result;
   return Step = WriteStep::Free;
 }
 
@@ -32,7 +32,8 @@
   if (Step != WriteStep::Create)
     return Step;
   if (generation == 0) // A generation that was made all the same stays unused.
-    return ++Creates < MaxSends ? Step : finish(WriteResult::Failed);
+    return ++CreateAttempts < MaxSendsPerRequest ? Step
+                                                 : finish(WriteResult::Failed);
   Generation = generation;
   Frame = encodePieceFrame(Key, Generation, Payload);
   Checksum = sha256(Frame);
@@ -48,12 +49,14 @@
     return Step = WriteStep::Commit;
   case PutAnswer::Full:
     if (Evicted)
-      return freeThen(WriteResult::Full);
+      return freeAndFinish(WriteResult::Full);
     return Step = WriteStep::Sample;
   case PutAnswer::Refused:
-    return freeThen(WriteResult::Failed);
+    return freeAndFinish(WriteResult::Failed);
   case PutAnswer::Lost: // The same bytes under the same generation: idempotent.
-    return ++Puts < MaxSends ? Step : freeThen(WriteResult::Failed);
+    return ++PutAttempts < MaxSendsPerRequest
+               ? Step
+               : freeAndFinish(WriteResult::Failed);
   }
   return Step;
 }
@@ -64,7 +67,7 @@
   Evicted = true;
   Victims = Chooser(sample, Frame.size());
   if (Victims.empty())
-    return freeThen(WriteResult::Full);
+    return freeAndFinish(WriteResult::Full);
   return Step = WriteStep::Evict;
 }
 
@@ -77,12 +80,12 @@
 WriteStep CommittedWrite::onCommit(CommitAnswer answer) {
   if (Step != WriteStep::Commit)
     return Step;
-  ++Commits;
+  ++CommitAttempts;
   switch (answer) {
   case CommitAnswer::Committed:
     return finish(WriteResult::Committed);
   case CommitAnswer::Refused:
-    return freeThen(WriteResult::LostRace);
+    return freeAndFinish(WriteResult::LostRace);
   case CommitAnswer::Lost:
     return Step = WriteStep::ReadGeneration;
   }
@@ -98,8 +101,8 @@
   if (*generation == Generation)
     return finish(WriteResult::Committed);
   if (*generation > Generation)
-    return freeThen(WriteResult::LostRace);
-  if (Commits < MaxSends)
+    return freeAndFinish(WriteResult::LostRace);
+  if (CommitAttempts < MaxSendsPerRequest)
     return Step = WriteStep::Commit;
   return finish(WriteResult::Failed);
 }
@@ -107,7 +110,7 @@
 WriteStep CommittedWrite::onFreed() {
   if (Step != WriteStep::Free)
     return Step;
-  return finish(AfterFree);
+  return finish(ResultAfterFree);
 }
 
 } // namespace daisytack
--- a/src/context/committed_write.h
+++ b/src/context/committed_write.h
@@ -77,21 +77,21 @@
 
 private:
   WriteStep finish(WriteResult result);
-  WriteStep freeThen(WriteResult result);
+  WriteStep freeAndFinish(WriteResult result);
 
   PieceKey Key;
   std::string Payload;
   VictimChooser Chooser;
   WriteStep Step = WriteStep::Create;
   WriteResult Result = WriteResult::Pending;
-  WriteResult AfterFree = WriteResult::Failed;
+  WriteResult ResultAfterFree = WriteResult::Failed;
   uint64_t Generation = 0;
   std::string Frame;
   Digest256 Checksum{};
   std::vector<SampledPiece> Victims;
-  uint32_t Creates = 0;
-  uint32_t Puts = 0;
-  uint32_t Commits = 0;
+  uint32_t CreateAttempts = 0;
+  uint32_t PutAttempts = 0;
+  uint32_t CommitAttempts = 0;
   bool Evicted = false;
 };
 
--- a/src/context/engine_view.cpp
+++ b/src/context/engine_view.cpp
@@ -7,37 +7,37 @@
 namespace {
 
 /// Beliefs weaker than this are dropped.
-constexpr double LeastChance = 0.5;
+constexpr double MinPresenceProbability = 0.5;
 /// Below, the product is taken out of all beliefs, so that it stays in range.
-constexpr double LeastKept = 1e-100;
+constexpr double MinSurvivalProduct = 1e-100;
 
 } // namespace
 
 EngineView::EngineView(size_t maxPieces) : MaxPieces(maxPieces) {}
 
 bool EngineView::apply(std::span<const CacheEvent> events, uint64_t next) {
-  bool whole = true;
+  bool contiguous = true;
   for (const CacheEvent &it : events) {
     if (it.Sequence < Next)
       continue;
     if (it.Sequence > Next) {
-      miss(it.Sequence - Next);
-      whole = false;
+      applyMissedEvents(it.Sequence - Next);
+      contiguous = false;
     }
-    applyOne(it);
+    applyEvent(it);
     Next = it.Sequence + 1;
   }
   if (next > Next) { // The answer's tail is missing.
-    miss(next - Next);
-    whole = false;
+    applyMissedEvents(next - Next);
+    contiguous = false;
     Next = next;
   }
-  if (!whole)
+  if (!contiguous)
     ++Gaps;
-  return whole;
+  return contiguous;
 }
 
-void EngineView::applyOne(const CacheEvent &event) {
+void EngineView::applyEvent(const CacheEvent &event) {
   switch (event.Kind) {
   case CacheEventKind::Stored:
     insert(event.Piece);
@@ -53,52 +53,53 @@
 
 void EngineView::reset(uint64_t fromSequence, bool complete) {
   Pieces.clear();
-  Kept = 1;
+  SurvivalProduct = 1;
   Next = fromSequence;
-  Complete = complete;
+  AllEventsSeen = complete;
 }
 
-void EngineView::confirm(std::span<const PieceKey> pieces) {
+void EngineView::markPresent(std::span<const PieceKey> pieces) {
   for (const PieceKey &it : pieces)
     insert(it);
 }
 
-void EngineView::deny(const PieceKey &piece) { Pieces.erase(piece); }
+void EngineView::markAbsent(const PieceKey &piece) { Pieces.erase(piece); }
 
 Presence EngineView::presence(const PieceKey &piece) const {
   auto it = Pieces.find(piece);
-  if (it != Pieces.end() && it->second == Kept)
+  if (it != Pieces.end() && it->second == SurvivalProduct)
     return Presence::Present;
-  if (it == Pieces.end() && Complete)
+  if (it == Pieces.end() && AllEventsSeen)
     return Presence::Absent;
   return Presence::Unknown;
 }
 
-double EngineView::chance(const PieceKey &piece) const {
+double EngineView::presenceProbability(const PieceKey &piece) const {
   auto it = Pieces.find(piece);
-  return it == Pieces.end() ? 0 : Kept / it->second;
+  return it == Pieces.end() ? 0 : SurvivalProduct / it->second;
 }
 
-void EngineView::miss(uint64_t events) {
-  Complete = false;
+void EngineView::applyMissedEvents(uint64_t events) {
+  AllEventsSeen = false;
   // Each missed event may be the eviction of any one piece.
   auto pieces = static_cast<double>(std::max<size_t>(Pieces.size(), 1));
-  Kept *= std::max(0.0, 1 - static_cast<double>(events) / pieces);
-  std::erase_if(
-      Pieces, [&](const auto &it) { return Kept <= LeastChance * it.second; });
-  if (Kept >= LeastKept && !Pieces.empty())
+  SurvivalProduct *= std::max(0.0, 1 - static_cast<double>(events) / pieces);
+  std::erase_if(Pieces, [&](const auto &it) {
+    return SurvivalProduct <= MinPresenceProbability * it.second;
+  });
+  if (SurvivalProduct >= MinSurvivalProduct && !Pieces.empty())
     return;
   for (auto &it : Pieces)
-    it.second /= Kept;
-  Kept = 1;
+    it.second /= SurvivalProduct;
+  SurvivalProduct = 1;
 }
 
 void EngineView::insert(const PieceKey &piece) {
   if (Pieces.size() >= MaxPieces && !Pieces.contains(piece)) {
     Pieces.clear();
-    Complete = false;
+    AllEventsSeen = false;
   }
-  Pieces[piece] = Kept;
+  Pieces[piece] = SurvivalProduct;
 }
 
 } // namespace daisytack
--- a/src/context/engine_view.h
+++ b/src/context/engine_view.h
@@ -41,37 +41,37 @@
   void reset(uint64_t fromSequence, bool complete);
 
   /// The engine answered that it reused these leading pieces just now.
-  void confirm(std::span<const PieceKey> pieces);
+  void markPresent(std::span<const PieceKey> pieces);
 
   /// The engine recomputed a piece that was believed present.
-  void deny(const PieceKey &piece);
+  void markAbsent(const PieceKey &piece);
 
   Presence presence(const PieceKey &piece) const;
 
   /// Chance that the engine holds the piece, 0..1. A gap of few events leaves
   /// most of what was there before: a piece that was present is then unknown,
   /// but likely. A plan may bet on it; the bet costs time when it is lost.
-  double chance(const PieceKey &piece) const;
+  double presenceProbability(const PieceKey &piece) const;
 
   /// Sequence to ask the engine for next.
-  uint64_t wanted() const { return Next; }
+  uint64_t nextSequence() const { return Next; }
   uint64_t gaps() const { return Gaps; }
   size_t size() const { return Pieces.size(); }
 
 private:
-  void applyOne(const CacheEvent &event);
+  void applyEvent(const CacheEvent &event);
   /// So many events were missed: every belief fades.
-  void miss(uint64_t events);
+  void applyMissedEvents(uint64_t events);
   void insert(const PieceKey &piece);
 
   /// Believed pieces, with the product of what was left of all beliefs after
   /// each gap, as of when the piece was last known to be present.
   std::unordered_map<PieceKey, double> Pieces;
   size_t MaxPieces;
-  double Kept = 1; ///< That product now.
+  double SurvivalProduct = 1; ///< That product now.
   uint64_t Next = 0;
   uint64_t Gaps = 0;
-  bool Complete = true; ///< Every event since an empty cache was seen.
+  bool AllEventsSeen = true; ///< Every event since an empty cache was seen.
 };
 
 } // namespace daisytack
--- a/src/context/keep_policy.cpp
+++ b/src/context/keep_policy.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view EscapedSeparator = "%3b";
 constexpr std::string_view EscapedEscape = "%25";
 constexpr size_t MaxMetaBytes = 512;
-constexpr double BytesPerUnit = 1e6;
+constexpr double BytesPerMegabyte = 1e6;
 constexpr size_t NumberFields = 6;
 /// Later pieces of a prompt are useless without those before them.
 constexpr double IndexPenalty = 0.01;
@@ -111,21 +111,22 @@
 KeepPolicy::KeepPolicy(const KeepSettings &settings, const ReturnModel &returns)
     : Settings(settings), Returns(returns) {}
 
-ExportDecision KeepPolicy::decide(const ExportQuestion &question) const {
-  if (!question.MayReuse || question.Rule == KeepRule::Never)
+ExportDecision KeepPolicy::decide(const ExportCandidate &candidate) const {
+  if (!candidate.MayReuse || candidate.Rule == KeepRule::Never)
     return {ExportVerdict::NotAllowed, 0};
-  bool always = question.Rule == KeepRule::Always;
-  if (!always && question.Before.Count == 0)
-    return {ExportVerdict::FirstSight, 0};
-  uint32_t sightings = question.Before.Count + 1;
-  if (!always && Returns.chance(sightings, Duration(0)) < Settings.LeastChance)
-    return {ExportVerdict::NotWorth, 0};
-  if (question.OrganisationBytes + question.Bytes > question.Quota)
+  bool always = candidate.Rule == KeepRule::Always;
+  if (!always && candidate.Before.Count == 0)
+    return {ExportVerdict::FirstSighting, 0};
+  uint32_t sightings = candidate.Before.Count + 1;
+  if (!always && Returns.returnProbability(sightings, Duration(0)) <
+                     Settings.MinReturnProbability)
+    return {ExportVerdict::UnlikelyToReturn, 0};
+  if (candidate.OrganisationBytes + candidate.Bytes > candidate.Quota)
     return {ExportVerdict::OverQuota, 1};
   bool second =
       sightings >= Settings.SecondCopySightings &&
-      question.StoreUsed < Settings.SecondCopyBelow &&
-      question.OrganisationBytes + 2 * question.Bytes <= question.Quota;
+      candidate.StoreUsed < Settings.SecondCopyMaxStoreUsed &&
+      candidate.OrganisationBytes + 2 * candidate.Bytes <= candidate.Quota;
   return {ExportVerdict::Export, second ? 2U : 1U};
 }
 
@@ -135,12 +136,12 @@
     return -1;
   Duration age = std::max(Duration(0), now - meta.KeptAt);
   double seconds = meta.Tokens / Settings.PrefillTokensPerSecond;
-  double copyWorth = meta.Copy == 0 ? 1 : Settings.SecondCopyWorth;
-  double prefixWorth = 1 / (1 + IndexPenalty * meta.Index);
+  double copyWeight = meta.Copy == 0 ? 1 : Settings.SecondCopyWeight;
+  double prefixWeight = 1 / (1 + IndexPenalty * meta.Index);
   double megabytes =
-      static_cast<double>(std::max<uint64_t>(bytes, 1)) / BytesPerUnit;
-  return Returns.chance(meta.Sightings, age) * seconds * copyWorth *
-         prefixWorth / megabytes;
+      static_cast<double>(std::max<uint64_t>(bytes, 1)) / BytesPerMegabyte;
+  return Returns.returnProbability(meta.Sightings, age) * seconds * copyWeight *
+         prefixWeight / megabytes;
 }
 
 std::vector<SampledPiece>
@@ -152,15 +153,15 @@
     double Value;
     const SampledPiece *Piece;
   };
-  double limit = value(incoming, neededBytes, now);
+  double incomingValue = value(incoming, neededBytes, now);
   std::vector<Candidate> candidates;
   for (const SampledPiece &it : sample) {
     auto meta = decodeMeta(it.Meta);
     // What nobody can judge is of no value to anybody.
-    double worth = meta ? value(*meta, it.Length, now) : -1;
+    double pieceValue = meta ? value(*meta, it.Length, now) : -1;
     bool own = meta && meta->Organisation == onlyOrganisation;
-    if (worth < limit && (onlyOrganisation.empty() || own))
-      candidates.push_back({worth, &it});
+    if (pieceValue < incomingValue && (onlyOrganisation.empty() || own))
+      candidates.push_back({pieceValue, &it});
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const Candidate &a, const Candidate &b) {
--- a/src/context/keep_policy.h
+++ b/src/context/keep_policy.h
@@ -38,28 +38,28 @@
 struct KeepSettings {
   double PrefillTokensPerSecond = 10'000; ///< Of a typical engine.
   /// Least chance of return that is worth an export.
-  double LeastChance = 0.05;
+  double MinReturnProbability = 0.05;
   /// A second copy only while the store is emptier than this share.
-  double SecondCopyBelow = 0.5;
+  double SecondCopyMaxStoreUsed = 0.5;
   uint32_t SecondCopySightings = 3;
   /// Worth of a second copy against the first: the chance that the first is
   /// lost before the piece returns.
-  double SecondCopyWorth = 0.02;
+  double SecondCopyWeight = 0.02;
   auto operator<=>(const KeepSettings &) const = default;
 };
 
 enum class ExportVerdict : uint8_t {
   Export,
-  NotAllowed, ///< By the class or the reuse policy.
-  FirstSight, ///< Waits for a second sighting.
-  NotWorth,   ///< Too unlikely to return.
-  OverQuota,  ///< Only in place of the organisation's own pieces.
+  NotAllowed,       ///< By the class or the reuse policy.
+  FirstSighting,    ///< Waits for a second sighting.
+  UnlikelyToReturn, ///< Too unlikely to return.
+  OverQuota,        ///< Only in place of the organisation's own pieces.
 };
 
-struct ExportQuestion {
+struct ExportCandidate {
   KeepRule Rule = KeepRule::SecondSight;
   bool MayReuse = true;
-  Sight Before; ///< Of the piece, before this request.
+  SightingHistory Before; ///< Of the piece, before this request.
   uint64_t Bytes = 0;
   uint64_t OrganisationBytes = 0; ///< Kept now, as the stores report.
   uint64_t Quota = 0;
@@ -77,7 +77,7 @@
 public:
   KeepPolicy(const KeepSettings &settings, const ReturnModel &returns);
 
-  ExportDecision decide(const ExportQuestion &question) const;
+  ExportDecision decide(const ExportCandidate &candidate) const;
 
   /// Value of a kept piece in seconds saved per megabyte; negative when it has
   /// expired.
--- a/src/context/link_scheduler.cpp
+++ b/src/context/link_scheduler.cpp
@@ -8,18 +8,18 @@
 namespace {
 
 /// Weight of a new measurement in the learned rate.
-constexpr double LearnWeight = 0.3;
+constexpr double MeasurementWeight = 0.3;
 /// After this long without a measurement, half of the way back to the budget.
-constexpr double ForgetHalfLifeSeconds = 20;
+constexpr double LearnedRateHalfLifeSeconds = 20;
 /// A rate is never taken for less, so that predictions stay finite.
-constexpr double LeastBytesPerSecond = 1;
+constexpr double MinBytesPerSecond = 1;
 /// Exports wait while the link gives less than this share of its budget: other
 /// agents' fetches are using it.
-constexpr double ExportRateShare = 0.5;
+constexpr double MinExportRateShare = 0.5;
 /// An export leaves this share of the burst to fetches.
-constexpr double FetchReserve = 0.5;
+constexpr double FetchReserveShare = 0.5;
 /// Measured times shorter than this say nothing about the rate.
-constexpr double LeastSeconds = 1e-6;
+constexpr double MinTransferSeconds = 1e-6;
 /// A byte's worth of rounding; keeps nextAt and next in agreement.
 constexpr double TokenSlack = 1e-3;
 
@@ -41,7 +41,7 @@
 
 LinkScheduler::LinkScheduler(const LinkLimits &limits)
     : Limits(limits), Tokens(static_cast<double>(limits.BurstBytes)),
-      Learned(limits.BytesPerSecond) {}
+      LearnedBytesPerSecond(limits.BytesPerSecond) {}
 
 bool LinkScheduler::add(const Transfer &transfer, TimePoint now,
                         Error &reason) {
@@ -59,36 +59,37 @@
   return true;
 }
 
-bool LinkScheduler::isCrowded(TimePoint now) const {
-  return learnedRate(now) < ExportRateShare * Limits.BytesPerSecond;
+bool LinkScheduler::isCongested(TimePoint now) const {
+  return learnedRate(now) < MinExportRateShare * Limits.BytesPerSecond;
 }
 
-const Transfer *LinkScheduler::best(TimePoint now) const {
+const Transfer *LinkScheduler::startableHead(TimePoint now) const {
   if (Waiting.empty() || Running.size() >= Limits.MaxInFlight)
     return nullptr;
   const Transfer &out = Waiting.back();
   // An export starts alone, so that it delays a fetch by one piece at most.
-  if (out.Kind == TransferKind::Export && (!Running.empty() || isCrowded(now)))
+  if (out.Kind == TransferKind::Export &&
+      (!Running.empty() || isCongested(now)))
     return nullptr;
   return &out;
 }
 
 double LinkScheduler::tokensAt(TimePoint now) const {
-  double gained =
-      std::max(0.0, secondsBetween(TokensSince, now)) * Limits.BytesPerSecond;
-  return std::min(static_cast<double>(Limits.BurstBytes), Tokens + gained);
+  double refilled = std::max(0.0, secondsBetween(TokensUpdatedAt, now)) *
+                    Limits.BytesPerSecond;
+  return std::min(static_cast<double>(Limits.BurstBytes), Tokens + refilled);
 }
 
 double LinkScheduler::tokensNeeded(const Transfer &transfer) const {
   auto burst = static_cast<double>(Limits.BurstBytes);
   auto bytes = static_cast<double>(transfer.Bytes);
   if (transfer.Kind == TransferKind::Export)
-    return std::min(burst, bytes + FetchReserve * burst);
+    return std::min(burst, bytes + FetchReserveShare * burst);
   return std::min(burst, bytes);
 }
 
 std::optional<Transfer> LinkScheduler::next(TimePoint now) {
-  const Transfer *head = best(now);
+  const Transfer *head = startableHead(now);
   if (head == nullptr)
     return std::nullopt;
   double available = tokensAt(now);
@@ -97,7 +98,7 @@
   Transfer out = *head;
   Waiting.pop_back();
   Tokens = available - static_cast<double>(out.Bytes);
-  TokensSince = std::max(TokensSince, now);
+  TokensUpdatedAt = std::max(TokensUpdatedAt, now);
   if (out.Kind == TransferKind::Export) {
     ExportBacklog -= out.Bytes;
     ExportBytes += out.Bytes;
@@ -109,7 +110,7 @@
 }
 
 std::optional<TimePoint> LinkScheduler::nextAt(TimePoint now) const {
-  const Transfer *head = best(now);
+  const Transfer *head = startableHead(now);
   if (head == nullptr)
     return std::nullopt;
   double missing = tokensNeeded(*head) - tokensAt(now);
@@ -121,28 +122,33 @@
 }
 
 void LinkScheduler::finish(uint64_t id, uint64_t bytes, TimePoint now) {
-  auto it = std::find_if(Running.begin(), Running.end(),
-                         [&](const Flight &f) { return f.What.Id == id; });
+  auto it = std::find_if(
+      Running.begin(), Running.end(),
+      [&](const RunningTransfer &f) { return f.Request.Id == id; });
   if (it == Running.end())
     return;
   learn(*it, bytes, now);
   Running.erase(it);
 }
 
-void LinkScheduler::learn(const Flight &flight, uint64_t bytes, TimePoint now) {
-  double seconds = secondsBetween(flight.Started, now) -
+void LinkScheduler::learn(const RunningTransfer &transfer, uint64_t bytes,
+                          TimePoint now) {
+  double seconds = secondsBetween(transfer.Started, now) -
                    std::chrono::duration<double>(Limits.RoundTrip).count();
-  seconds = std::max(seconds, LeastSeconds);
+  seconds = std::max(seconds, MinTransferSeconds);
   if (bytes == 0)
     return;
   // Transfers side by side share the link. The mean is one of times, not of
   // rates: what is predicted from it is a time.
-  double share = static_cast<double>(Running.size());
-  double measured = seconds / (static_cast<double>(bytes) * share);
-  measured = std::max(measured, 1 / Limits.BytesPerSecond);
-  double believed = 1 / learnedRate(now);
-  believed += LearnWeight * (measured - believed);
-  Learned = 1 / believed;
+  double concurrentTransfers = static_cast<double>(Running.size());
+  double measuredSecondsPerByte =
+      seconds / (static_cast<double>(bytes) * concurrentTransfers);
+  measuredSecondsPerByte =
+      std::max(measuredSecondsPerByte, 1 / Limits.BytesPerSecond);
+  double secondsPerByte = 1 / learnedRate(now);
+  secondsPerByte +=
+      MeasurementWeight * (measuredSecondsPerByte - secondsPerByte);
+  LearnedBytesPerSecond = 1 / secondsPerByte;
   LearnedAt = now;
 }
 
@@ -159,13 +165,14 @@
 
 void LinkScheduler::cancel(uint64_t id) {
   if (!cancelWaiting(id))
-    std::erase_if(Running, [&](const Flight &f) { return f.What.Id == id; });
+    std::erase_if(Running,
+                  [&](const RunningTransfer &f) { return f.Request.Id == id; });
 }
 
 uint64_t LinkScheduler::bytesInFlight() const {
   uint64_t out = 0;
-  for (const Flight &it : Running)
-    out += it.What.Bytes;
+  for (const RunningTransfer &it : Running)
+    out += it.Request.Bytes;
   return out;
 }
 
@@ -179,20 +186,21 @@
 
 double LinkScheduler::learnedRate(TimePoint now) const {
   double age = std::max(0.0, secondsBetween(LearnedAt, now));
-  double kept = std::exp2(-age / ForgetHalfLifeSeconds);
-  return Limits.BytesPerSecond - kept * (Limits.BytesPerSecond - Learned);
+  double learnedWeight = std::exp2(-age / LearnedRateHalfLifeSeconds);
+  return Limits.BytesPerSecond -
+         learnedWeight * (Limits.BytesPerSecond - LearnedBytesPerSecond);
 }
 
 double LinkScheduler::bytesPerSecond(TimePoint now) const {
   double rate = learnedRate(now);
   // What is in flight bounds the rate before it has ended.
-  for (const Flight &it : Running) {
+  for (const RunningTransfer &it : Running) {
     double seconds = secondsBetween(it.Started, now) -
                      std::chrono::duration<double>(Limits.RoundTrip).count();
     if (seconds > 0)
       rate = std::min(rate, static_cast<double>(bytesInFlight()) / seconds);
   }
-  return std::max(rate, LeastBytesPerSecond);
+  return std::max(rate, MinBytesPerSecond);
 }
 
 uint64_t LinkScheduler::startedBytes(TransferKind kind) const {
--- a/src/context/link_scheduler.h
+++ b/src/context/link_scheduler.h
@@ -75,25 +75,25 @@
   uint64_t startedBytes(TransferKind kind) const;
 
 private:
-  struct Flight {
-    Transfer What;
+  struct RunningTransfer {
+    Transfer Request;
     TimePoint Started;
   };
 
   double tokensAt(TimePoint now) const;
   double tokensNeeded(const Transfer &transfer) const;
-  const Transfer *best(TimePoint now) const;
-  bool isCrowded(TimePoint now) const;
-  void learn(const Flight &flight, uint64_t bytes, TimePoint now);
+  const Transfer *startableHead(TimePoint now) const;
+  bool isCongested(TimePoint now) const;
+  void learn(const RunningTransfer &transfer, uint64_t bytes, TimePoint now);
   uint64_t bytesInFlight() const;
   double learnedRate(TimePoint now) const;
 
   LinkLimits Limits;
   std::vector<Transfer> Waiting; ///< Sorted: the best one last.
-  std::vector<Flight> Running;
+  std::vector<RunningTransfer> Running;
   double Tokens;
-  TimePoint TokensSince{};
-  double Learned;
+  TimePoint TokensUpdatedAt{};
+  double LearnedBytesPerSecond;
   TimePoint LearnedAt{};
   uint64_t ExportBacklog = 0;
   uint64_t FetchBytes = 0;
--- a/src/context/piece_frame.cpp
+++ b/src/context/piece_frame.cpp
@@ -12,12 +12,12 @@
     "none",  "missing",  "store_failed", "too_long", "mis_keyed",
     "freed", "replaced", "torn",         "corrupt",  "version_changed"};
 
-void appendNumber(std::string &out, uint64_t value) {
+void appendUint64(std::string &out, uint64_t value) {
   for (unsigned i = 0; i < 8; ++i)
     out.push_back(static_cast<char>(value >> (8U * i)));
 }
 
-uint64_t takeNumber(std::string_view &in) {
+uint64_t takeUint64(std::string_view &in) {
   uint64_t out = 0;
   for (unsigned i = 0; i < 8; ++i)
     out |= static_cast<uint64_t>(static_cast<uint8_t>(in[i])) << (8U * i);
@@ -37,8 +37,8 @@
   out.reserve(PieceFrameHeaderBytes + payload.size());
   out.append(Magic);
   out.append(key.Bytes.begin(), key.Bytes.end());
-  appendNumber(out, generation);
-  appendNumber(out, payload.size());
+  appendUint64(out, generation);
+  appendUint64(out, payload.size());
   out.append(payload);
   return out;
 }
@@ -57,8 +57,8 @@
   PieceFrame out;
   std::copy_n(bytes.begin(), out.Key.Bytes.size(), out.Key.Bytes.begin());
   bytes.remove_prefix(out.Key.Bytes.size());
-  out.Generation = takeNumber(bytes);
-  if (takeNumber(bytes) != bytes.size()) {
+  out.Generation = takeUint64(bytes);
+  if (takeUint64(bytes) != bytes.size()) {
     fault = PieceFault::Torn;
     return std::nullopt;
   }
--- a/src/context/piece_key.cpp
+++ b/src/context/piece_key.cpp
@@ -16,8 +16,8 @@
 constexpr std::string_view RootTag = "daisytack piece root 1";
 constexpr std::string_view PieceTag = "daisytack piece next 1";
 
-constexpr char MessageMark = '\x1e';
-constexpr char ContentMark = '\x1f';
+constexpr char MessageSeparator = '\x1e';
+constexpr char ContentSeparator = '\x1f';
 constexpr char Escape = '\x1b';
 
 /// SHA-256 over several parts; one context per thread, made once.
@@ -48,25 +48,25 @@
   return stream;
 }
 
-void appendNumber(std::string &out, uint64_t value) {
+void appendUint64(std::string &out, uint64_t value) {
   for (unsigned i = 0; i < 8; ++i)
     out.push_back(static_cast<char>(value >> (8U * i)));
 }
 
 void appendField(std::string &out, std::string_view field) {
-  appendNumber(out, field.size());
+  appendUint64(out, field.size());
   out.append(field);
 }
 
 void appendEscaped(std::string &out, std::string_view text) {
   for (char c : text) {
-    if (c == MessageMark || c == ContentMark || c == Escape)
+    if (c == MessageSeparator || c == ContentSeparator || c == Escape)
       out.push_back(Escape);
     out.push_back(c);
   }
 }
 
-std::string_view viewOf(const PieceKey &key) {
+std::string_view bytesOf(const PieceKey &key) {
   return {reinterpret_cast<const char *>(key.Bytes.data()), key.Bytes.size()};
 }
 
@@ -87,7 +87,7 @@
   }
 }
 
-PieceKey PieceKeyer::hash(std::string_view tag, std::string_view head,
+PieceKey PieceKeyer::hmac(std::string_view tag, std::string_view head,
                           std::string_view content) const {
   PieceKey out;
   Sha256Stream &stream = threadStream();
@@ -108,16 +108,16 @@
   std::string fields;
   appendField(fields, scope.Organisation);
   appendField(fields, scope.PolicyClass);
-  appendNumber(fields, scope.Epoch);
+  appendUint64(fields, scope.Epoch);
   appendField(fields, scope.Model);
   appendField(fields, scope.Version);
   appendField(fields, scope.Adapter);
-  return hash(RootTag, fields, {});
+  return hmac(RootTag, fields, {});
 }
 
 PieceKey PieceKeyer::next(const PieceKey &parent,
                           std::string_view content) const {
-  return hash(PieceTag, viewOf(parent), content);
+  return hmac(PieceTag, bytesOf(parent), content);
 }
 
 std::vector<PieceKey> PieceKeyer::keys(const PieceScope &scope,
@@ -127,8 +127,8 @@
 
 std::vector<PieceKey> PieceKeyer::leadingKeys(const PieceScope &scope,
                                               std::string_view text,
-                                              size_t most) const {
-  size_t n = std::min(most, text.size() / PieceBytes);
+                                              size_t maxPieces) const {
+  size_t n = std::min(maxPieces, text.size() / PieceBytes);
   std::vector<PieceKey> out;
   out.reserve(n);
   PieceKey parent = root(scope);
@@ -142,9 +142,9 @@
 std::string canonicalText(std::span<const ChatMessage> messages) {
   std::string out;
   for (const ChatMessage &it : messages) {
-    out.push_back(MessageMark);
+    out.push_back(MessageSeparator);
     appendEscaped(out, it.Role);
-    out.push_back(ContentMark);
+    out.push_back(ContentSeparator);
     appendEscaped(out, it.Content);
   }
   return out;
--- a/src/context/piece_key.h
+++ b/src/context/piece_key.h
@@ -33,7 +33,8 @@
 
   /// Like keys, but at most that many leading pieces: routing needs few.
   std::vector<PieceKey> leadingKeys(const PieceScope &scope,
-                                    std::string_view text, size_t most) const;
+                                    std::string_view text,
+                                    size_t maxPieces) const;
 
   /// The chain's start: names the scope alone.
   PieceKey root(const PieceScope &scope) const;
@@ -45,7 +46,7 @@
   static constexpr size_t BlockBytes = 64; ///< Of SHA-256.
   using Block = std::array<uint8_t, BlockBytes>;
 
-  PieceKey hash(std::string_view tag, std::string_view head,
+  PieceKey hmac(std::string_view tag, std::string_view head,
                 std::string_view content) const;
 
   Block InnerKey{};
--- a/src/context/plan.cpp
+++ b/src/context/plan.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr double TokensPerUnit = 1000;
-constexpr double BytesPerUnit = 1e6;
+constexpr double TokensPerCostUnit = 1000;
+constexpr double BytesPerMegabyte = 1e6;
 /// Longer than any deadline; keeps sums of durations within range.
-constexpr double LongestSeconds = 1e6;
+constexpr double MaxSeconds = 1e6;
 constexpr double MicrosPerSecond = 1e6;
 
 Duration fromSeconds(double seconds) {
-  seconds = std::clamp(seconds, 0.0, LongestSeconds);
+  seconds = std::clamp(seconds, 0.0, MaxSeconds);
   return Duration(std::llround(seconds * MicrosPerSecond));
 }
 
@@ -41,19 +41,20 @@
   Planner(const PlanInput &in, const PlanWeights &w)
       : Input(in), Weights(w), Loads(in.Links.size()) {}
 
-  FetchPlan run() {
-    FetchPlan best = priced();
+  FetchPlan choose() {
+    FetchPlan best = planForPrefix();
     size_t bestFetches = 0;
-    bool leadOver = false; // Past the pieces that the engine holds anyway.
+    bool pastEnginePrefix =
+        false; // Past the pieces that the engine holds anyway.
     double recomputeCost = best.Cost;
     for (uint32_t i = 0; i < Input.Pieces.size(); ++i) {
       bool inEngine = Input.Pieces[i].InEngine;
-      leadOver = leadOver || !inEngine;
+      pastEnginePrefix = pastEnginePrefix || !inEngine;
       if (!inEngine && !addFetch(i))
         break;
       ++Reused;
-      FetchPlan candidate = priced();
-      if (!leadOver)
+      FetchPlan candidate = planForPrefix();
+      if (!pastEnginePrefix)
         recomputeCost = candidate.Cost;
       if (!isBetter(candidate, best))
         continue;
@@ -87,7 +88,7 @@
     return true;
   }
 
-  FetchPlan priced() const {
+  FetchPlan planForPrefix() const {
     FetchPlan out;
     out.ReusedPieces = Reused;
     out.Bytes = Bytes;
@@ -96,23 +97,24 @@
     out.RecomputedTokens = Input.PromptTokens > reusedTokens
                                ? Input.PromptTokens - reusedTokens
                                : 0;
-    double prefill =
+    double prefillSeconds =
         out.RecomputedTokens / std::max(1.0, Input.PrefillTokensPerSecond);
     // Fetching goes on while the prompt queues.
-    double first = std::max(toSeconds(Input.QueueWait), FetchSeconds) + prefill;
-    out.FirstToken = fromSeconds(first);
-    out.Cost = Weights.FirstToken * first +
-               Weights.Recompute * out.RecomputedTokens / TokensPerUnit +
-               Weights.Link * static_cast<double>(Bytes) / BytesPerUnit;
+    double firstTokenSeconds =
+        std::max(toSeconds(Input.QueueWait), FetchSeconds) + prefillSeconds;
+    out.FirstToken = fromSeconds(firstTokenSeconds);
+    out.Cost = Weights.FirstToken * firstTokenSeconds +
+               Weights.Recompute * out.RecomputedTokens / TokensPerCostUnit +
+               Weights.Link * static_cast<double>(Bytes) / BytesPerMegabyte;
     return out;
   }
 
   bool isBetter(const FetchPlan &a, const FetchPlan &b) const {
-    bool aFits = a.FirstToken <= Input.FirstTokenLimit;
-    bool bFits = b.FirstToken <= Input.FirstTokenLimit;
-    if (aFits != bFits)
-      return aFits;
-    return aFits ? a.Cost < b.Cost : a.FirstToken < b.FirstToken;
+    bool aMeetsLimit = a.FirstToken <= Input.FirstTokenLimit;
+    bool bMeetsLimit = b.FirstToken <= Input.FirstTokenLimit;
+    if (aMeetsLimit != bMeetsLimit)
+      return aMeetsLimit;
+    return aMeetsLimit ? a.Cost < b.Cost : a.FirstToken < b.FirstToken;
   }
 
   const PlanInput &Input;
@@ -133,17 +135,18 @@
 bool isWorthWaiting(const LateFetch &fetch, const PlanWeights &weights) {
   if (fetch.Remaining > fetch.Limit)
     return false;
-  double waits =
+  double waitSeconds =
       toSeconds(std::max(Duration(0), fetch.Remaining - fetch.QueueWait));
-  double recompute =
+  double recomputeSeconds =
       fetch.TokensAtStake / std::max(1.0, fetch.PrefillTokensPerSecond);
-  double givenUp = weights.FirstToken * recompute +
-                   weights.Recompute * fetch.TokensAtStake / TokensPerUnit;
-  return weights.FirstToken * waits < givenUp;
+  double giveUpCost =
+      weights.FirstToken * recomputeSeconds +
+      weights.Recompute * fetch.TokensAtStake / TokensPerCostUnit;
+  return weights.FirstToken * waitSeconds < giveUpCost;
 }
 
 FetchPlan planFetch(const PlanInput &input, const PlanWeights &weights) {
-  return Planner(input, weights).run();
+  return Planner(input, weights).choose();
 }
 
 } // namespace daisytack
--- a/src/context/sighting_table.h
+++ b/src/context/sighting_table.h
@@ -11,39 +11,39 @@
 namespace daisytack {
 
 /// What the table knew of a piece before the present sighting.
-struct Sight {
+struct SightingHistory {
   uint32_t Count = 0; ///< Earlier sightings.
   Duration SinceLast{0};
-  auto operator<=>(const Sight &) const = default;
+  auto operator<=>(const SightingHistory &) const = default;
 };
 
 /// Set-associative table of key fingerprints. A full set forgets the sighting
 /// that is least worth keeping: the one seen longest ago, once-seen first.
 /// A false match (two pieces with one fingerprint) has a chance of 2^-64 and
 /// costs one needless export.
-class SightTable {
+class SightingTable {
 public:
   /// Room for at least so many pieces, at 16 bytes each.
-  explicit SightTable(size_t pieces);
+  explicit SightingTable(size_t pieces);
 
   /// Records a sighting and tells what was known before it.
-  Sight record(const PieceKey &key, TimePoint now);
+  SightingHistory record(const PieceKey &key, TimePoint now);
 
-  Sight peek(const PieceKey &key, TimePoint now) const;
+  SightingHistory peek(const PieceKey &key, TimePoint now) const;
 
   size_t bytes() const { return Sets.size() * sizeof(Set); }
 
 private:
   static constexpr size_t Ways = 8;
   struct Slot {
-    uint64_t Tag = 0; ///< 0: free.
-    uint32_t Second = 0;
+    uint64_t Fingerprint = 0; ///< 0: free.
+    uint32_t LastSeenSecond = 0;
     uint32_t Count = 0;
   };
   using Set = std::array<Slot, Ways>;
 
   const Slot *find(const PieceKey &key) const;
-  size_t setOf(const PieceKey &key) const;
+  size_t setIndex(const PieceKey &key) const;
 
   std::vector<Set> Sets;
 };
@@ -55,25 +55,26 @@
   ReturnModel();
 
   /// A piece was seen, with what was known of it before.
-  void observe(const Sight &before);
+  void observe(const SightingHistory &before);
 
   /// Chance that a piece with so many sightings, last seen so long ago,
   /// returns at all, 0..1.
-  double chance(uint32_t sightings, Duration sinceLast) const;
+  double returnProbability(uint32_t sightings, Duration sinceLast) const;
 
 private:
   static constexpr size_t GapBuckets = 24; ///< Powers of two of a second.
-  static constexpr size_t Classes = 3;     ///< Seen once, twice, more often.
+  static constexpr size_t SightingClasses =
+      3; ///< Seen once, twice, more often.
   struct Counts {
-    double Started = 0; ///< Sightings after which a return could follow.
-    std::array<double, GapBuckets> Returned{};
+    double Sightings = 0; ///< Sightings after which a return could follow.
+    std::array<double, GapBuckets> ReturnsByGap{};
   };
 
   static size_t classOf(uint32_t sightings);
   static size_t bucketOf(Duration gap);
   void decay(Counts &counts);
 
-  std::array<Counts, Classes> Tables;
+  std::array<Counts, SightingClasses> CountsByClass;
 };
 
 } // namespace daisytack
--- a/src/context/store_choice.cpp
+++ b/src/context/store_choice.cpp
@@ -12,7 +12,7 @@
   return mix64(keyHash ^ mix64(store.NameHash));
 }
 
-bool isTaken(const std::vector<uint32_t> &chosen, uint32_t index) {
+bool isChosen(const std::vector<uint32_t> &chosen, uint32_t index) {
   return std::find(chosen.begin(), chosen.end(), index) != chosen.end();
 }
 
@@ -33,18 +33,19 @@
   copies = std::min(copies, stores.size());
   while (out.size() < copies) {
     std::optional<uint32_t> best;
-    bool bestShares = true;
+    bool bestSharesDomain = true;
     for (uint32_t i = 0; i < stores.size(); ++i) {
-      if (isTaken(out, i))
+      if (isChosen(out, i))
         continue;
-      bool shares = sharesDomain(out, stores, i);
-      bool wins = !best || (bestShares && !shares) ||
-                  (bestShares == shares &&
-                   weightOf(hash, stores[i]) > weightOf(hash, stores[*best]));
-      if (!wins || (best && shares && !bestShares))
+      bool sharesChosenDomain = sharesDomain(out, stores, i);
+      bool isBetter =
+          !best || (bestSharesDomain && !sharesChosenDomain) ||
+          (bestSharesDomain == sharesChosenDomain &&
+           weightOf(hash, stores[i]) > weightOf(hash, stores[*best]));
+      if (!isBetter || (best && sharesChosenDomain && !bestSharesDomain))
         continue;
       best = i;
-      bestShares = shares;
+      bestSharesDomain = sharesChosenDomain;
     }
     out.push_back(*best);
   }
--- a/src/serve/agent_context.cpp
+++ b/src/serve/agent_context.cpp
@@ -24,7 +24,7 @@
 }
 
 void AgentCore::Impl::on(const CacheEvents &input, Step &step) {
-  if (input.From != View.wanted() || View.apply(input.Events, input.Next))
+  if (input.From != View.nextSequence() || View.apply(input.Events, input.Next))
     return;
   Event event;
   event.Kind = EventKind::CacheGap;
@@ -78,12 +78,12 @@
     return;
   size_t n =
       std::min<size_t>(done.CachedTokens / PieceTokens, offer.Pieces.size());
-  View.confirm(std::span(offer.Pieces).first(n));
+  View.markPresent(std::span(offer.Pieces).first(n));
   if (n > 0)
     Hits[offer.Organisation] += n;
   if (n < offer.Pieces.size() && done.CachedTokens < done.PromptTokens &&
       Fetch.presentPieces(offer.Pieces) > n)
-    View.deny(offer.Pieces[n]);
+    View.markAbsent(offer.Pieces[n]);
   ExportWish wish;
   wish.Id = offer.Id;
   wish.Organisation = offer.Organisation;
--- a/src/serve/agent_core.cpp
+++ b/src/serve/agent_core.cpp
@@ -176,7 +176,7 @@
 void AgentCore::Impl::tick(Step &step) {
   if (!Settings.IsService && NextCacheEvents <= step.Now) {
     NextCacheEvents = step.Now + Settings.CacheEventPeriod;
-    step.Out.push_back(PollCacheEvents{View.wanted()});
+    step.Out.push_back(PollCacheEvents{View.nextSequence()});
   }
   if (NextTick > step.Now)
     return;
--- a/src/serve/agent_export.cpp
+++ b/src/serve/agent_export.cpp
@@ -25,9 +25,9 @@
   Job job;
   size_t n = std::min(wish.Pieces.size(), Settings.MaxPiecesPerJob);
   for (uint32_t i = 0; i < n; ++i) {
-    Sight before = Sights.record(wish.Pieces[i], step.Now);
+    SightingHistory before = Sights.record(wish.Pieces[i], step.Now);
     Returns.observe(before);
-    ExportQuestion question;
+    ExportCandidate question;
     question.Rule = wish.Rule;
     question.Before = before;
     question.Quota = wish.Quota;
@@ -146,7 +146,7 @@
 ExportDecision ExportFlow::decide(const Candidate &candidate,
                                   uint64_t bytes) const {
   const Job &job = Jobs.front();
-  ExportQuestion question;
+  ExportCandidate question;
   question.Rule = job.Wish.Rule;
   question.Before = candidate.Before;
   question.Bytes = bytes;
--- a/src/serve/agent_export.h
+++ b/src/serve/agent_export.h
@@ -59,7 +59,7 @@
 private:
   struct Candidate {
     uint32_t Index = 0;
-    Sight Before;
+    SightingHistory Before;
   };
   struct Job {
     ExportWish Wish;
@@ -109,7 +109,7 @@
   StoreTable &Stores;
   CallNumbers &Numbers;
   std::function<std::string()> EngineVersion;
-  SightTable Sights;
+  SightingTable Sights;
   ReturnModel Returns;
   KeepPolicy Policy;
   std::deque<Job> Jobs; ///< The first one is worked on.
--- a/src/serve/agent_fetch.cpp
+++ b/src/serve/agent_fetch.cpp
@@ -18,7 +18,7 @@
       Hooks(std::move(hooks)) {}
 
 bool FetchFlow::isInEngine(const PieceKey &piece) const {
-  return View.chance(piece) >= Settings.Bet;
+  return View.presenceProbability(piece) >= Settings.Bet;
 }
 
 uint32_t FetchFlow::presentPieces(std::span<const PieceKey> pieces) const {
--- a/tests/context/committed_write_test.cpp
+++ b/tests/context/committed_write_test.cpp
@@ -7,59 +7,61 @@
 
 namespace {
 
-std::vector<SampledPiece> takeFirst(std::span<const SampledPiece> sample,
-                                    uint64_t) {
+std::vector<SampledPiece> evictFirst(std::span<const SampledPiece> sample,
+                                     uint64_t) {
   if (sample.empty())
     return {};
   return {sample.front()};
 }
 
-std::vector<SampledPiece> takeNone(std::span<const SampledPiece>, uint64_t) {
+std::vector<SampledPiece> evictNone(std::span<const SampledPiece>, uint64_t) {
   return {};
 }
 
 /// What happens to the answer of one request to the store.
-enum class Fate : uint8_t { Answered, AnswerLost, RequestLost };
+enum class RequestOutcome : uint8_t { Answered, AnswerLost, RequestLost };
 
 /// One request of the write, with the fate of its answer.
-void advance(CommittedWrite &write, FakeStore &store, Fate fate) {
-  bool reaches = fate != Fate::RequestLost;
-  bool answers = fate == Fate::Answered;
+void advance(CommittedWrite &write, FakeStore &store, RequestOutcome outcome) {
+  bool reachesStore = outcome != RequestOutcome::RequestLost;
+  bool answerArrives = outcome == RequestOutcome::Answered;
   switch (write.step()) {
   case WriteStep::Create: {
-    uint64_t generation = reaches ? store.create(write.key()) : 0;
-    write.onCreated(answers ? generation : 0);
+    uint64_t generation = reachesStore ? store.create(write.key()) : 0;
+    write.onCreated(answerArrives ? generation : 0);
     break;
   }
   case WriteStep::Put: {
     PutAnswer out = PutAnswer::Lost;
-    if (reaches)
+    if (reachesStore)
       out = store.put(write.generation(), write.frame());
-    write.onPut(answers ? out : PutAnswer::Lost);
+    write.onPut(answerArrives ? out : PutAnswer::Lost);
     break;
   }
   case WriteStep::Commit: {
     CommitAnswer out = CommitAnswer::Lost;
-    if (reaches)
+    if (reachesStore)
       out = store.commit(write.generation(), write.checksum());
-    write.onCommit(answers ? out : CommitAnswer::Lost);
+    write.onCommit(answerArrives ? out : CommitAnswer::Lost);
     break;
   }
   case WriteStep::ReadGeneration:
-    write.onGeneration(answers ? std::optional(store.generation(write.key()))
-                               : std::nullopt);
+    write.onGeneration(answerArrives
+                           ? std::optional(store.generation(write.key()))
+                           : std::nullopt);
     break;
   case WriteStep::Sample:
-    write.onSample(answers ? store.sample() : std::vector<SampledPiece>());
+    write.onSample(answerArrives ? store.sample()
+                                 : std::vector<SampledPiece>());
     break;
   case WriteStep::Evict:
     for (const SampledPiece &it : write.victims())
-      if (reaches)
+      if (reachesStore)
         store.erase(it.Key, it.Generation);
     write.onEvicted();
     break;
   case WriteStep::Free:
-    if (reaches)
+    if (reachesStore)
       store.erase(write.key(), write.generation());
     write.onFreed();
     break;
@@ -70,7 +72,7 @@
 
 WriteResult runWrite(CommittedWrite &write, FakeStore &store) {
   while (write.step() != WriteStep::Done)
-    advance(write, store, Fate::Answered);
+    advance(write, store, RequestOutcome::Answered);
   return write.result();
 }
 
@@ -88,26 +90,26 @@
 
 TEST(CommittedWrite, IsReadableOnlyAfterTheCommit) {
   FakeStore store;
-  CommittedWrite write(testKey(1), "payload", takeNone);
+  CommittedWrite write(testKey(1), "payload", evictNone);
   while (write.step() != WriteStep::Done) {
     EXPECT_EQ(store.generation(testKey(1)), 0U);
-    advance(write, store, Fate::Answered);
+    advance(write, store, RequestOutcome::Answered);
   }
   EXPECT_EQ(write.result(), WriteResult::Committed);
   EXPECT_TRUE(isReadable(store, testKey(1), "payload"));
 }
 
-TEST(CommittedWrite, AFullStoreEvictsOnceAndRetries) {
+TEST(CommittedWrite, FullStoreEvictsOnceAndRetries) {
   FakeStore store;
   store.write(testKey(2), "payload");
   store.Capacity = 80;
-  CommittedWrite write(testKey(1), "payload", takeFirst);
+  CommittedWrite write(testKey(1), "payload", evictFirst);
   EXPECT_EQ(runWrite(write, store), WriteResult::Committed);
   EXPECT_EQ(store.generation(testKey(2)), 0U);
-  CommittedWrite unwanted(testKey(3), "payload", takeNone);
+  CommittedWrite unwanted(testKey(3), "payload", evictNone);
   EXPECT_EQ(runWrite(unwanted, store), WriteResult::Full);
   store.Capacity = 10;
-  CommittedWrite tooLarge(testKey(4), "payload", takeFirst);
+  CommittedWrite tooLarge(testKey(4), "payload", evictFirst);
   EXPECT_EQ(runWrite(tooLarge, store), WriteResult::Full);
   EXPECT_EQ(store.uncommitted(), 0U);
 }
@@ -115,24 +117,24 @@
 TEST(CommittedWrite, TwoWritersLeaveOneWholePiece) {
   expectProperty([] {
     FakeStore store;
-    CommittedWrite first(testKey(1), "payload", takeNone);
-    CommittedWrite second(testKey(1), "payload", takeNone);
+    CommittedWrite first(testKey(1), "payload", evictNone);
+    CommittedWrite second(testKey(1), "payload", evictNone);
     while (first.step() != WriteStep::Done || second.step() != WriteStep::Done)
       advance(*rc::gen::arbitrary<bool>() ? first : second, store,
-              Fate::Answered);
+              RequestOutcome::Answered);
     RC_ASSERT(isReadable(store, testKey(1), "payload"));
     RC_ASSERT(store.uncommitted() == 0U);
   });
 }
 
-TEST(CommittedWrite, LostAnswersEndTrulyAndSoon) {
+TEST(CommittedWrite, ReportsTheRightResultInFewRequestsDespiteLostAnswers) {
   expectProperty([] {
     FakeStore store;
-    CommittedWrite write(testKey(1), "payload", takeNone);
+    CommittedWrite write(testKey(1), "payload", evictNone);
     size_t requests = 0;
     while (write.step() != WriteStep::Done) {
-      auto fate = static_cast<Fate>(*rc::gen::inRange(0, 3));
-      advance(write, store, fate);
+      auto outcome = static_cast<RequestOutcome>(*rc::gen::inRange(0, 3));
+      advance(write, store, outcome);
       RC_ASSERT(++requests < 12U);
     }
     bool readable = isReadable(store, testKey(1), "payload");
@@ -142,9 +144,9 @@
   });
 }
 
-TEST(CommittedWrite, APieceThatNoReaderWouldTakeIsNotWritten) {
+TEST(CommittedWrite, PieceAboveTheSizeLimitIsNotWritten) {
   CommittedWrite write(testKey(1), std::string(MaxPieceFrameBytes, 'x'),
-                       takeNone);
+                       evictNone);
   EXPECT_EQ(write.result(), WriteResult::Failed);
 }
 
--- a/tests/context/engine_view_test.cpp
+++ b/tests/context/engine_view_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(view.presence(key(2)), Presence::Present);
 }
 
-TEST(EngineView, AGapMeansUnknown) {
+TEST(EngineView, PresenceIsUnknownAfterAGap) {
   CacheEvent first[] = {stored(0, 1)};
   CacheEvent after[] = {stored(5, 2)};
   EngineView view(100);
@@ -52,33 +52,33 @@
   EXPECT_EQ(view.presence(key(2)), Presence::Absent);
 }
 
-TEST(EngineView, AGapOfFewEventsLeavesMostLikely) {
+TEST(EngineView, PiecesStayLikelyAfterAGapOfFewEvents) {
   EngineView view(1000);
   std::vector<CacheEvent> events;
   for (uint8_t n = 0; n < 100; ++n)
     events.push_back(stored(n, n));
   view.apply(events, 100);
-  EXPECT_EQ(view.chance(key(7)), 1);
+  EXPECT_EQ(view.presenceProbability(key(7)), 1);
   view.apply({}, 102);
   EXPECT_EQ(view.presence(key(7)), Presence::Unknown);
-  EXPECT_DOUBLE_EQ(view.chance(key(7)), 0.98);
+  EXPECT_DOUBLE_EQ(view.presenceProbability(key(7)), 0.98);
   PieceKey seen[] = {key(7)};
-  view.confirm(seen);
+  view.markPresent(seen);
   EXPECT_EQ(view.presence(key(7)), Presence::Present);
   view.apply({}, 160);
-  EXPECT_EQ(view.chance(key(8)), 0) << "faded and dropped";
+  EXPECT_EQ(view.presenceProbability(key(8)), 0) << "faded and dropped";
   CacheEvent gone[] = {evicted(160, 7)};
-  view.confirm(seen);
+  view.markPresent(seen);
   view.apply(gone, 161);
-  EXPECT_EQ(view.chance(key(7)), 0);
+  EXPECT_EQ(view.presenceProbability(key(7)), 0);
   for (uint64_t i = 0; i < 1'000'000; ++i) {
-    view.confirm(seen);
+    view.markPresent(seen);
     ASSERT_EQ(view.presence(key(7)), Presence::Present);
     view.apply({}, 162 + i);
   }
 }
 
-TEST(EngineView, RestartAndOverflowForget) {
+TEST(EngineView, RestartAndOverflowDiscardPieces) {
   CacheEvent events[] = {stored(0, 1), stored(1, 2), stored(2, 3)};
   EngineView view(2);
   view.apply(events, 3);
@@ -87,9 +87,9 @@
   view.reset(0, true);
   EXPECT_EQ(view.presence(key(3)), Presence::Absent);
   PieceKey seen[] = {key(4)};
-  view.confirm(seen);
+  view.markPresent(seen);
   EXPECT_EQ(view.presence(key(4)), Presence::Present);
-  view.deny(key(4));
+  view.markAbsent(key(4));
   EXPECT_EQ(view.presence(key(4)), Presence::Absent);
 }
 
@@ -114,8 +114,8 @@
         batch.push_back(event);
       if (*rc::gen::inRange(0, 4) != 0)
         continue;
-      bool whole = view.apply(batch, sequence);
-      RC_ASSERT(whole != missed);
+      bool contiguous = view.apply(batch, sequence);
+      RC_ASSERT(contiguous != missed);
       missed = false;
       batch.clear();
       for (uint8_t k = 0; k < 8; ++k) {
--- a/tests/context/fake_store.h
+++ b/tests/context/fake_store.h
@@ -20,7 +20,7 @@
 
 class FakeStore {
 public:
-  struct Kept {
+  struct Entry {
     uint64_t Generation = 0;
     uint64_t Length = 0;
     Digest256 Checksum{};
@@ -33,8 +33,8 @@
 
   // What writers do.
   uint64_t create(const PieceKey &key) {
-    Uncommitted[++Last] = {key, {}};
-    return Last;
+    Uncommitted[++LastGeneration] = {key, {}};
+    return LastGeneration;
   }
   PutAnswer put(uint64_t generation, const std::string &bytes) {
     auto it = Uncommitted.find(generation);
@@ -66,8 +66,8 @@
   }
   std::vector<SampledPiece> sample() const {
     std::vector<SampledPiece> out;
-    for (const auto &[key, kept] : Visible)
-      out.push_back({key, kept.Generation, kept.Length, kept.Meta});
+    for (const auto &[key, entry] : Visible)
+      out.push_back({key, entry.Generation, entry.Length, entry.Meta});
     return out;
   }
 
@@ -82,45 +82,45 @@
 
   // What readers see.
   std::optional<LookupAnswer> lookup(const PieceKey &key) const {
-    const Kept *kept = find(key);
-    if (kept == nullptr)
+    const Entry *entry = find(key);
+    if (entry == nullptr)
       return std::nullopt;
-    return LookupAnswer{key, kept->Generation, kept->Length};
+    return LookupAnswer{key, entry->Generation, entry->Length};
   }
   PieceHeader header(const PieceKey &key) const {
-    const Kept *kept = find(key);
-    if (kept == nullptr)
+    const Entry *entry = find(key);
+    if (entry == nullptr)
       return {};
-    return {kept->Generation, kept->Length, kept->Checksum};
+    return {entry->Generation, entry->Length, entry->Checksum};
   }
   std::string bytes(const PieceKey &key) const {
-    const Kept *kept = find(key);
-    return kept == nullptr ? std::string() : kept->Bytes;
+    const Entry *entry = find(key);
+    return entry == nullptr ? std::string() : entry->Bytes;
   }
   uint64_t generation(const PieceKey &key) const {
-    const Kept *kept = find(key);
-    return kept == nullptr ? 0 : kept->Generation;
+    const Entry *entry = find(key);
+    return entry == nullptr ? 0 : entry->Generation;
   }
   size_t visible() const { return Visible.size(); }
   size_t uncommitted() const { return Uncommitted.size(); }
 
   // Faults.
-  void tear(const PieceKey &key) { Visible[key].Bytes.resize(9); }
-  void flip(const PieceKey &key) { Visible[key].Bytes.back() ^= 1; }
-  void free(const PieceKey &key) { Visible.erase(key); }
+  void truncate(const PieceKey &key) { Visible[key].Bytes.resize(9); }
+  void flipBit(const PieceKey &key) { Visible[key].Bytes.back() ^= 1; }
+  void drop(const PieceKey &key) { Visible.erase(key); }
   /// The store answers with another key's piece.
   void alias(const PieceKey &key, const PieceKey &other) {
     Visible[key] = Visible[other];
   }
 
 private:
-  const Kept *find(const PieceKey &key) const {
+  const Entry *find(const PieceKey &key) const {
     auto it = Visible.find(key);
     return it == Visible.end() ? nullptr : &it->second;
   }
   PieceKey keyOf(uint64_t generation) const {
-    for (const auto &[key, kept] : Visible)
-      if (kept.Generation == generation)
+    for (const auto &[key, entry] : Visible)
+      if (entry.Generation == generation)
         return key;
     return {};
   }
@@ -133,8 +133,8 @@
     return out;
   }
 
-  uint64_t Last = 0;
-  std::map<PieceKey, Kept> Visible;
+  uint64_t LastGeneration = 0;
+  std::map<PieceKey, Entry> Visible;
   std::map<uint64_t, std::pair<PieceKey, std::string>> Uncommitted;
 };
 
--- a/tests/context/keep_policy_test.cpp
+++ b/tests/context/keep_policy_test.cpp
@@ -29,8 +29,8 @@
   return {testKey(n), n, Megabyte, encodeMeta(kept)};
 }
 
-ExportQuestion question(uint32_t sightings) {
-  ExportQuestion out;
+ExportCandidate candidate(uint32_t sightings) {
+  ExportCandidate out;
   out.Before = {sightings, std::chrono::minutes(5)};
   out.Bytes = Megabyte;
   out.Quota = 100 * Megabyte;
@@ -41,24 +41,24 @@
 
 } // namespace
 
-TEST(KeepPolicy, ExportsOnSecondSightWithinTheQuota) {
+TEST(KeepPolicy, ExportsOnSecondSightingWithinTheQuota) {
   ReturnModel returns;
   KeepPolicy policy({}, returns);
-  EXPECT_EQ(policy.decide(question(0)).Verdict, ExportVerdict::FirstSight);
-  EXPECT_EQ(policy.decide(question(1)),
+  EXPECT_EQ(policy.decide(candidate(0)).Verdict, ExportVerdict::FirstSighting);
+  EXPECT_EQ(policy.decide(candidate(1)),
             (ExportDecision{ExportVerdict::Export, 1}));
-  EXPECT_EQ(policy.decide(question(2)).Copies, 2U);
-  ExportQuestion full = question(2);
+  EXPECT_EQ(policy.decide(candidate(2)).Copies, 2U);
+  ExportCandidate full = candidate(2);
   full.StoreUsed = 0.9;
   EXPECT_EQ(policy.decide(full).Copies, 1U);
   full.OrganisationBytes = full.Quota;
   EXPECT_EQ(policy.decide(full).Verdict, ExportVerdict::OverQuota);
-  ExportQuestion always = question(0);
+  ExportCandidate always = candidate(0);
   always.Rule = KeepRule::Always;
   EXPECT_EQ(policy.decide(always).Verdict, ExportVerdict::Export);
   always.MayReuse = false;
   EXPECT_EQ(policy.decide(always).Verdict, ExportVerdict::NotAllowed);
-  ExportQuestion never = question(3);
+  ExportCandidate never = candidate(3);
   never.Rule = KeepRule::Never;
   EXPECT_EQ(policy.decide(never).Verdict, ExportVerdict::NotAllowed);
 }
@@ -106,20 +106,20 @@
     EXPECT_FALSE(decodeMeta(bad)) << bad;
 }
 
-TEST(SightTableTest, CountsSightingsInBoundedMemory) {
-  SightTable table(65536);
+TEST(SightingTableTest, CountsSightingsInBoundedMemory) {
+  SightingTable table(65536);
   EXPECT_LE(table.bytes(), 1U << 20);
   TimePoint start{std::chrono::hours(1)};
-  EXPECT_EQ(table.record(testKey(1), start), Sight());
+  EXPECT_EQ(table.record(testKey(1), start), SightingHistory());
   EXPECT_EQ(table.record(testKey(1), start + std::chrono::hours(5)),
-            (Sight{1, std::chrono::hours(5)}));
+            (SightingHistory{1, std::chrono::hours(5)}));
   EXPECT_EQ(table.peek(testKey(1), start + std::chrono::hours(6)),
-            (Sight{2, std::chrono::hours(1)}));
-  EXPECT_EQ(table.peek(testKey(2), start), Sight());
+            (SightingHistory{2, std::chrono::hours(1)}));
+  EXPECT_EQ(table.peek(testKey(2), start), SightingHistory());
 }
 
-TEST(SightTableTest, WhatReturnedOutlivesAFloodOfNewPieces) {
-  SightTable table(1000);
+TEST(SightingTableTest, RepeatedPiecesOutliveAFloodOfNewPieces) {
+  SightingTable table(1000);
   TimePoint now{};
   for (uint64_t i = 0; i < 500; ++i)
     table.record(randomKey(i), now);
@@ -141,9 +141,9 @@
     model.observe({0, Duration(0)});
     model.observe({1, std::chrono::hours(1)});
   }
-  EXPECT_GT(model.chance(1, std::chrono::minutes(10)), 0.9);
-  EXPECT_LT(model.chance(1, std::chrono::hours(5)), 0.5);
-  EXPECT_LT(model.chance(2, Duration(0)), 0.1);
+  EXPECT_GT(model.returnProbability(1, std::chrono::minutes(10)), 0.9);
+  EXPECT_LT(model.returnProbability(1, std::chrono::hours(5)), 0.5);
+  EXPECT_LT(model.returnProbability(2, Duration(0)), 0.1);
 }
 
 TEST(StoreChoice, CopiesLieInDifferentFailureDomains) {
--- a/tests/context/link_scheduler_test.cpp
+++ b/tests/context/link_scheduler_test.cpp
@@ -39,7 +39,7 @@
   EXPECT_EQ(link.next(at(11))->Id, 4U) << "an export never holds up a fetch";
 }
 
-TEST(LinkScheduler, RefusesWhatItCannotCarry) {
+TEST(LinkScheduler, RefusesExportsBeyondTheBacklogLimit) {
   LinkScheduler link(Limits);
   Error reason;
   for (uint64_t i = 0; i < 3; ++i)
@@ -56,7 +56,7 @@
   EXPECT_EQ(link.inFlight(), 0U);
 }
 
-TEST(LinkScheduler, APieceLargerThanTheBurstIsPaidAfterwards) {
+TEST(LinkScheduler, LinkIdlesAfterATransferLargerThanTheBurst) {
   LinkScheduler link(Limits);
   Error reason;
   link.add(fetch(1, 3'000'000, 1), at(0), reason);
@@ -67,7 +67,7 @@
   EXPECT_EQ(link.next(at(2'000'001))->Id, 2U);
 }
 
-TEST(LinkScheduler, ExportsWaitWhileTheLinkIsCrowded) {
+TEST(LinkScheduler, ExportsWaitWhileTheLinkIsCongested) {
   LinkScheduler link(Limits);
   Error reason;
   link.add(fetch(1, 100'000, 1), at(0), reason);
@@ -94,7 +94,7 @@
   EXPECT_GT(link.bytesPerSecond(at(200'000'000)), 0.95e6);
 }
 
-TEST(LinkScheduler, BacklogCountsWhatGoesBefore) {
+TEST(LinkScheduler, BacklogCountsEarlierFetches) {
   LinkScheduler link(Limits);
   Error reason;
   link.add(fetch(1, 100, 10), at(0), reason);
--- a/tests/context/piece_key_test.cpp
+++ b/tests/context/piece_key_test.cpp
@@ -64,7 +64,7 @@
             hmacSha256(std::string(100, 'k'), message));
 }
 
-TEST(PieceKey, EachFieldOfTheScopeSeparates) {
+TEST(PieceKey, KeysDifferWithEachScopeField) {
   PieceKeyer keyer(Secret);
   std::vector<std::function<void(PieceScope &)>> changes = {
       [](PieceScope &s) { s.Organisation = "other"; },
@@ -117,7 +117,7 @@
   });
 }
 
-TEST(PieceKey, APurgeMakesOlderPiecesUnnameable) {
+TEST(PieceKey, PurgeChangesAllKeys) {
   PieceKeyer keyer(Secret);
   Model model{"m", "v1", "", 1};
   ReusePolicy policy;
@@ -127,10 +127,10 @@
   EXPECT_TRUE(areDisjoint(before, after));
 }
 
-TEST(PromptText, SharesTheStyleGuideAndNothingElse) {
-  ChatMessage guide{"system", text(2, 'g')};
-  ChatMessage first[] = {guide, {"user", text(2, 'a')}};
-  ChatMessage second[] = {guide, {"user", text(2, 'b')}};
+TEST(PromptText, SharesOnlyTheKeysOfTheCommonPrefix) {
+  ChatMessage systemMessage{"system", text(2, 'g')};
+  ChatMessage first[] = {systemMessage, {"user", text(2, 'a')}};
+  ChatMessage second[] = {systemMessage, {"user", text(2, 'b')}};
   PieceKeyer keyer(Secret);
   auto a = keyer.keys(scope(), canonicalText(first));
   auto b = keyer.keys(scope(), canonicalText(second));
--- a/tests/context/plan_test.cpp
+++ b/tests/context/plan_test.cpp
@@ -41,8 +41,9 @@
   EXPECT_EQ(slow.ReusedPieces, 0U);
   EXPECT_EQ(slow.Cost, slow.RecomputeCost);
   // The notice desk waits for the link rather than recompute.
-  FetchPlan desk = planFetch(input(pieces, {&Slow, 1}), recomputeWeights());
-  EXPECT_EQ(desk.ReusedPieces, 8U);
+  FetchPlan recomputeAverse =
+      planFetch(input(pieces, {&Slow, 1}), recomputeWeights());
+  EXPECT_EQ(recomputeAverse.ReusedPieces, 8U);
   // But not beyond the deadline.
   PlanInput hurried = input(pieces, {&Slow, 1});
   hurried.FirstTokenLimit = std::chrono::seconds(2);
@@ -50,7 +51,7 @@
             hurried.FirstTokenLimit);
 }
 
-TEST(Plan, QueueingHidesTheFetch) {
+TEST(Plan, QueueWaitHidesTheFetch) {
   auto pieces = stored(4);
   PlanInput in = input(pieces, {&Slow, 1});
   in.QueueWait = std::chrono::seconds(5);
@@ -59,7 +60,7 @@
   EXPECT_EQ(plan.FirstToken, in.QueueWait + Duration(10'000));
 }
 
-TEST(Plan, StopsAtTheFirstHoleAndFillsHolesInTheEngine) {
+TEST(Plan, StopsAtTheFirstMissingPieceAndFetchesEngineGaps) {
   auto pieces = stored(4);
   pieces[2].Stored.reset();
   EXPECT_EQ(
--- a/tests/context/serial_prefill_test.cpp
+++ b/tests/context/serial_prefill_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST(SerialPrefill, OnePrefillAtATimeThoughSlotsAreFree) {
+TEST(SerialPrefill, OnePrefillAtATimeEvenWithFreeSlots) {
   RunQueue queue(serial());
   RunRequest first = makeRun(1, 1, millis(100), millis(500), at(9'000));
   RunRequest second = makeRun(2, 1, millis(100), millis(500), at(9'000));
@@ -30,7 +30,7 @@
   EXPECT_EQ(queue.start(Epoch)->Id, second.Id);
 }
 
-TEST(SerialPrefill, OneThatWaitsForItsContextIsPassedOver) {
+TEST(SerialPrefill, RequestWaitingForContextIsSkipped) {
   RunQueue queue(serial());
   RunRequest fetching = makeRun(1, 1, millis(100), millis(1), at(1'000));
   fetching.Ready = at(50);
--- a/tests/context/verified_read_test.cpp
+++ b/tests/context/verified_read_test.cpp
@@ -14,13 +14,13 @@
 /// Something that goes wrong at the store before one step of a read.
 struct StoreFault {
   const char *Name;
-  std::function<void(FakeStore &)> Strike;
+  std::function<void(FakeStore &)> Inject;
 };
 
 const std::vector<StoreFault> Faults = {
-    {"torn", [](FakeStore &s) { s.tear(testKey(1)); }},
-    {"corrupt", [](FakeStore &s) { s.flip(testKey(1)); }},
-    {"freed", [](FakeStore &s) { s.free(testKey(1)); }},
+    {"torn", [](FakeStore &s) { s.truncate(testKey(1)); }},
+    {"corrupt", [](FakeStore &s) { s.flipBit(testKey(1)); }},
+    {"freed", [](FakeStore &s) { s.drop(testKey(1)); }},
     {"replaced", [](FakeStore &s) { s.write(testKey(1), "other payload"); }},
     {"reused for another key",
      [](FakeStore &s) { s.alias(testKey(1), testKey(2)); }},
@@ -28,12 +28,13 @@
 };
 
 /// Runs a read against the store, striking before the step of that number.
-VerifiedRead runRead(FakeStore &store, size_t strikeAt, const StoreFault &fault,
+VerifiedRead runRead(FakeStore &store, size_t faultStep,
+                     const StoreFault &fault,
                      std::string engineVersion = Version) {
   VerifiedRead read(testKey(1), Version);
   for (size_t i = 0; read.step() <= ReadStep::CheckGeneration; ++i) {
-    if (i == strikeAt)
-      fault.Strike(store);
+    if (i == faultStep)
+      fault.Inject(store);
     if (store.Down) {
       read.onFailure();
       continue;
@@ -109,7 +110,7 @@
   }
 }
 
-TEST(VerifiedRead, ASwapBetweenLookupAndImportRejects) {
+TEST(VerifiedRead, WeightChangeDuringTheReadRejectsThePiece) {
   FakeStore store;
   store.write(testKey(1), "payload");
   VerifiedRead read = runRead(store, 0, NoFault, "v2");
@@ -117,7 +118,7 @@
   EXPECT_EQ(read.payload(), "");
 }
 
-TEST(VerifiedRead, HostileLengthsAreRefusedBeforeTheBody) {
+TEST(VerifiedRead, ExcessiveLengthsAreRejectedBeforeTheBody) {
   for (uint64_t length : {MaxPieceFrameBytes + 1, UINT64_MAX}) {
     VerifiedRead read(testKey(1), Version);
     read.onLookup(LookupAnswer{testKey(1), 5, length});
@@ -138,13 +139,13 @@
   EXPECT_EQ(read.fault(), PieceFault::MisKeyed);
 }
 
-TEST(VerifiedRead, AnyOrderOfAnswersNeverImportsUnverified) {
+TEST(VerifiedRead, ImportsOnlyAfterAnswersInTheRequiredOrder) {
   expectProperty([] {
     FakeStore store;
     store.write(testKey(1), "payload");
     VerifiedRead read(testKey(1), Version);
     // The only order of answers that may lead to an import.
-    const std::vector<int> good = {0, 1, 2, 3};
+    const std::vector<int> required = {0, 1, 2, 3};
     auto order = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4));
     for (int it : order) {
       if (it == 0)
@@ -156,12 +157,12 @@
       else
         read.onGeneration(store.generation(testKey(1)), Version);
     }
-    RC_ASSERT((read.step() == ReadStep::Import) == (order == good));
-    RC_ASSERT(read.payload() == (order == good ? "payload" : ""));
+    RC_ASSERT((read.step() == ReadStep::Import) == (order == required));
+    RC_ASSERT(read.payload() == (order == required ? "payload" : ""));
   });
 }
 
-TEST(PieceFrame, SurvivesNoCutAndNoFlip) {
+TEST(PieceFrame, RejectsTruncatedAndExtendedFrames) {
   std::string whole = encodePieceFrame(testKey(1), 7, "payload");
   PieceFault fault = PieceFault::None;
   auto frame = decodePieceFrame(whole, fault);
--- a/tests/matrix/platform.cpp
+++ b/tests/matrix/platform.cpp
@@ -129,7 +129,7 @@
   for (FakeStore &store : Stores)
     for (const PieceKey &key : Known)
       if (store.generation(key) != 0)
-        store.tear(key);
+        store.truncate(key);
 }
 
 /// Frees every piece, and gives each one's place to another.
@@ -142,7 +142,7 @@
       if (previous != nullptr && store.generation(*previous) != 0)
         store.alias(key, *previous);
       else
-        store.free(key);
+        store.drop(key);
     }
     previous = &key;
   }
