--- a/src/context/committed_write.cpp
+++ b/src/context/committed_write.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Each request whose answer was lost is sent so often at most.
+/// Maximum number of times that a request is sent when its answers are lost.
 constexpr uint32_t MaxSendsPerRequest = 2;
 
 } // namespace
@@ -31,7 +31,9 @@
 WriteStep CommittedWrite::onCreated(uint64_t generation) {
   if (Step != WriteStep::Create)
     return Step;
-  if (generation == 0) // A generation that was made all the same stays unused.
+  // A generation that the store created although its answer was lost stays
+  // unused.
+  if (generation == 0)
     return ++CreateAttempts < MaxSendsPerRequest ? Step
                                                  : finish(WriteResult::Failed);
   Generation = generation;
@@ -53,7 +55,7 @@
     return Step = WriteStep::Sample;
   case PutAnswer::Refused:
     return freeAndFinish(WriteResult::Failed);
-  case PutAnswer::Lost: // The same bytes under the same generation: idempotent.
+  case PutAnswer::Lost: // Resending the same generation is idempotent.
     return ++PutAttempts < MaxSendsPerRequest
                ? Step
                : freeAndFinish(WriteResult::Failed);
@@ -95,7 +97,7 @@
 WriteStep CommittedWrite::onGeneration(std::optional<uint64_t> generation) {
   if (Step != WriteStep::ReadGeneration)
     return Step;
-  // Unknown whether it is visible: if it is, it is whole, so leave it.
+  // The commit may have succeeded; a committed piece is complete, so keep it.
   if (!generation)
     return finish(WriteResult::Failed);
   if (*generation == Generation)
--- a/src/context/committed_write.h
+++ b/src/context/committed_write.h
@@ -1,6 +1,6 @@
-/// Writing one piece to a store so that it is visible whole or not at all: a
-/// new generation, its bytes, one commit. Two writers of one piece each write a
-/// generation of their own.
+/// Atomic write of one context piece to a store: the writer creates a new
+/// generation, uploads its bytes and commits it. Concurrent writers of the same
+/// piece use separate generations.
 #pragma once
 
 #include "context/piece_frame.h"
@@ -15,43 +15,52 @@
 
 namespace daisytack {
 
-/// What the caller has to do next.
+/// The action that the caller must perform next.
 enum class WriteStep : uint8_t {
-  Create,         ///< Ask for a new generation; then onCreated.
-  Put,            ///< Send frame() under generation(); then onPut.
-  Commit,         ///< With checksum(); then onCommit.
-  ReadGeneration, ///< The commit's answer was lost; then onGeneration.
-  Sample,         ///< Ask for random pieces; then onSample.
-  Evict,          ///< Free victims(), best effort; then onEvicted.
-  Free,           ///< Free our own generation, best effort; then onFreed.
-  Done,           ///< result() tells how it ended.
+  Create, ///< Request a new generation, then call onCreated.
+  Put,    ///< Upload frame() as generation(), then call onPut.
+  Commit, ///< Commit generation() with checksum(), then call onCommit.
+  /// Read the committed generation, because the answer to the commit was lost;
+  /// then call onGeneration.
+  ReadGeneration,
+  Sample, ///< Request a random sample of stored pieces, then call onSample.
+  Evict,  ///< Free victims(), best effort, then call onEvicted.
+  Free,   ///< Free generation(), best effort, then call onFreed.
+  Done,   ///< The write has ended; result() holds the outcome.
 };
 
+/// Outcome of a write.
 enum class WriteResult : uint8_t {
-  Pending,
+  Pending, ///< The write has not ended.
   Committed,
-  LostRace, ///< Another writer's generation is the visible one.
-  Full,     ///< No room, and nothing of less value to evict.
-  Failed,   ///< The store did not do it, or cannot be asked whether it did.
+  LostRace, ///< Another writer's generation is the committed one.
+  /// The store is full, and evicting less valuable pieces was impossible or not
+  /// enough.
+  Full,
+  Failed, ///< The write failed, or its outcome could not be determined.
 };
 
-/// A piece that a store named in a sample.
+/// A piece from a store's random sample.
 struct SampledPiece {
   PieceKey Key;
   uint64_t Generation = 0;
-  uint64_t Length = 0;
-  std::string Meta;
+  uint64_t Length = 0; ///< Size of the frame in bytes.
+  std::string Meta;    ///< See encodeMeta.
   auto operator<=>(const SampledPiece &) const = default;
 };
 
+/// Answer of the store to an upload; Lost when no answer arrived.
 enum class PutAnswer : uint8_t { Stored, Full, Refused, Lost };
+/// Answer of the store to a commit; Lost when no answer arrived.
 enum class CommitAnswer : uint8_t { Committed, Refused, Lost };
 
-/// Chooses what to evict for so many bytes; empty when nothing is worth less.
+/// Chooses the pieces to evict to free the given number of bytes. An empty
+/// result means that no sampled pieces should be evicted.
 using VictimChooser = std::function<std::vector<SampledPiece>(
     std::span<const SampledPiece> sample, uint64_t bytes)>;
 
-/// The write of one piece as a state machine.
+/// State machine that writes one piece. The caller performs step() and reports
+/// the store's answer; calls that do not match step() are ignored.
 class CommittedWrite {
 public:
   CommittedWrite(const PieceKey &key, std::string payload,
@@ -65,11 +74,13 @@
   const Digest256 &checksum() const { return Checksum; }
   const std::vector<SampledPiece> &victims() const { return Victims; }
 
-  /// 0 when the answer was lost or a refusal.
+  /// Reports the new generation, or 0 when the store refused or the answer was
+  /// lost.
   WriteStep onCreated(uint64_t generation);
   WriteStep onPut(PutAnswer answer);
   WriteStep onCommit(CommitAnswer answer);
-  /// The visible generation, 0 for none; nothing when that answer was lost too.
+  /// Reports the committed generation, or 0 when there is none; nullopt when
+  /// this answer was lost as well.
   WriteStep onGeneration(std::optional<uint64_t> generation);
   WriteStep onSample(std::span<const SampledPiece> sample);
   WriteStep onEvicted();
@@ -77,6 +88,7 @@
 
 private:
   WriteStep finish(WriteResult result);
+  /// Frees the written generation, then ends with the given result.
   WriteStep freeAndFinish(WriteResult result);
 
   PieceKey Key;
--- a/src/context/engine_view.cpp
+++ b/src/context/engine_view.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Beliefs weaker than this are dropped.
+/// Pieces whose presence probability is not above this are dropped.
 constexpr double MinPresenceProbability = 0.5;
-/// Below, the product is taken out of all beliefs, so that it stays in range.
+/// Below this value, all entries are rescaled to prevent underflow.
 constexpr double MinSurvivalProduct = 1e-100;
 
 } // namespace
@@ -27,7 +27,7 @@
     applyEvent(it);
     Next = it.Sequence + 1;
   }
-  if (next > Next) { // The answer's tail is missing.
+  if (next > Next) { // Events at the end of the answer are missing.
     applyMissedEvents(next - Next);
     contiguous = false;
     Next = next;
@@ -81,7 +81,7 @@
 
 void EngineView::applyMissedEvents(uint64_t events) {
   AllEventsSeen = false;
-  // Each missed event may be the eviction of any one piece.
+  // Any missed event may have evicted any one of the pieces.
   auto pieces = static_cast<double>(std::max<size_t>(Pieces.size(), 1));
   SurvivalProduct *= std::max(0.0, 1 - static_cast<double>(events) / pieces);
   std::erase_if(Pieces, [&](const auto &it) {
--- a/src/context/engine_view.h
+++ b/src/context/engine_view.h
@@ -1,6 +1,7 @@
-/// What the agent may believe about its engine's cache, from events that come
-/// late and with gaps. Presence is claimed only on unbroken evidence; a wrong
-/// claim costs time, never correctness.
+/// The agent's view of its engine's cache, built from cache events that may
+/// arrive late or be lost. A piece is reported present only if no events were
+/// lost since it was last known to be present. A wrong report costs time, but
+/// never correctness.
 #pragma once
 
 #include "daisytack/types.h"
@@ -14,64 +15,73 @@
 
 enum class CacheEventKind : uint8_t { Stored, Evicted, Cleared };
 
-/// One event as the engine publishes it.
+/// A cache event published by the engine.
 struct CacheEvent {
-  uint64_t Sequence = 0; ///< Consecutive within one run of the engine.
+  uint64_t Sequence = 0; ///< Consecutive while the engine process runs.
   CacheEventKind Kind = CacheEventKind::Stored;
   PieceKey Piece; ///< Unused for Cleared.
   auto operator<=>(const CacheEvent &) const = default;
 };
 
+/// Whether the engine's cache holds a piece.
 enum class Presence : uint8_t { Unknown, Absent, Present };
 
 /// Not thread-safe; owned by one agent's core.
 class EngineView {
 public:
-  /// Beyond so many pieces the view forgets, and answers Unknown.
+  /// Inserting into a view that holds maxPieces discards all its pieces, whose
+  /// presence is then Unknown.
   explicit EngineView(size_t maxPieces);
 
-  /// Applies the answer to "events from wanted()". Returns false when there
-  /// was a gap, of which the view has then recovered: what it believed before
-  /// is unknown. Events already applied are skipped.
+  /// Applies the events that the engine returned from nextSequence() on; `next`
+  /// is the sequence after the last published event. Skips events that were
+  /// applied before. Returns false if events were missed: pieces not reported
+  /// present since then become Unknown.
   bool apply(std::span<const CacheEvent> events, uint64_t next);
 
-  /// The engine restarted, changed its weights or lost its cache: nothing of
-  /// what was believed holds. Events are awaited from that sequence on;
-  /// complete is true when the cache is known to be empty.
+  /// Discards all pieces after the engine restarted, changed its weights or
+  /// lost its cache. The next expected event is `fromSequence`; `complete` is
+  /// true when the cache is known to be empty.
   void reset(uint64_t fromSequence, bool complete);
 
-  /// The engine answered that it reused these leading pieces just now.
+  /// Marks the leading pieces of a prompt that the engine reported as reused.
   void markPresent(std::span<const PieceKey> pieces);
 
-  /// The engine recomputed a piece that was believed present.
+  /// Marks a piece that the engine recomputed although the view expected it to
+  /// be present.
   void markAbsent(const PieceKey &piece);
 
   Presence presence(const PieceKey &piece) const;
 
-  /// Chance that the engine holds the piece, 0..1. A gap of few events leaves
-  /// most of what was there before: a piece that was present is then unknown,
-  /// but likely. A plan may bet on it; the bet costs time when it is lost.
+  /// Estimated probability, 0 to 1, that the engine holds the piece. After a
+  /// gap of few events, a piece that was present is Unknown but still likely.
+  /// A plan may rely on it; a wrong estimate costs time.
   double presenceProbability(const PieceKey &piece) const;
 
-  /// Sequence to ask the engine for next.
+  /// Sequence of the first event to request from the engine.
   uint64_t nextSequence() const { return Next; }
+  /// Number of answers in which events were missing.
   uint64_t gaps() const { return Gaps; }
   size_t size() const { return Pieces.size(); }
 
 private:
   void applyEvent(const CacheEvent &event);
-  /// So many events were missed: every belief fades.
+  /// Lowers the presence probability of all pieces after missed events.
   void applyMissedEvents(uint64_t events);
   void insert(const PieceKey &piece);
 
-  /// Believed pieces, with the product of what was left of all beliefs after
-  /// each gap, as of when the piece was last known to be present.
+  /// Maps each piece that may be present to the value of SurvivalProduct when
+  /// the piece was last known to be present.
   std::unordered_map<PieceKey, double> Pieces;
   size_t MaxPieces;
-  double SurvivalProduct = 1; ///< That product now.
+  /// Product over all gaps of the estimated share of pieces that survived the
+  /// gap.
+  double SurvivalProduct = 1;
   uint64_t Next = 0;
   uint64_t Gaps = 0;
-  bool AllEventsSeen = true; ///< Every event since an empty cache was seen.
+  /// True if all events since the cache was empty were applied and no piece was
+  /// discarded.
+  bool AllEventsSeen = true;
 };
 
 } // namespace daisytack
--- a/src/context/keep_policy.cpp
+++ b/src/context/keep_policy.cpp
@@ -15,7 +15,8 @@
 constexpr size_t MaxMetaBytes = 512;
 constexpr double BytesPerMegabyte = 1e6;
 constexpr size_t NumberFields = 6;
-/// Later pieces of a prompt are useless without those before them.
+/// Lowers the value of later pieces of a prompt, which are useless without the
+/// earlier ones.
 constexpr double IndexPenalty = 0.01;
 
 std::string escaped(std::string_view text) {
@@ -157,7 +158,7 @@
   std::vector<Candidate> candidates;
   for (const SampledPiece &it : sample) {
     auto meta = decodeMeta(it.Meta);
-    // What nobody can judge is of no value to anybody.
+    // A piece with unreadable metadata is evicted like an expired one.
     double pieceValue = meta ? value(*meta, it.Length, now) : -1;
     bool own = meta && meta->Organisation == onlyOrganisation;
     if (pieceValue < incomingValue && (onlyOrganisation.empty() || own))
--- a/src/context/link_scheduler.cpp
+++ b/src/context/link_scheduler.cpp
@@ -7,20 +7,22 @@
 
 namespace {
 
-/// Weight of a new measurement in the learned rate.
+/// Weight of a new measurement in the moving average.
 constexpr double MeasurementWeight = 0.3;
-/// After this long without a measurement, half of the way back to the budget.
+/// Time without measurements after which the difference between the learned
+/// rate and the limit has halved.
 constexpr double LearnedRateHalfLifeSeconds = 20;
-/// A rate is never taken for less, so that predictions stay finite.
+/// Lower bound of the expected rate; keeps predicted times finite.
 constexpr double MinBytesPerSecond = 1;
-/// Exports wait while the link gives less than this share of its budget: other
-/// agents' fetches are using it.
+/// Exports wait while the learned rate is below this share of the limit,
+/// because fetches of other agents are then using the link.
 constexpr double MinExportRateShare = 0.5;
-/// An export leaves this share of the burst to fetches.
+/// Share of the token bucket that exports leave for fetches.
 constexpr double FetchReserveShare = 0.5;
-/// Measured times shorter than this say nothing about the rate.
+/// Lower bound of measured transfer times; shorter ones say nothing about the
+/// rate.
 constexpr double MinTransferSeconds = 1e-6;
-/// A byte's worth of rounding; keeps nextAt and next in agreement.
+/// Tolerance in bytes for rounding errors; keeps nextAt and next consistent.
 constexpr double TokenSlack = 1e-3;
 
 double secondsBetween(TimePoint from, TimePoint to) {
@@ -67,7 +69,8 @@
   if (Waiting.empty() || Running.size() >= Limits.MaxInFlight)
     return nullptr;
   const Transfer &out = Waiting.back();
-  // An export starts alone, so that it delays a fetch by one piece at most.
+  // An export starts only on an idle link, so that it delays a fetch by at most
+  // one piece.
   if (out.Kind == TransferKind::Export &&
       (!Running.empty() || isCongested(now)))
     return nullptr;
@@ -138,8 +141,8 @@
   seconds = std::max(seconds, MinTransferSeconds);
   if (bytes == 0)
     return;
-  // Transfers side by side share the link. The mean is one of times, not of
-  // rates: what is predicted from it is a time.
+  // Concurrent transfers share the link. The average is taken over the time per
+  // byte, not over the rate, because it serves to predict times.
   double concurrentTransfers = static_cast<double>(Running.size());
   double measuredSecondsPerByte =
       seconds / (static_cast<double>(bytes) * concurrentTransfers);
@@ -193,7 +196,7 @@
 
 double LinkScheduler::bytesPerSecond(TimePoint now) const {
   double rate = learnedRate(now);
-  // What is in flight bounds the rate before it has ended.
+  // Running transfers bound the rate before they end.
   for (const RunningTransfer &it : Running) {
     double seconds = secondsBetween(it.Started, now) -
                      std::chrono::duration<double>(Limits.RoundTrip).count();
--- a/src/context/link_scheduler.h
+++ b/src/context/link_scheduler.h
@@ -1,8 +1,9 @@
-/// Orders transfers over the link to one store instance: earliest deadline
-/// first, exports only when no fetch wants the link and the link is not
-/// crowded, and never more bytes than the budget: in any time t at most
-/// max(BurstBytes, largest transfer) + t * BytesPerSecond are started. Learns
-/// the link's rate from what it measures.
+/// Schedules transfers over the link to one store instance. Fetches start in
+/// order of deadline; exports start only when no fetch is waiting, no transfer
+/// is running and the link is not congested. A token bucket limits the bytes
+/// started in any time t to max(BurstBytes, largest transfer) + t *
+/// BytesPerSecond. The scheduler estimates the link's rate from finished and
+/// running transfers.
 #pragma once
 
 #include "daisytack/error.h"
@@ -16,20 +17,24 @@
 
 enum class TransferKind : uint8_t { Fetch, Export };
 
-/// One piece that wants to cross the link.
+/// A request to transfer one piece over the link.
 struct Transfer {
-  uint64_t Id = 0; ///< Unique per scheduler; chosen by the caller.
+  uint64_t Id = 0; ///< Chosen by the caller; unique per scheduler.
   TransferKind Kind = TransferKind::Fetch;
   uint64_t Bytes = 0;
-  TimePoint Deadline; ///< Of a fetch: when the prefill could start.
+  /// For a fetch, the earliest start of the prefill that needs it.
+  TimePoint Deadline;
   auto operator<=>(const Transfer &) const = default;
 };
 
+/// Limits of one link.
 struct LinkLimits {
-  double BytesPerSecond = 1e8;     ///< Budget, and the rate assumed at first.
-  uint64_t BurstBytes = 16U << 20; ///< Started at once after a pause.
-  uint64_t ExportBacklogBytes = 256U << 20; ///< Exports beyond are refused.
-  uint32_t MaxInFlight = 2; ///< Transfers at once; hides the round trip.
+  double BytesPerSecond = 1e8; ///< Rate limit, and the initial rate estimate.
+  uint64_t BurstBytes = 16U << 20; ///< Capacity of the token bucket.
+  /// Limit on waiting exports; further ones are refused.
+  uint64_t ExportBacklogBytes = 256U << 20;
+  /// Maximum concurrent transfers; more than one hides the round-trip time.
+  uint32_t MaxInFlight = 2;
   Duration RoundTrip{2'000};
   auto operator<=>(const LinkLimits &) const = default;
 };
@@ -39,49 +44,56 @@
 public:
   explicit LinkScheduler(const LinkLimits &limits);
 
-  /// Queues a transfer. False, with the reason, for an export that the backlog
-  /// has no room for. One that is larger than the burst starts when the burst
-  /// is whole, and the link then rests until it has been earned.
+  /// Queues a transfer. Returns false and sets the reason for an export that
+  /// exceeds the backlog limit. A transfer larger than the bucket starts when
+  /// the bucket is full; the next one waits until the deficit is refilled.
   bool add(const Transfer &transfer, TimePoint now, Error &reason);
 
-  /// The transfer to start now, if any; it counts as in flight until finished
-  /// or cancelled. Call again until there is nothing.
+  /// Returns the transfer to start now, if any, and counts it as in flight
+  /// until it is finished or cancelled. Call repeatedly until it returns
+  /// nullopt.
   std::optional<Transfer> next(TimePoint now);
 
-  /// A transfer that was started has ended, after so many bytes.
+  /// Reports that a started transfer has ended after the given number of bytes.
   void finish(uint64_t id, uint64_t bytes, TimePoint now);
 
-  /// Forgets a transfer, whether waiting or in flight. What it has spent of
-  /// the budget stays spent.
+  /// Removes a waiting or running transfer. Tokens that it has consumed are
+  /// not refunded.
   void cancel(uint64_t id);
-  /// Forgets a transfer that has not been started; false when there is none.
+  /// Removes a waiting transfer; false when there is no such transfer.
   bool cancelWaiting(uint64_t id);
 
-  /// When next() can give something without a further call to add or finish;
-  /// nothing when no waiting transfer could start.
+  /// Earliest time at which next() can return a transfer without further calls
+  /// to add or finish; nullopt when no waiting transfer could start.
   std::optional<TimePoint> nextAt(TimePoint now) const;
 
-  /// Bytes, in flight and waiting, that go before a fetch of that deadline.
+  /// Bytes in flight or waiting that are sent before a fetch with the given
+  /// deadline.
   uint64_t backlogBefore(TimePoint deadline) const;
 
-  /// Rate that a fetch can expect now, at most the budget. Falls while a
-  /// transfer takes longer than it should, and drifts back to the budget when
-  /// nothing has been measured for a while.
+  /// Expected rate of a fetch, at most the limit. The rate falls while a
+  /// running transfer is slower than expected, and returns gradually to the
+  /// limit when there are no new measurements.
   double bytesPerSecond(TimePoint now) const;
 
   size_t waiting() const { return Waiting.size(); }
   size_t inFlight() const { return Running.size(); }
-  /// Bytes started so far, by kind.
+  /// Total bytes of all started transfers of the given kind.
   uint64_t startedBytes(TransferKind kind) const;
 
 private:
+  /// A started transfer.
   struct RunningTransfer {
     Transfer Request;
     TimePoint Started;
   };
 
+  /// Content of the token bucket in bytes; negative while a deficit is
+  /// refilled.
   double tokensAt(TimePoint now) const;
   double tokensNeeded(const Transfer &transfer) const;
+  /// The first waiting transfer; nullptr when there is none or it may not start
+  /// yet for a reason other than missing tokens.
   const Transfer *startableHead(TimePoint now) const;
   bool isCongested(TimePoint now) const;
   void learn(const RunningTransfer &transfer, uint64_t bytes, TimePoint now);
@@ -89,15 +101,16 @@
   double learnedRate(TimePoint now) const;
 
   LinkLimits Limits;
-  std::vector<Transfer> Waiting; ///< Sorted: the best one last.
+  /// Sorted; the next transfer to start is last.
+  std::vector<Transfer> Waiting;
   std::vector<RunningTransfer> Running;
-  double Tokens;
+  double Tokens; ///< Content of the token bucket at TokensUpdatedAt.
   TimePoint TokensUpdatedAt{};
-  double LearnedBytesPerSecond;
+  double LearnedBytesPerSecond; ///< Moving average as of LearnedAt.
   TimePoint LearnedAt{};
-  uint64_t ExportBacklog = 0;
-  uint64_t FetchBytes = 0;
-  uint64_t ExportBytes = 0;
+  uint64_t ExportBacklog = 0; ///< Bytes of all waiting exports.
+  uint64_t FetchBytes = 0;    ///< Bytes of all started fetches.
+  uint64_t ExportBytes = 0;   ///< Bytes of all started exports.
 };
 
 } // namespace daisytack
--- a/src/context/piece_frame.cpp
+++ b/src/context/piece_frame.cpp
@@ -12,11 +12,13 @@
     "none",  "missing",  "store_failed", "too_long", "mis_keyed",
     "freed", "replaced", "torn",         "corrupt",  "version_changed"};
 
+/// Appends the value in little-endian byte order.
 void appendUint64(std::string &out, uint64_t value) {
   for (unsigned i = 0; i < 8; ++i)
     out.push_back(static_cast<char>(value >> (8U * i)));
 }
 
+/// Reads a little-endian value and removes it from the front of `in`.
 uint64_t takeUint64(std::string_view &in) {
   uint64_t out = 0;
   for (unsigned i = 0; i < 8; ++i)
--- a/src/context/piece_frame.h
+++ b/src/context/piece_frame.h
@@ -1,6 +1,6 @@
-/// The bytes of a kept piece as a store holds them: a header that binds the
-/// payload to its full key and generation, then the payload. The store's
-/// checksum covers both, so one digest proves all of it.
+/// Format of a kept piece in a store: a header with the piece's key, generation
+/// and payload length, followed by the payload. The store's checksum covers
+/// both, so that one digest verifies the whole frame.
 #pragma once
 
 #include "base/digest.h"
@@ -13,30 +13,30 @@
 
 namespace daisytack {
 
-/// Largest framed piece that is read or written, in bytes: 1,024 tokens at up
-/// to 256 KB of keys and values each. Checked before any allocation.
+/// Maximum size of a frame in bytes: 1,024 tokens with up to 256 KB of keys and
+/// values each. Checked before any allocation.
 constexpr uint64_t MaxPieceFrameBytes = 256U << 20;
-/// Magic, key, generation and payload length.
+/// Size of magic number, key, generation and payload length.
 constexpr size_t PieceFrameHeaderBytes = 8 + 32 + 8 + 8;
 
 /// Why a stored piece was not used.
 enum class PieceFault : uint8_t {
   None,
   Missing,        ///< The store has no committed generation.
-  StoreFailed,    ///< No answer, or none that can be read.
-  TooLong,        ///< Claims more bytes than are ever written.
-  MisKeyed,       ///< Answer or bytes belong to another key.
-  Freed,          ///< The generation is gone.
-  Replaced,       ///< Another generation was committed meanwhile.
-  Torn,           ///< Fewer or more bytes than committed.
-  Corrupt,        ///< The checksum or the header does not fit.
-  VersionChanged, ///< The engine has other weights than the key names.
+  StoreFailed,    ///< The store sent no answer or an unreadable one.
+  TooLong,        ///< The announced length exceeds MaxPieceFrameBytes.
+  MisKeyed,       ///< The answer or the frame belongs to another key.
+  Freed,          ///< The generation no longer exists.
+  Replaced,       ///< Another generation was committed since the lookup.
+  Torn,           ///< The number of bytes differs from the committed length.
+  Corrupt,        ///< The checksum or the header does not match.
+  VersionChanged, ///< The engine's weight version differs from the key's.
 };
 
-/// Stable lower-case name: "mis_keyed".
+/// Stable name of the fault in lower case, such as "mis_keyed".
 std::string_view pieceFaultName(PieceFault fault);
 
-/// A frame taken apart; Payload points into the frame.
+/// A decoded frame; Payload points into the encoded bytes.
 struct PieceFrame {
   PieceKey Key;
   uint64_t Generation = 0;
@@ -46,7 +46,8 @@
 std::string encodePieceFrame(const PieceKey &key, uint64_t generation,
                              std::string_view payload);
 
-/// Nothing, with the fault, when the bytes are not one whole frame.
+/// Decodes a frame. Returns nullopt and sets the fault if the bytes are not
+/// exactly one complete frame.
 std::optional<PieceFrame> decodePieceFrame(std::string_view bytes,
                                            PieceFault &fault);
 
--- a/src/context/piece_key.cpp
+++ b/src/context/piece_key.cpp
@@ -20,7 +20,7 @@
 constexpr char ContentSeparator = '\x1f';
 constexpr char Escape = '\x1b';
 
-/// SHA-256 over several parts; one context per thread, made once.
+/// Incremental SHA-256 with a reusable digest context.
 class Sha256Stream {
 public:
   void start() { EVP_DigestInit_ex2(Context.get(), Algorithm.get(), nullptr); }
@@ -37,7 +37,7 @@
     void operator()(EVP_MD *it) const { EVP_MD_free(it); }
     void operator()(EVP_MD_CTX *it) const { EVP_MD_CTX_free(it); }
   };
-  /// Fetched once: EVP_sha256() would be looked up by every start.
+  /// Fetched once, because OpenSSL looks up EVP_sha256() again on every start.
   std::unique_ptr<EVP_MD, Free> Algorithm{
       EVP_MD_fetch(nullptr, "SHA256", nullptr)};
   std::unique_ptr<EVP_MD_CTX, Free> Context{EVP_MD_CTX_new()};
@@ -48,11 +48,14 @@
   return stream;
 }
 
+/// Appends the value in little-endian byte order.
 void appendUint64(std::string &out, uint64_t value) {
   for (unsigned i = 0; i < 8; ++i)
     out.push_back(static_cast<char>(value >> (8U * i)));
 }
 
+/// Appends the field with its length, so that different lists of fields have
+/// different encodings.
 void appendField(std::string &out, std::string_view field) {
   appendUint64(out, field.size());
   out.append(field);
@@ -73,7 +76,7 @@
 } // namespace
 
 PieceKeyer::PieceKeyer(std::string_view secret) {
-  // HMAC's key preparation (RFC 2104): hash a long key, pad with zeros.
+  // HMAC key preparation (RFC 2104): hash a long key, pad with zeros.
   Block key{};
   if (secret.size() > key.size()) {
     Digest256 digest = sha256(secret);
--- a/src/context/piece_key.h
+++ b/src/context/piece_key.h
@@ -1,7 +1,7 @@
-/// Keys of pieces of kept context: a prompt's text is cut into pieces of
-/// PieceBytes, and each whole piece is named by a keyed cryptographic hash
-/// chained over the scope, the pieces before it and its own bytes. Whoever does
-/// not know the secret, or asks within another scope, cannot name a piece.
+/// Keys for pieces of kept context. A prompt's text is split into pieces of
+/// PieceBytes. The key of each complete piece is an HMAC chained over the
+/// scope, the preceding pieces and the piece's own bytes, so that nobody
+/// without the secret, or within another scope, can compute it.
 #pragma once
 
 #include "context/reuse_policy.h"
@@ -15,37 +15,39 @@
 
 namespace daisytack {
 
-/// Shortest secret that settings may give, in bytes.
+/// Minimum length of the configured secret in bytes.
 constexpr size_t MinPieceSecretBytes = 32;
 
-/// Derives piece keys. Immutable; may be shared between threads, each of which
-/// reuses a digest context of its own.
+/// Derives piece keys. Immutable and thread-safe; each thread reuses its own
+/// digest context.
 class PieceKeyer {
 public:
-  /// The secret is the same in all processes of a deployment; changing it makes
-  /// all kept context unreachable.
+  /// The secret must be the same in all processes of a deployment. Changing it
+  /// makes all kept context unreachable.
   explicit PieceKeyer(std::string_view secret);
 
-  /// Keys of the whole pieces of the text, in order; the text's remainder, of
-  /// less than PieceBytes, has none.
+  /// Keys of the complete pieces of the text, in order. A remainder shorter
+  /// than PieceBytes has no key.
   std::vector<PieceKey> keys(const PieceScope &scope,
                              std::string_view text) const;
 
-  /// Like keys, but at most that many leading pieces: routing needs few.
+  /// Like keys, but for at most maxPieces leading pieces, because routing needs
+  /// only a few.
   std::vector<PieceKey> leadingKeys(const PieceScope &scope,
                                     std::string_view text,
                                     size_t maxPieces) const;
 
-  /// The chain's start: names the scope alone.
+  /// Start of the chain, derived from the scope alone.
   PieceKey root(const PieceScope &scope) const;
 
-  /// The next link of the chain.
+  /// Key of the piece that follows the parent in the chain.
   PieceKey next(const PieceKey &parent, std::string_view content) const;
 
 private:
-  static constexpr size_t BlockBytes = 64; ///< Of SHA-256.
+  static constexpr size_t BlockBytes = 64; ///< Block size of SHA-256.
   using Block = std::array<uint8_t, BlockBytes>;
 
+  /// HMAC-SHA-256 of the concatenated arguments.
   PieceKey hmac(std::string_view tag, std::string_view head,
                 std::string_view content) const;
 
@@ -60,13 +62,13 @@
   auto operator<=>(const ChatMessage &) const = default;
 };
 
-/// Text of a chat prompt for keying. Distinct message lists have distinct
-/// texts, and lists that begin alike have texts that begin alike, so that a
-/// style guide in the system message is a shared prefix.
+/// Text of a chat prompt from which piece keys are derived. Different message
+/// lists have different texts. Lists with the same first messages have texts
+/// with the same prefix, so that prompts share a common system message.
 std::string canonicalText(std::span<const ChatMessage> messages);
 
-/// Tokens that a text of so many bytes is taken for; at least 1 when there are
-/// any bytes.
+/// Estimated number of tokens in a text of the given length; 0 only for an
+/// empty text.
 uint32_t estimateTokens(size_t bytes);
 
 } // namespace daisytack
--- a/src/context/plan.cpp
+++ b/src/context/plan.cpp
@@ -9,7 +9,7 @@
 
 constexpr double TokensPerCostUnit = 1000;
 constexpr double BytesPerMegabyte = 1e6;
-/// Longer than any deadline; keeps sums of durations within range.
+/// Upper bound, longer than any deadline; prevents overflow of durations.
 constexpr double MaxSeconds = 1e6;
 constexpr double MicrosPerSecond = 1e6;
 
@@ -22,9 +22,10 @@
   return static_cast<double>(value.count()) / MicrosPerSecond;
 }
 
-/// Fetch work that one link has been given so far.
+/// Fetches assigned to one link so far.
 struct LinkLoad {
-  double Seconds = 0; ///< Including the backlog.
+  /// Time until the assigned fetches end, including the backlog.
+  double Seconds = 0;
   bool Used = false;
 };
 
@@ -35,7 +36,7 @@
   return static_cast<double>(piece.Length) / rate;
 }
 
-/// Walks the prefix piece by piece and prices each length.
+/// Extends the prefix piece by piece and computes the cost of each length.
 class Planner {
 public:
   Planner(const PlanInput &in, const PlanWeights &w)
@@ -44,8 +45,7 @@
   FetchPlan choose() {
     FetchPlan best = planForPrefix();
     size_t bestFetches = 0;
-    bool pastEnginePrefix =
-        false; // Past the pieces that the engine holds anyway.
+    bool pastEnginePrefix = false; // The engine's leading pieces have ended.
     double recomputeCost = best.Cost;
     for (uint32_t i = 0; i < Input.Pieces.size(); ++i) {
       bool inEngine = Input.Pieces[i].InEngine;
@@ -99,7 +99,7 @@
                                : 0;
     double prefillSeconds =
         out.RecomputedTokens / std::max(1.0, Input.PrefillTokensPerSecond);
-    // Fetching goes on while the prompt queues.
+    // Fetches run while the prompt is queued.
     double firstTokenSeconds =
         std::max(toSeconds(Input.QueueWait), FetchSeconds) + prefillSeconds;
     out.FirstToken = fromSeconds(firstTokenSeconds);
--- a/src/context/reuse_policy.h
+++ b/src/context/reuse_policy.h
@@ -1,5 +1,5 @@
-/// What an organisation's reuse policy means for kept context: which pieces a
-/// request may name, and how long they may be used.
+/// Effects of an organisation's reuse policy on kept context: which pieces a
+/// request may use, and for how long.
 #pragma once
 
 #include "daisytack/objects.h"
@@ -9,34 +9,35 @@
 
 namespace daisytack {
 
-/// Everything that a piece key is bound to besides the prompt's text. Two
-/// scopes that differ in any field have no key in common.
+/// All inputs of a piece key except the prompt's text. Scopes that differ in
+/// any field have no keys in common.
 struct PieceScope {
   std::string Organisation;
-  std::string PolicyClass; ///< Class of the policy in force, or "*".
-  uint32_t Epoch = 0;      ///< Raised by a purge.
+  /// Class of the applicable policy, or "*" for all classes.
+  std::string PolicyClass;
+  uint32_t Epoch = 0; ///< Incremented by a purge.
   std::string Model;
-  std::string Version; ///< Of the weights.
-  std::string Adapter; ///< Empty for none.
+  std::string Version; ///< Version of the weights.
+  std::string Adapter; ///< Empty when the model has no adapter.
   auto operator<=>(const PieceScope &) const = default;
 };
 
-/// Scope of a request of the organisation under its policy on the model as
-/// configured. Classes that fall under one policy share their pieces.
+/// Scope of a request to the model under the organisation's policy. Classes
+/// with the same policy share their pieces.
 PieceScope scopeOf(const ReusePolicy &policy, const Model &model);
 
-/// True when the policy lets requests name kept pieces at all.
+/// True when the policy allows requests to use kept pieces.
 bool mayReuse(const ReusePolicy &policy);
 
-/// True when a piece kept at the one time may still be used at the other. A
-/// piece that seems to come from the future counts as just kept.
+/// True when a piece stored at keptAt may still be used at `now`. A keptAt in
+/// the future counts as `now`.
 bool isWithinKeepFor(const ReusePolicy &policy, WallTime keptAt, WallTime now);
 
-/// Bytes that the organisation may keep under this policy: the lower of its
-/// quota and the policy's limit.
+/// Number of bytes that the organisation may keep under this policy: the lower
+/// of its quota and the policy's limit, or 0 when reuse is not allowed.
 uint64_t keptQuota(const Organisation &organisation, const ReusePolicy &policy);
 
-/// The policy after a purge. No key under it equals one made before.
+/// Returns the policy after a purge, under which no earlier key is reachable.
 ReusePolicy purged(const ReusePolicy &policy);
 
 } // namespace daisytack
--- a/src/context/sighting_table.cpp
+++ b/src/context/sighting_table.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-/// Above so many sightings, old ones count half.
+/// Counts of a class are halved when its sightings exceed this, so that recent
+/// ones weigh more.
 constexpr double DecayThreshold = 65536;
-/// Before anything is seen: a fifth returns after its first sighting, half
-/// after two, four fifths after more, spread evenly over the gaps.
+/// Prior: a fifth of the pieces return after the first sighting, half after two
+/// and four fifths after more, spread evenly over the gap buckets.
 constexpr double PriorWeight = 48;
 constexpr std::array<double, 3> PriorReturnProbability = {0.2, 0.5, 0.8};
 
@@ -72,7 +73,7 @@
     return s.Fingerprint == fingerprint;
   });
   if (it == set.end()) {
-    // Free slots first, then those seen once, then the longest ago.
+    // Prefer a free slot, then pieces seen once, then the least recently seen.
     it = std::min_element(set.begin(), set.end(),
                           [](const Slot &a, const Slot &b) {
                             uint32_t aClass = std::min(a.Count, 2U);
--- a/src/context/store_choice.h
+++ b/src/context/store_choice.h
@@ -1,6 +1,6 @@
-/// Which store instances hold a piece: rendezvous hashing over the store
-/// instances, in different failure domains. Every agent computes the same, so
-/// no index is kept.
+/// Chooses the store instances that hold a piece, by rendezvous hashing across
+/// failure domains. All agents compute the same result, so that no index is
+/// needed.
 #pragma once
 
 #include "daisytack/types.h"
@@ -21,11 +21,11 @@
   auto operator<=>(const StoreInstance &) const = default;
 };
 
-/// Copies of a piece at most.
+/// Maximum number of copies of a piece.
 constexpr size_t MaxStoreCopies = 2;
 
-/// Indices of the stores for a piece, the first choice first; each further one
-/// lies in a failure domain of its own while there are enough domains.
+/// Indices of the stores for a piece, in order of preference. The stores are in
+/// different failure domains while enough domains exist.
 std::vector<uint32_t> chooseStores(const PieceKey &piece,
                                    std::span<const StoreInstance> stores,
                                    size_t copies = MaxStoreCopies);
--- a/src/context/verified_read.h
+++ b/src/context/verified_read.h
@@ -1,6 +1,7 @@
-/// Reading one kept piece from a store so that a freed, torn, reused or
-/// mis-keyed one is never imported: lookup, bytes, generation again, and only
-/// then the import of the whole.
+/// Verified read of one kept piece from a store: look up the piece, fetch its
+/// bytes, check its generation again, and only then import it as a whole. A
+/// piece that is freed, truncated, replaced or under a wrong key is never
+/// imported.
 #pragma once
 
 #include "context/piece_frame.h"
@@ -13,16 +14,17 @@
 
 namespace daisytack {
 
-/// What the caller has to do next.
+/// The action that the caller must perform next.
 enum class ReadStep : uint8_t {
-  LookUp,          ///< Ask the store for the key; then onLookup.
-  FetchBytes,      ///< Get the bytes; onHeader before the body, then onBytes.
-  CheckGeneration, ///< Ask for the generation again; then onGeneration.
-  Import,          ///< Hand payload() to the engine.
-  Rejected,        ///< Do not use the piece; fault() says why.
+  LookUp, ///< Look up the key in the store, then call onLookup.
+  /// Fetch the bytes; call onHeader before reading the body, then onBytes.
+  FetchBytes,
+  CheckGeneration, ///< Read the generation again, then call onGeneration.
+  Import,          ///< Pass payload() to the engine.
+  Rejected,        ///< Do not use the piece; fault() holds the reason.
 };
 
-/// One line of a store's answer to a lookup.
+/// A store's answer to the lookup of one piece.
 struct LookupAnswer {
   PieceKey Key;
   uint64_t Generation = 0;
@@ -30,7 +32,7 @@
   auto operator<=>(const LookupAnswer &) const = default;
 };
 
-/// What a store sends ahead of the bytes.
+/// Header that a store sends before the bytes of a piece.
 struct PieceHeader {
   uint64_t Generation = 0;
   uint64_t Length = 0;
@@ -38,32 +40,34 @@
   auto operator<=>(const PieceHeader &) const = default;
 };
 
-/// The read of one piece as a state machine. An answer that does not belong to
-/// the present step rejects the read: answers may be late or crossed.
+/// State machine that reads one piece. An answer that does not match step()
+/// rejects the read, because answers may arrive late or out of order.
 class VerifiedRead {
 public:
-  /// Version is the weight version that the key was made for.
+  /// `version` is the weight version for which the key was derived.
   VerifiedRead(const PieceKey &key, std::string version);
 
   ReadStep step() const { return Step; }
   PieceFault fault() const { return Fault; }
   const PieceKey &key() const { return Key; }
   uint64_t generation() const { return Generation; }
-  /// Bytes that will be read; bounded by MaxPieceFrameBytes.
+  /// Number of bytes to read; at most MaxPieceFrameBytes.
   uint64_t length() const { return Length; }
 
-  /// The store's answer; nothing when it has no such piece.
+  /// Reports the store's answer; nullopt when the store has no such piece.
   ReadStep onLookup(const std::optional<LookupAnswer> &answer);
-  /// Before the body is read, so that a hostile length allocates nothing.
+  /// Reports the header. Must be called before the body is read, so that an
+  /// excessive length causes no allocation.
   ReadStep onHeader(const PieceHeader &header);
+  /// Reports the complete body.
   ReadStep onBytes(std::string bytes);
-  /// The generation that the store names after the bytes (0: none), and the
-  /// weight version that the engine has at this moment.
+  /// Reports the piece's generation in the store after the bytes were read, or
+  /// 0 when there is none, and the engine's current weight version.
   ReadStep onGeneration(uint64_t generation, std::string_view engineVersion);
-  /// The store did not answer, or not in a way that can be read.
+  /// Reports that the store sent no answer or an unreadable one.
   ReadStep onFailure();
 
-  /// What the engine is to import; empty unless the step is Import.
+  /// Payload for the engine to import; empty unless step() is Import.
   std::string_view payload() const;
 
 private:
--- a/tests/context/committed_write_test.cpp
+++ b/tests/context/committed_write_test.cpp
@@ -18,10 +18,10 @@
   return {};
 }
 
-/// What happens to the answer of one request to the store.
+/// Outcome of one request to the store.
 enum class RequestOutcome : uint8_t { Answered, AnswerLost, RequestLost };
 
-/// One request of the write, with the fate of its answer.
+/// Performs the write's current step with the given request outcome.
 void advance(CommittedWrite &write, FakeStore &store, RequestOutcome outcome) {
   bool reachesStore = outcome != RequestOutcome::RequestLost;
   bool answerArrives = outcome == RequestOutcome::Answered;
--- a/tests/context/engine_view_test.cpp
+++ b/tests/context/engine_view_test.cpp
@@ -32,7 +32,7 @@
   EXPECT_TRUE(view.apply(events, 3));
   EXPECT_EQ(view.presence(key(1)), Presence::Absent);
   EXPECT_EQ(view.presence(key(2)), Presence::Present);
-  EXPECT_TRUE(view.apply(events, 3)) << "a repeated answer changes nothing";
+  EXPECT_TRUE(view.apply(events, 3)) << "repeated events must be ignored";
   EXPECT_EQ(view.presence(key(2)), Presence::Present);
 }
 
@@ -43,8 +43,8 @@
   view.apply(first, 1);
   EXPECT_FALSE(view.apply(after, 6));
   EXPECT_EQ(view.presence(key(1)), Presence::Unknown);
-  EXPECT_EQ(view.presence(key(2)), Presence::Present) << "seen after the gap";
-  EXPECT_FALSE(view.apply({}, 9)) << "the tail is missing";
+  EXPECT_EQ(view.presence(key(2)), Presence::Present) << "stored after the gap";
+  EXPECT_FALSE(view.apply({}, 9)) << "events at the end are missing";
   EXPECT_EQ(view.presence(key(2)), Presence::Unknown);
   EXPECT_EQ(view.gaps(), 2U);
   CacheEvent cleared[] = {{9, CacheEventKind::Cleared, {}}};
@@ -66,7 +66,8 @@
   view.markPresent(seen);
   EXPECT_EQ(view.presence(key(7)), Presence::Present);
   view.apply({}, 160);
-  EXPECT_EQ(view.presenceProbability(key(8)), 0) << "faded and dropped";
+  EXPECT_EQ(view.presenceProbability(key(8)), 0)
+      << "dropped below the minimum probability";
   CacheEvent gone[] = {evicted(160, 7)};
   view.markPresent(seen);
   view.apply(gone, 161);
@@ -95,7 +96,7 @@
 
 TEST(EngineView, NeverPresentAfterAGapOrAnEviction) {
   expectProperty([] {
-    // A true cache, and a view that misses some of its events.
+    // Compares the view with the actual cache while some events are lost.
     EngineView view(64);
     std::set<uint8_t> truth;
     std::vector<CacheEvent> batch;
--- a/tests/context/fake_store.h
+++ b/tests/context/fake_store.h
@@ -1,5 +1,5 @@
-/// A store of kept context in memory, with the faults that reads and writes
-/// must survive.
+/// In-memory store of kept context that can inject the faults that reads and
+/// writes must tolerate.
 #pragma once
 
 #include "context/committed_write.h"
@@ -31,7 +31,7 @@
   bool Down = false;
   uint64_t Capacity = UINT64_MAX; ///< Bytes.
 
-  // What writers do.
+  // Requests of writers.
   uint64_t create(const PieceKey &key) {
     Uncommitted[++LastGeneration] = {key, {}};
     return LastGeneration;
@@ -71,7 +71,7 @@
     return out;
   }
 
-  /// A whole piece, written at once.
+  /// Writes and commits a complete piece.
   void write(const PieceKey &key, std::string_view payload,
              const std::string &meta = {}) {
     uint64_t generation = create(key);
@@ -80,7 +80,7 @@
     commit(generation, sha256(frame), meta);
   }
 
-  // What readers see.
+  // Requests of readers.
   std::optional<LookupAnswer> lookup(const PieceKey &key) const {
     const Entry *entry = find(key);
     if (entry == nullptr)
@@ -104,11 +104,11 @@
   size_t visible() const { return Visible.size(); }
   size_t uncommitted() const { return Uncommitted.size(); }
 
-  // Faults.
+  // Fault injection.
   void truncate(const PieceKey &key) { Visible[key].Bytes.resize(9); }
   void flipBit(const PieceKey &key) { Visible[key].Bytes.back() ^= 1; }
   void drop(const PieceKey &key) { Visible.erase(key); }
-  /// The store answers with another key's piece.
+  /// Makes the store return the other key's piece for this key.
   void alias(const PieceKey &key, const PieceKey &other) {
     Visible[key] = Visible[other];
   }
--- a/tests/context/keep_policy_test.cpp
+++ b/tests/context/keep_policy_test.cpp
@@ -76,7 +76,7 @@
   ASSERT_EQ(victims.size(), 2U);
   EXPECT_EQ(victims[0].Key, testKey(3));
   EXPECT_NE(victims[1].Key, testKey(1));
-  // Never for something worth less, and not when it would not make room.
+  // No eviction for a less valuable piece, or if it would not free enough.
   EXPECT_TRUE(policy
                   .chooseVictims(std::span(sample, 1), Megabyte,
                                  meta("c", 1, 100), at(100))
@@ -136,7 +136,7 @@
 
 TEST(ReturnModelTest, LearnsWhenPiecesReturn) {
   ReturnModel model;
-  // Everything seen once returns after an hour; what was seen twice never does.
+  // All pieces seen once return after an hour; pieces seen twice never return.
   for (int i = 0; i < 5000; ++i) {
     model.observe({0, Duration(0)});
     model.observe({1, std::chrono::hours(1)});
--- a/tests/context/link_scheduler_test.cpp
+++ b/tests/context/link_scheduler_test.cpp
@@ -32,11 +32,12 @@
   EXPECT_EQ(link.next(at(0))->Id, 2U);
   EXPECT_FALSE(link.next(at(0)));
   link.finish(3, 10, at(10));
-  EXPECT_FALSE(link.next(at(10))) << "an export starts alone";
+  EXPECT_FALSE(link.next(at(10))) << "an export starts only on an idle link";
   link.finish(2, 10, at(10));
   EXPECT_EQ(link.next(at(10))->Id, 1U);
   link.add(fetch(4, 10, 900), at(11), reason);
-  EXPECT_EQ(link.next(at(11))->Id, 4U) << "an export never holds up a fetch";
+  EXPECT_EQ(link.next(at(11))->Id, 4U)
+      << "a running export must not block a fetch";
 }
 
 TEST(LinkScheduler, RefusesExportsBeyondTheBacklogLimit) {
@@ -72,11 +73,12 @@
   Error reason;
   link.add(fetch(1, 100'000, 1), at(0), reason);
   link.next(at(0));
-  link.finish(1, 100'000, at(2'000'000)); // A twentieth of the budget.
+  link.finish(1, 100'000, at(2'000'000)); // A twentieth of the rate limit.
   link.add(exportOf(2, 100'000), at(2'000'000), reason);
   EXPECT_FALSE(link.next(at(2'000'000)));
-  EXPECT_FALSE(link.nextAt(at(2'000'000))) << "until something is measured";
-  EXPECT_TRUE(link.next(at(200'000'000))) << "or long enough ago";
+  EXPECT_FALSE(link.nextAt(at(2'000'000)))
+      << "no start without new measurements";
+  EXPECT_TRUE(link.next(at(200'000'000))) << "the old measurement has decayed";
 }
 
 TEST(LinkScheduler, LearnsASlowLinkBeforeATransferHasEnded) {
@@ -85,12 +87,14 @@
   link.add(fetch(1, 500'000, 1), at(0), reason);
   link.next(at(0));
   EXPECT_DOUBLE_EQ(link.bytesPerSecond(at(1000)), 1e6);
-  // A hundredth of the rate: after five seconds it can be at most a tenth.
+  // The transfer runs at a hundredth of the rate limit. After five seconds the
+  // rate can be at most a tenth.
   EXPECT_LE(link.bytesPerSecond(at(5'001'000)), 1e5);
   link.finish(1, 500'000, at(50'001'000));
   double learned = link.bytesPerSecond(at(50'001'000));
   EXPECT_LT(learned, 1e6);
-  // Without new evidence it drifts back, so that a cured link is tried again.
+  // Without new measurements the rate returns to the limit, so that a recovered
+  // link is used again.
   EXPECT_GT(link.bytesPerSecond(at(200'000'000)), 0.95e6);
 }
 
@@ -104,7 +108,8 @@
   EXPECT_EQ(link.backlogBefore(at(10)), 100U);
   EXPECT_EQ(link.backlogBefore(at(99)), 300U);
   link.next(at(0));
-  EXPECT_EQ(link.backlogBefore(at(5)), 100U) << "in flight goes before all";
+  EXPECT_EQ(link.backlogBefore(at(5)), 100U)
+      << "transfers in flight come before all fetches";
 }
 
 TEST(LinkScheduler, NeverOverBudgetAndAlwaysInDeadlineOrder) {
@@ -148,10 +153,10 @@
       }
       RC_ASSERT(link.inFlight() <= Limits.MaxInFlight);
       if (auto when = link.nextAt(at(now)); when && *when == at(now))
-        RC_FAIL("could start, but was not given");
+        RC_FAIL("nextAt() is now, but next() returned nothing");
     }
-    // Over every window: at most the burst, or the largest transfer if that is
-    // more, and what the rate earns.
+    // In every window, the started bytes are at most the burst, or the largest
+    // transfer if that is more, plus the bytes allowed by the rate.
     for (size_t from = 0; from < starts.size(); ++from) {
       double bytes = 0;
       for (size_t to = from; to < starts.size(); ++to) {
--- a/tests/context/piece_key_test.cpp
+++ b/tests/context/piece_key_test.cpp
@@ -27,7 +27,7 @@
 }
 
 rc::Gen<PieceScope> anyScope() {
-  // Few letters, so that fields often collide and concatenations agree.
+  // With few letters, fields and their concatenations are often equal.
   auto name = rc::gen::container<std::string>(
       rc::gen::elementOf(std::string("ab\0;", 4)));
   return rc::gen::build<PieceScope>(
--- a/tests/context/plan_test.cpp
+++ b/tests/context/plan_test.cpp
@@ -40,11 +40,11 @@
   FetchPlan slow = planFetch(input(pieces, {&Slow, 1}), firstTokenWeights());
   EXPECT_EQ(slow.ReusedPieces, 0U);
   EXPECT_EQ(slow.Cost, slow.RecomputeCost);
-  // The notice desk waits for the link rather than recompute.
+  // With high recompute costs, the plan fetches even over the slow link.
   FetchPlan recomputeAverse =
       planFetch(input(pieces, {&Slow, 1}), recomputeWeights());
   EXPECT_EQ(recomputeAverse.ReusedPieces, 8U);
-  // But not beyond the deadline.
+  // The limit on the first token still holds.
   PlanInput hurried = input(pieces, {&Slow, 1});
   hurried.FirstTokenLimit = std::chrono::seconds(2);
   EXPECT_LE(planFetch(hurried, recomputeWeights()).FirstToken,
@@ -72,7 +72,7 @@
   FetchPlan plan = planFetch(input(pieces, {&Fast, 1}), recomputeWeights());
   EXPECT_EQ(plan.ReusedPieces, 4U);
   EXPECT_EQ(plan.Fetch, std::vector<uint32_t>{1});
-  // What the engine holds costs nothing, whatever the link does.
+  // Pieces in the engine are reused without any link.
   plan = planFetch(input(pieces, {}), recomputeWeights());
   EXPECT_EQ(plan.ReusedPieces, 1U);
 }
@@ -87,7 +87,7 @@
   EXPECT_FALSE(isWorthWaiting(late, firstTokenWeights()));
   late.QueueWait = std::chrono::milliseconds(700);
   EXPECT_TRUE(isWorthWaiting(late, firstTokenWeights()))
-      << "hidden by the queue";
+      << "hidden by the queue wait";
   late.QueueWait = Duration(0);
   EXPECT_TRUE(isWorthWaiting(late, recomputeWeights()));
   late.Limit = std::chrono::milliseconds(900);
--- a/tests/context/serial_prefill_test.cpp
+++ b/tests/context/serial_prefill_test.cpp
@@ -43,7 +43,8 @@
   EXPECT_EQ(queue.start(at(50))->Id, fetching.Id);
 }
 
-/// The predicted first tokens are those that a serial engine gives.
+/// The predicted first-token times equal those of an engine that prefills one
+/// request at a time.
 TEST(SerialPrefill, PredictsASerialEngine) {
   expectProperty([] {
     RunQueue queue(serial());
--- a/tests/context/verified_read_test.cpp
+++ b/tests/context/verified_read_test.cpp
@@ -11,7 +11,7 @@
 
 const std::string Version = "v1";
 
-/// Something that goes wrong at the store before one step of a read.
+/// A fault that the store injects before one step of a read.
 struct StoreFault {
   const char *Name;
   std::function<void(FakeStore &)> Inject;
@@ -27,7 +27,8 @@
     {"dead", [](FakeStore &s) { s.Down = true; }},
 };
 
-/// Runs a read against the store, striking before the step of that number.
+/// Runs a read against the store and injects the fault before the step with
+/// index faultStep.
 VerifiedRead runRead(FakeStore &store, size_t faultStep,
                      const StoreFault &fault,
                      std::string engineVersion = Version) {
@@ -78,7 +79,8 @@
         EXPECT_EQ(read.payload(), "") << fault.Name;
         continue;
       }
-      // Bytes damaged after they were read, or a whole piece written before.
+      // The fault came after the bytes were read, or the piece was replaced
+      // before the lookup.
       bool whole =
           read.payload() == "payload" || read.payload() == "other payload";
       EXPECT_TRUE(whole) << fault.Name << " at step " << step;
@@ -144,7 +146,7 @@
     FakeStore store;
     store.write(testKey(1), "payload");
     VerifiedRead read(testKey(1), Version);
-    // The only order of answers that may lead to an import.
+    // The only sequence of answers that may lead to an import.
     const std::vector<int> required = {0, 1, 2, 3};
     auto order = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4));
     for (int it : order) {
