--- a/src/context/link_scheduler.cpp
+++ b/src/context/link_scheduler.cpp
@@ -134,9 +134,9 @@
   Running.erase(it);
 }
 
-void LinkScheduler::learn(const RunningTransfer &transfer, uint64_t bytes,
+void LinkScheduler::learn(const RunningTransfer &finished, uint64_t bytes,
                           TimePoint now) {
-  double seconds = secondsBetween(transfer.Started, now) -
+  double seconds = secondsBetween(finished.Started, now) -
                    std::chrono::duration<double>(Limits.RoundTrip).count();
   seconds = std::max(seconds, MinTransferSeconds);
   if (bytes == 0)
--- a/src/context/link_scheduler.h
+++ b/src/context/link_scheduler.h
@@ -96,7 +96,8 @@
   /// yet for a reason other than missing tokens.
   const Transfer *startableHead(TimePoint now) const;
   bool isCongested(TimePoint now) const;
-  void learn(const RunningTransfer &transfer, uint64_t bytes, TimePoint now);
+  /// Updates the learned rate from a finished transfer.
+  void learn(const RunningTransfer &finished, uint64_t bytes, TimePoint now);
   uint64_t bytesInFlight() const;
   double learnedRate(TimePoint now) const;
 
--- a/src/context/piece_frame.h
+++ b/src/context/piece_frame.h
@@ -22,14 +22,14 @@
 /// Why a stored piece was not used.
 enum class PieceFault : uint8_t {
   None,
-  Missing,        ///< The store has no committed generation.
-  StoreFailed,    ///< The store sent no answer or an unreadable one.
-  TooLong,        ///< The announced length exceeds MaxPieceFrameBytes.
-  MisKeyed,       ///< The answer or the frame belongs to another key.
-  Freed,          ///< The generation no longer exists.
-  Replaced,       ///< Another generation was committed since the lookup.
-  Torn,           ///< The number of bytes differs from the committed length.
-  Corrupt,        ///< The checksum or the header does not match.
+  Missing,     ///< The store has no committed generation.
+  StoreFailed, ///< The store sent no answer or an unreadable one.
+  TooLong,     ///< The announced length exceeds MaxPieceFrameBytes.
+  MisKeyed,    ///< The answer or the frame belongs to another key.
+  Freed,       ///< The generation no longer exists.
+  Replaced,    ///< Another generation was committed since the lookup.
+  Torn,        ///< The length is too short or differs from the committed one.
+  Corrupt,     ///< The checksum or the header does not match.
   VersionChanged, ///< The engine's weight version differs from the key's.
 };
 
