--- a/src/direct/catalog.cpp
+++ b/src/direct/catalog.cpp
@@ -165,7 +165,7 @@
   const auto *desired = std::get_if<DesiredWeights>(&value);
   const auto *known = std::get_if<DesiredWeights>(&state.Value);
   if (desired && known)
-    return desired->Wanted.Version <=> known->Wanted.Version;
+    return desired->Desired.Version <=> known->Desired.Version;
   const auto *server = std::get_if<BackendServer>(&value);
   const auto *before = std::get_if<BackendServer>(&state.Value);
   if (!server || !before || server->StartedMs != before->StartedMs)
@@ -226,7 +226,7 @@
   if (!value)
     return mergeUnreadable(record, subject, reason, now);
   if (const auto *desired = std::get_if<DesiredWeights>(&*value))
-    noteDesiredVersion(desired->Wanted,
+    noteDesiredVersion(desired->Desired,
                        IsFirstRead ? now - Settings.AgeAtFirstRead : now);
   if (auto *config = std::get_if<ServingConfig>(&*value)) {
     Config = std::make_shared<const ConfigIndex>(std::move(*config));
--- a/src/direct/peer_messages.h
+++ b/src/direct/peer_messages.h
@@ -51,8 +51,8 @@
 /// Whether a receiver that knew everything up to the revision has the sender's
 /// full state after merging the records. Never for revision 0: such a receiver
 /// has not read the service itself, so its state may have gaps.
-inline bool isCompleteFor(const RecordsResponse &found, uint64_t knownTo) {
-  return knownTo != 0 && knownTo >= found.DeletionsMissingTo;
+inline bool isCompleteFor(const RecordsResponse &response, uint64_t knownTo) {
+  return knownTo != 0 && knownTo >= response.DeletionsMissingTo;
 }
 
 /// Servers that are loading new weights or are about to. They reject requests
--- a/src/direct/protocol.h
+++ b/src/direct/protocol.h
@@ -43,7 +43,7 @@
   std::function<RecordSubject(std::string_view key)> SubjectOf;
   /// Decodes a stored record; empty, with the reason, if it is malformed.
   std::function<std::optional<RecordValue>(const StoreRecord &, Error &reason)>
-      DecodeFact;
+      DecodeRecord;
   // The keys and values of records that entries write.
   std::function<std::string(std::string_view entry)> EntryKey;
   std::function<std::string(const EntryPeer &)> EncodeEntry;
--- a/src/direct/records.h
+++ b/src/direct/records.h
@@ -69,7 +69,7 @@
 
 /// The version of a model's weights that the operator wants on its servers.
 struct DesiredWeights {
-  ModelVersion Wanted;
+  ModelVersion Desired;
   auto operator<=>(const DesiredWeights &) const = default;
 };
 
--- a/src/direct/retirement.cpp
+++ b/src/direct/retirement.cpp
@@ -72,14 +72,14 @@
 }
 
 std::vector<Retirement>
-RetirementAgreement::dueRetirements(const Catalog &catalog, double spareShare,
-                                    TimePoint now) {
+RetirementAgreement::dueRetirements(const Catalog &catalog,
+                                    double freeToUsedRatio, TimePoint now) {
   std::vector<Retirement> out;
   if (uint64_t below = unusedBelow(catalog, now); below > 1)
     out.push_back({below, 1});
   uint64_t newest = 0;
-  for (const auto &[model, wanted] : catalog.DesiredVersions)
-    newest = std::max(newest, wanted.back().Version);
+  for (const auto &[model, versions] : catalog.DesiredVersions)
+    newest = std::max(newest, versions.back().Version);
   double updated = 0;
   double all = 0;
   for (const BackendServer &server : catalog.AllServers) {
@@ -92,7 +92,7 @@
     return out;
   // Steps of a quarter, so that entries are notified only a few times.
   constexpr double Steps = 4;
-  double needed = updated / all - spareShare;
+  double needed = updated / all - freeToUsedRatio;
   double share = std::min(1.0, std::floor(needed * Steps) / Steps);
   if (share > 0)
     out.push_back({newest, share});
@@ -100,7 +100,7 @@
 }
 
 std::vector<RetirementAction> RetirementAgreement::next(const Catalog &catalog,
-                                                        double spareShare,
+                                                        double freeToUsedRatio,
                                                         TimePoint now) {
   onCatalog(catalog, now);
   std::vector<RetirementAction> out;
@@ -108,12 +108,13 @@
   // might cover less.
   if (!catalog.IsRetiredRecordReadable)
     return out;
-  std::vector<Retirement> wanted =
-      mergeRetired(catalog.Retired, dueRetirements(catalog, spareShare, now));
-  if (wanted != catalog.RetiredInRecord && !IsWriting && now >= NextWriteAt) {
+  std::vector<Retirement> retirements = mergeRetired(
+      catalog.Retired, dueRetirements(catalog, freeToUsedRatio, now));
+  if (retirements != catalog.RetiredInRecord && !IsWriting &&
+      now >= NextWriteAt) {
     IsWriting = true;
     out.push_back(
-        WriteRetired{std::move(wanted), catalog.RetiredRecordRevision});
+        WriteRetired{std::move(retirements), catalog.RetiredRecordRevision});
   }
   if (std::optional<RemoveRegistration> removal = dueRemoval(now))
     out.push_back(*removal);
--- a/src/direct/retirement.h
+++ b/src/direct/retirement.h
@@ -120,8 +120,8 @@
   /// holds the order lease. During a weight update, old context is retired to
   /// make room for new context: in proportion to the servers that have the new
   /// weights, less the free share of the context stores.
-  std::vector<RetirementAction> next(const Catalog &catalog, double spareShare,
-                                     TimePoint now);
+  std::vector<RetirementAction> next(const Catalog &catalog,
+                                     double freeToUsedRatio, TimePoint now);
   /// A write has ended. Its result doesn't matter: the catalog will show
   /// whether it took effect.
   void onWritten(TimePoint now);
@@ -157,7 +157,7 @@
   void notePeers(const Catalog &catalog, TimePoint now);
   /// Context that should be retired now, judging by the servers' weights.
   std::vector<Retirement> dueRetirements(const Catalog &catalog,
-                                         double spareShare, TimePoint now);
+                                         double freeToUsedRatio, TimePoint now);
   void noteAgreements(TimePoint now);
   std::optional<RemoveRegistration> dueRemoval(TimePoint now);
   std::vector<NotifyEntry> dueNotifications(TimePoint now);
--- a/src/direct/weight_order.h
+++ b/src/direct/weight_order.h
@@ -16,7 +16,7 @@
 struct WeightOrder {
   std::string ServerId;
   Endpoint Address;
-  ModelVersion Wanted;
+  ModelVersion Desired;
   std::string Holder;        ///< Name of the entry that holds the order lease.
   uint64_t FencingToken = 0; ///< Increases with every holder.
   /// Number of orders that the engine must have accepted so far; it refuses the
--- a/src/direct/weight_plan.cpp
+++ b/src/direct/weight_plan.cpp
@@ -54,8 +54,8 @@
         std::find_if(servers.begin(), servers.end(),
                      [&](const BackendServer &s) { return s.Id == it.first; });
     bool isGone = server == servers.end() || server->IsDraining;
-    bool isDone = !isGone && server->versionOf(it.second.Wanted.Model) >=
-                                 it.second.Wanted.Version;
+    bool isDone = !isGone && server->versionOf(it.second.Desired.Model) >=
+                                 it.second.Desired.Version;
     bool isRestarted = !isGone && server->StartedMs != it.second.StartedMs;
     bool isStuck = now >= it.second.Since + Settings.LoadTimeout;
     return isGone || isDone || isRestarted || isStuck;
@@ -88,7 +88,7 @@
       return;
     Loads[it->Server->Id] = {it->Server->StartedMs,
                              it->Server->Address,
-                             it->Wanted,
+                             it->Desired,
                              Phase::Asking,
                              now,
                              now + Settings.PrepareTime};
@@ -106,8 +106,8 @@
     load.CurrentPhase = Phase::Asking;
     load.NextCheckAt = now + Settings.CallTimeout;
     // A newer version may have become desired since the engine was selected.
-    load.Wanted.Version = std::max(load.Wanted.Version,
-                                   catalog.desiredVersion(load.Wanted.Model));
+    load.Desired.Version = std::max(load.Desired.Version,
+                                    catalog.desiredVersion(load.Desired.Model));
     out.push_back(RequestReport{id, load.Address});
   }
   return out;
@@ -130,10 +130,10 @@
   }
   uint64_t version = 0;
   for (const ModelVersion &has : report->Weights)
-    if (has.Model == load.Wanted.Model)
+    if (has.Model == load.Desired.Model)
       version = has.Version;
-  if (version >= load.Wanted.Version) {
-    ModelVersion has{load.Wanted.Model, version};
+  if (version >= load.Desired.Version) {
+    ModelVersion has{load.Desired.Model, version};
     uint64_t startedMs = load.StartedMs;
     Loads.erase(it);
     return {NoteLoaded{server, std::move(has), startedMs}};
@@ -145,7 +145,7 @@
   }
   load.CurrentPhase = Phase::Ordering;
   load.NextCheckAt = now + Settings.CallTimeout;
-  return {SendWeightOrder{server, load.Address, load.Wanted,
+  return {SendWeightOrder{server, load.Address, load.Desired,
                           report->OrdersTaken, load.StartedMs}};
 }
 
--- a/src/direct/weight_plan.h
+++ b/src/direct/weight_plan.h
@@ -62,7 +62,7 @@
 struct SendWeightOrder {
   std::string ServerId;
   Endpoint Address;
-  ModelVersion Wanted;
+  ModelVersion Desired;
   uint64_t OrdersTaken = 0; ///< Orders that the engine has accepted so far.
   uint64_t StartedMs = 0;   ///< The start whose report led to the order.
   bool operator==(const SendWeightOrder &) const = default;
@@ -116,7 +116,7 @@
   struct Load {
     uint64_t StartedMs = 0; ///< The start of the engine that the load is for.
     Endpoint Address;
-    ModelVersion Wanted;
+    ModelVersion Desired;
     Phase CurrentPhase = Phase::Asking;
     TimePoint Since;       ///< When the engine was selected.
     TimePoint NextCheckAt; ///< Next check, unless a response arrives earlier.
@@ -124,7 +124,7 @@
   /// A server with older weights than desired.
   struct OutdatedServer {
     const BackendServer *Server = nullptr;
-    ModelVersion Wanted;
+    ModelVersion Desired;
     TimePoint Since; ///< Since when its weights have been outdated.
   };
 
--- a/src/gateway/context_follower.cpp
+++ b/src/gateway/context_follower.cpp
@@ -180,9 +180,10 @@
   };
   for (const auto &action : Agreement.next(
            *State.catalog(), State.StoredParts.freeToUsedRatio(), now)) {
-    if (const auto *tell = std::get_if<direct::NotifyEntry>(&action))
-      Hooks.Tell(*tell, [self = shared_from_this(), tell = *tell](bool agreed) {
-        self->onEntryAnswered(tell, agreed);
+    if (const auto *notification = std::get_if<direct::NotifyEntry>(&action))
+      Hooks.Notify(*notification, [self = shared_from_this(),
+                                   notification = *notification](bool agreed) {
+        self->onEntryAnswered(notification, agreed);
       });
     if (const auto *write = std::get_if<direct::WriteRetired>(&action))
       Hooks.Write(*write, onWritten);
@@ -191,15 +192,15 @@
   }
 }
 
-void ContextFollower::onEntryAnswered(const direct::NotifyEntry &tell,
+void ContextFollower::onEntryAnswered(const direct::NotifyEntry &notification,
                                       bool hasAgreed) {
   TimePoint now = monotonicNow();
   State.Log.write(LogWeight::Notable, "context_retirement_told",
-                  {{"peer", toString(tell.Peer)},
-                   {"revision", tell.Revision},
+                  {{"peer", toString(notification.Peer)},
+                   {"revision", notification.Revision},
                    {"agreed", hasAgreed}},
                   now);
-  Agreement.onNotified(tell, hasAgreed, now);
+  Agreement.onNotified(notification, hasAgreed, now);
 }
 
 std::vector<direct::PartRef> ContextFollower::unusedParts(
--- a/src/gateway/context_follower.h
+++ b/src/gateway/context_follower.h
@@ -45,7 +45,7 @@
   /// Tells one entry; the callback gets whether that entry agreed.
   std::function<void(const direct::NotifyEntry &,
                      const std::function<void(bool)> &)>
-      Tell;
+      Notify;
   /// Writes the record of retired context. Calls back whatever the outcome,
   /// which the watch of the key-value service shows.
   std::function<void(const direct::WriteRetired &,
@@ -113,7 +113,7 @@
   unusedParts(const std::string &store, const FollowedStore &followed,
               uint64_t unusedBelow,
               const std::vector<direct::Retirement> &freeable) const;
-  void onEntryAnswered(const direct::NotifyEntry &tell, bool hasAgreed);
+  void onEntryAnswered(const direct::NotifyEntry &notification, bool hasAgreed);
 
   GatewayState &State;
   Strand Executor;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -105,9 +105,9 @@
 
 PeerHooks Gateway::peerHooks() {
   PeerHooks out;
-  out.OnRecords = [this](const direct::RecordsResponse &found,
+  out.OnRecords = [this](const direct::RecordsResponse &response,
                          uint64_t syncedRevision, TimePoint askedAt) {
-    onRecords(found, syncedRevision, askedAt);
+    onRecords(response, syncedRevision, askedAt);
   };
   out.OnWeightMessage = [this](const direct::PeerMessage &message) {
     onWeightMessage(message);
@@ -115,31 +115,32 @@
   return out;
 }
 
-void Gateway::onRecords(const direct::RecordsResponse &found,
+void Gateway::onRecords(const direct::RecordsResponse &response,
                         uint64_t syncedRevision, TimePoint askedAt) {
   TimePoint now = monotonicNow();
-  TimePoint confirmedAt = askedAt - Duration(found.ConfirmationAge);
+  TimePoint confirmedAt = askedAt - Duration(response.ConfirmationAge);
   int64_t confirmed = confirmedAt.time_since_epoch().count();
   if (confirmed > State.ConfirmedAt.load())
     State.ConfirmedAt = confirmed;
-  State.Catalog.onRestored(found.RestoredTo, now);
-  State.Catalog.onPeerGrace(Duration(found.GraceLeft), now);
-  if (!found.Records.empty())
-    Follower->merge(found.Records);
-  if (direct::eraOf(found.CompleteTo) > direct::eraOf(State.SyncedRevision))
+  State.Catalog.onRestored(response.RestoredTo, now);
+  State.Catalog.onPeerGrace(Duration(response.GraceLeft), now);
+  if (!response.Records.empty())
+    Follower->merge(response.Records);
+  if (direct::eraOf(response.CompleteTo) > direct::eraOf(State.SyncedRevision))
     Follower->resync();
-  if (!direct::isCompleteFor(found, syncedRevision))
+  if (!direct::isCompleteFor(response, syncedRevision))
     return;
-  State.advanceSyncedRevision(found.CompleteTo);
-  State.advanceSyncTime(askedAt - Duration(found.CompleteStateAge));
+  State.advanceSyncedRevision(response.CompleteTo);
+  State.advanceSyncTime(askedAt - Duration(response.CompleteStateAge));
   WatchPlan.onAnswer(confirmedAt, now);
 }
 
 RetirementHooks Gateway::retirementHooks() {
   RetirementHooks out;
-  out.Tell = [this](const direct::NotifyEntry &tell,
-                    const std::function<void(bool)> &done) {
-    Peers->sendTo(tell.Peer, direct::ContextRetired{tell.Retirements}, done);
+  out.Notify = [this](const direct::NotifyEntry &notification,
+                      const std::function<void(bool)> &done) {
+    Peers->sendTo(notification.Peer,
+                  direct::ContextRetired{notification.Retirements}, done);
   };
   out.Write = [this](const direct::WriteRetired &write,
                      const std::function<void()> &done) {
@@ -200,8 +201,8 @@
   out.Weights.ConcurrentLoads = Options.ConcurrentLoads;
   out.Weights.ConcurrentShare = Options.ConcurrentLoadShare;
   out.Weights.RolloutLimit = Options.Placement.OldWeightsLimit;
-  out.Holder.Right.Term = Options.LeaseTerm;
-  out.Holder.Right.ServersCheckFence = Options.ServersCheckFence;
+  out.Holder.OrderLease.Term = Options.LeaseTerm;
+  out.Holder.OrderLease.ServersCheckFence = Options.ServersCheckFence;
   out.WakeDelay = Options.WakeDelay;
   return out;
 }
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -160,7 +160,7 @@
 void GatewayRequest::recordConnectionLoss(TimePoint now) {
   enforceQuarantine(State,
                     State.Suspects.onConnectionBroken(
-                        identity(), Order.server().key(), OccasionsAtSend, now),
+                        identity(), Order.server().key(), IncidentsAtSend, now),
                     now);
 }
 
@@ -176,7 +176,7 @@
   Order = order;
   SentAt = now;
   FirstByteAt.reset();
-  OccasionsAtSend =
+  IncidentsAtSend =
       State.Suspects.isEmpty() ? 0 : State.Suspects.incidents(identity());
   State.Stats.Attempts.add();
   State.Loads.onSent(order.server(), order.QueuedTokens, now);
--- a/src/gateway/gateway_request.h
+++ b/src/gateway/gateway_request.h
@@ -77,7 +77,7 @@
   std::optional<Id128> Identity;
   /// Crash occasions held against the request when the current attempt was
   /// sent.
-  uint32_t OccasionsAtSend = 0;
+  uint32_t IncidentsAtSend = 0;
   net::HttpCall Call;
   direct::AttemptOrder Order; ///< Parameters of the current attempt.
   TimePoint SentAt;
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -35,7 +35,7 @@
   return out;
 }
 
-std::string_view factName(direct::RecordKind kind) {
+std::string_view kindName(direct::RecordKind kind) {
   switch (kind) {
   case direct::RecordKind::Config:
     return "configuration";
@@ -61,16 +61,16 @@
   return "other";
 }
 
-direct::CatalogHooks catalogHooks(const direct::Protocol &speak,
+direct::CatalogHooks catalogHooks(const direct::Protocol &protocol,
                                   DecisionLog &log) {
   direct::CatalogHooks out;
-  out.SubjectOf = speak.SubjectOf;
-  out.Decode = speak.DecodeFact;
+  out.SubjectOf = protocol.SubjectOf;
+  out.Decode = protocol.DecodeRecord;
   out.Changed = [&log](const direct::RecordSubject &subject,
                        std::string_view change, uint64_t revision,
                        TimePoint now) {
     log.write(LogWeight::Notable, "belief_changed",
-              {{"subject", factName(subject.Kind)},
+              {{"subject", kindName(subject.Kind)},
                {"name", subject.Name},
                {"change", change},
                {"revision", revision}},
--- a/src/gateway/holder_lease.cpp
+++ b/src/gateway/holder_lease.cpp
@@ -14,7 +14,7 @@
                          DecisionLog &log)
     : Executor(std::move(strand)), Store(std::move(store)), Key(std::move(key)),
       Value(std::move(value)), Settings(settings), Log(log),
-      LeaseState(direct::orderLease(settings.Right)) {}
+      LeaseState(direct::orderLease(settings.OrderLease)) {}
 
 void HolderLease::acquire(uint64_t replacedRevision) {
   if (IsStopped || IsAcquiring || Token != 0)
--- a/src/gateway/holder_lease.h
+++ b/src/gateway/holder_lease.h
@@ -14,7 +14,7 @@
 namespace daisytack::gateway {
 
 struct HolderLeaseSettings {
-  direct::OrderLeaseSettings Right;
+  direct::OrderLeaseSettings OrderLease;
   Duration CallTimeout{1'200'000};
   bool operator==(const HolderLeaseSettings &) const = default;
 };
--- a/src/gateway/order_driver.cpp
+++ b/src/gateway/order_driver.cpp
@@ -84,10 +84,10 @@
 
 void OrderDriver::acquireIfVacant(const direct::Catalog &catalog,
                                   TimePoint now) {
-  bool mayAcquire = catalog.Config && !Holder->isHeld() &&
-                    !Holder->isAcquiring() && State.isConfirmed(now) &&
-                    !State.Drain.load() &&
-                    direct::isClaimSafe(catalog, Settings.Holder.Right, now);
+  bool mayAcquire =
+      catalog.Config && !Holder->isHeld() && !Holder->isAcquiring() &&
+      State.isConfirmed(now) && !State.Drain.load() &&
+      direct::isClaimSafe(catalog, Settings.Holder.OrderLease, now);
   std::optional<uint64_t> replacedRevision = direct::claimableRevision(
       catalog, {State.Options.Name, State.Options.Peers});
   if (!mayAcquire || !replacedRevision) {
@@ -164,8 +164,8 @@
     return;
   State.Log.write(LogWeight::Notable, "order_given",
                   {{"server", action.ServerId},
-                   {"model", action.Wanted.Model},
-                   {"version", action.Wanted.Version},
+                   {"model", action.Desired.Model},
+                   {"version", action.Desired.Version},
                    {"orders_taken", action.OrdersTaken},
                    {"started_ms", action.StartedMs},
                    {"token", *token}},
@@ -173,7 +173,7 @@
   State.ControlClient.fetch(
       action.Address,
       State.WireProtocol.OrderRequest({action.ServerId, action.Address,
-                                       action.Wanted, State.Options.Name,
+                                       action.Desired, State.Options.Name,
                                        *token, action.OrdersTaken}),
       Settings.Weights.CallTimeout,
       [self = shared_from_this(),
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -80,13 +80,13 @@
       State.StoredParts.retire(it);
     return direct::Acknowledgement{};
   }
-  const auto *wanted = std::get_if<direct::RecordsRequest>(&message);
-  if (!wanted)
+  const auto *request = std::get_if<direct::RecordsRequest>(&message);
+  if (!request)
     return direct::Acknowledgement{};
   TimePoint now = monotonicNow();
   int64_t nowUs = now.time_since_epoch().count();
   direct::RecordsResponse out;
-  out.Records = State.Catalog.recordsSince(wanted->Revision);
+  out.Records = State.Catalog.recordsSince(request->Revision);
   out.ConfirmationAge = nowUs - State.ConfirmedAt.load();
   out.CompleteStateAge = nowUs - State.SyncedAt.load();
   out.CompleteTo = State.SyncedRevision;
@@ -161,8 +161,9 @@
   post(peer, direct::RecordsRequest{newerThan},
        [this, syncedRevision,
         askedAt = monotonicNow()](const direct::PeerMessage &reply) {
-         if (const auto *found = std::get_if<direct::RecordsResponse>(&reply))
-           Hooks.OnRecords(*found, syncedRevision, askedAt);
+         if (const auto *response =
+                 std::get_if<direct::RecordsResponse>(&reply))
+           Hooks.OnRecords(*response, syncedRevision, askedAt);
        });
 }
 
--- a/tests/direct/restart_model_test.cpp
+++ b/tests/direct/restart_model_test.cpp
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 
 constexpr Duration LoadTime = 1300ms;
-constexpr uint64_t Wanted = 3;
+constexpr uint64_t Desired = 3;
 
 /// An engine that carries out orders and resets their number at each start.
 struct ModelEngine {
@@ -37,10 +37,10 @@
   OrderAnswer take(const SendWeightOrder &order, TimePoint now) {
     if (Loading || order.OrdersTaken != OrdersTaken)
       return OrderAnswer::Conflict;
-    if (order.Wanted.Version == Version)
+    if (order.Desired.Version == Version)
       return OrderAnswer::Accepted;
     ++OrdersTaken;
-    Loading = {order.Wanted.Version, now + LoadTime};
+    Loading = {order.Desired.Version, now + LoadTime};
     return OrderAnswer::Accepted;
   }
   EngineReport report() const {
@@ -51,7 +51,7 @@
 /// One engine, its record and the plan, on a simulated clock.
 class RestartModel {
 public:
-  RestartModel() { Known.DesiredVersions["model"] = {{Wanted, Now}}; }
+  RestartModel() { Known.DesiredVersions["model"] = {{Desired, Now}}; }
 
   /// Advances by 100 ms. With faults, each step may have some.
   void step(bool hasFaults) {
@@ -67,7 +67,7 @@
   }
 
   bool isDone() const {
-    return Engine.Version == Wanted && !Engine.Loading && Plan.isIdle() &&
+    return Engine.Version == Desired && !Engine.Loading && Plan.isIdle() &&
            LateOrders.empty();
   }
 
--- a/tests/direct/retirement_rules_test.cpp
+++ b/tests/direct/retirement_rules_test.cpp
@@ -178,9 +178,10 @@
   BackendServer current;
   current.Weights = {{"m", 3}};
   Known.AllServers = {old, old, old, old};
-  auto retired = [&](double spareShare) {
+  auto retired = [&](double freeToUsedRatio) {
     RetirementAgreement it({}, PeerA);
-    auto writes = actionsOf<WriteRetired>(it.next(Known, spareShare, Start));
+    auto writes =
+        actionsOf<WriteRetired>(it.next(Known, freeToUsedRatio, Start));
     return writes.empty() ? 0 : writes[0].Retirements.back().Share;
   };
   EXPECT_EQ(retired(0), 0); // No server has the new weights.
--- a/tests/direct/weight_plan_test.cpp
+++ b/tests/direct/weight_plan_test.cpp
@@ -65,7 +65,7 @@
   plan.next(Catalog, Start + 300ms);
   auto actions = plan.onReport("e0", report(1, 0), Start + 310ms);
   ASSERT_EQ(actions.size(), 1);
-  EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).Wanted.Version, 3);
+  EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).Desired.Version, 3);
 }
 
 /// Right after a load the engine has no runs, so the next load costs least.
@@ -77,7 +77,7 @@
   EXPECT_TRUE(asked(Plan.next(Catalog, Start + 1s)).contains("e0"));
   auto actions = Plan.onReport("e0", report(2, 1), Start + 1200ms);
   ASSERT_EQ(actions.size(), 1);
-  EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).Wanted.Version, 3);
+  EXPECT_EQ(std::get<SendWeightOrder>(actions[0]).Desired.Version, 3);
 }
 
 TEST_F(WeightPlanTest, LoadsTheLongestOutdatedEnginesFirst) {
@@ -100,7 +100,7 @@
   ASSERT_EQ(actions.size(), 1);
   const auto &order = std::get<SendWeightOrder>(actions[0]);
   EXPECT_EQ(order.OrdersTaken, 7);
-  EXPECT_EQ(order.Wanted, (ModelVersion{"model", 2}));
+  EXPECT_EQ(order.Desired, (ModelVersion{"model", 2}));
 }
 
 TEST_F(WeightPlanTest, SendsNoSecondOrderWhileOneIsCarriedOut) {
@@ -149,7 +149,7 @@
       const auto &ask = std::get<RequestReport>(it);
       for (const WeightAction &next :
            Plan.onReport(ask.ServerId, report(1, 0), Start + 2s + i * 1s))
-        wants3 |= std::get<SendWeightOrder>(next).Wanted.Version == 3;
+        wants3 |= std::get<SendWeightOrder>(next).Desired.Version == 3;
     }
   EXPECT_TRUE(wants3);
 }
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -73,13 +73,13 @@
 }
 
 /// A value under each kind of key of the platform's store.
-void runFacts(std::string_view text) {
+void runRecords(std::string_view text) {
   for (const char *key : {"op/config", "op/version/m", "servers/i",
                           "daisytack/entries/e", "daisytack/holder"}) {
     Error reason;
-    auto fact =
+    auto record =
         platform::decodeRecord({key, std::string(text), 1, false}, reason);
-    require(fact.has_value() == (reason.Kind == ErrorKind::None));
+    require(record.has_value() == (reason.Kind == ErrorKind::None));
   }
 }
 
@@ -105,7 +105,7 @@
                                std::string(line.substr(colon + 1))});
   }
   Error reason;
-  auto head = platform::readCaller(request, reason);
+  auto head = platform::readCallerHead(request, reason);
   if (!head)
     return;
   for (const net::HttpHeader &it :
@@ -211,7 +211,7 @@
       {"wire", runMessage<wire::Message>, wireSeeds},
       {"peer", runMessage<control::PeerMessage>, peerSeeds},
       {"entry", runMessage<direct::PeerMessage>, entrySeeds},
-      {"facts", runFacts, noSeeds},
+      {"facts", runRecords, noSeeds},
       {"context", runContext, noSeeds},
       {"caller", runCaller, noSeeds},
       {"events", runEvents, noSeeds},
--- a/tests/platform/request_head_test.cpp
+++ b/tests/platform/request_head_test.cpp
@@ -38,7 +38,7 @@
 
 direct::CallerHead readSample(const net::HttpRequest &request) {
   Error reason;
-  auto out = readCaller(request, reason);
+  auto out = readCallerHead(request, reason);
   EXPECT_TRUE(out) << reason.Detail;
   return out.value_or(direct::CallerHead{});
 }
@@ -51,7 +51,7 @@
   return out;
 }
 
-TEST(ReadCaller, DecodesThePrompt) {
+TEST(ReadCallerHead, DecodesThePrompt) {
   direct::CallerHead head = readSample(sample());
   EXPECT_EQ(head.RequestId, "abc");
   EXPECT_EQ(head.CallerTimeout, 1500ms);
@@ -62,18 +62,18 @@
                             {"5c", 800}, {"91", 410}, {"e4", 250}}));
 }
 
-TEST(ReadCaller, RejectsAnInvalidDeadline) {
+TEST(ReadCallerHead, RejectsAnInvalidDeadline) {
   for (const char *text :
        {"soon", "-1", "1.5", "99999999999999999999", "1 2"}) {
     net::HttpRequest request = sample();
     request.Headers[2].Value = text;
     Error reason;
-    EXPECT_FALSE(readCaller(request, reason)) << text;
+    EXPECT_FALSE(readCallerHead(request, reason)) << text;
     EXPECT_EQ(reason.Kind, ErrorKind::BadRequest);
   }
 }
 
-TEST(ReadCaller, IgnoresAnInvalidPromptPrefix) {
+TEST(ReadCallerHead, IgnoresAnInvalidPromptPrefix) {
   for (const char *text : {"5c", "5c:", ":5", "5c:x", "5c:800,,x:y"}) {
     net::HttpRequest request = sample();
     request.Headers[5].Value = text;
@@ -159,17 +159,18 @@
   EXPECT_EQ(valueOf(out.Headers, "X-Daisytack-Kv-Source"), "");
 }
 
-TEST(ReadServer, ReadsWhetherTheRequestRan) {
-  EXPECT_FALSE(readServer(503, {}).WasNotRun);
-  EXPECT_TRUE(readServer(503, {{"X-Daisytack-Not-Executed", "1"}}).WasNotRun);
-  EXPECT_TRUE(readServer(421, {}).WasNotRun);
-  EXPECT_FALSE(readServer(500, {}).WasNotRun);
-  EXPECT_EQ(readServer(503, {{"Retry-After", "1.5"}}).RetryAfter, 1500ms);
+TEST(ReadServerHead, ReadsWhetherTheRequestRan) {
+  EXPECT_FALSE(readServerHead(503, {}).WasNotRun);
+  EXPECT_TRUE(
+      readServerHead(503, {{"X-Daisytack-Not-Executed", "1"}}).WasNotRun);
+  EXPECT_TRUE(readServerHead(421, {}).WasNotRun);
+  EXPECT_FALSE(readServerHead(500, {}).WasNotRun);
+  EXPECT_EQ(readServerHead(503, {{"Retry-After", "1.5"}}).RetryAfter, 1500ms);
 }
 
-TEST(ReadServer, CapsRetryAfterAndIgnoresInvalidValues) {
+TEST(ReadServerHead, CapsRetryAfterAndIgnoresInvalidValues) {
   auto after = [](const std::string &text) {
-    return readServer(503, {{"Retry-After", text}}).RetryAfter;
+    return readServerHead(503, {{"Retry-After", text}}).RetryAfter;
   };
   EXPECT_EQ(after("0"), 0s);
   EXPECT_EQ(after("1e300"), 24h);
@@ -179,37 +180,38 @@
   EXPECT_EQ(after("Wed, 21 Oct 2015 07:28:00 GMT"), std::nullopt);
 }
 
-TEST(ReadServer, ReadsTheServerLeavingHeader) {
-  EXPECT_TRUE(readServer(200, {{"server-leaving", " 1 "}}).IsLeaving);
-  EXPECT_FALSE(readServer(200, {{"Server-Leaving", "0"}}).IsLeaving);
-  EXPECT_FALSE(readServer(200, {}).IsLeaving);
+TEST(ReadServerHead, ReadsTheServerLeavingHeader) {
+  EXPECT_TRUE(readServerHead(200, {{"server-leaving", " 1 "}}).IsLeaving);
+  EXPECT_FALSE(readServerHead(200, {{"Server-Leaving", "0"}}).IsLeaving);
+  EXPECT_FALSE(readServerHead(200, {}).IsLeaving);
 }
 
-TEST(ReadServer, ReadsTheServerLimitHeader) {
+TEST(ReadServerHead, ReadsTheServerLimitHeader) {
   auto limit = [](const std::string &text) {
-    return readServer(200, {{"server-limit", text}}).RequestLimit;
+    return readServerHead(200, {{"server-limit", text}}).RequestLimit;
   };
   EXPECT_EQ(limit(" 2.3 "), 2.3);
   EXPECT_EQ(limit("0"), 0);
   EXPECT_EQ(limit("1e9"), 1e9);
-  EXPECT_FALSE(readServer(200, {}).IsLimitUnreadable);
+  EXPECT_FALSE(readServerHead(200, {}).IsLimitUnreadable);
   for (const char *text : {"", "nan", "inf", "-1", "-0", "2.3,2.4", "2 a"}) {
     EXPECT_FALSE(limit(text)) << text;
-    EXPECT_TRUE(readServer(200, {{"Server-Limit", text}}).IsLimitUnreadable);
+    EXPECT_TRUE(
+        readServerHead(200, {{"Server-Limit", text}}).IsLimitUnreadable);
   }
   direct::ServerHead twice =
-      readServer(200, {{"Server-Limit", "2"}, {"Server-Limit", "2"}});
+      readServerHead(200, {{"Server-Limit", "2"}, {"Server-Limit", "2"}});
   EXPECT_FALSE(twice.RequestLimit);
   EXPECT_TRUE(twice.IsLimitUnreadable);
 }
 
-TEST(ReadServer, PassesTheSignatureAndDropsHopByHopHeaders) {
-  direct::ServerHead head =
-      readServer(200, {{"X-Daisytack-Server-Signature", "s"},
-                       {"Connection", "close"},
-                       {"Keep-Alive", "timeout=5"},
-                       {"Content-Length", "3"},
-                       {"Content-Type", "text/event-stream; charset=utf-8"}});
+TEST(ReadServerHead, PassesTheSignatureAndDropsHopByHopHeaders) {
+  direct::ServerHead head = readServerHead(
+      200, {{"X-Daisytack-Server-Signature", "s"},
+            {"Connection", "close"},
+            {"Keep-Alive", "timeout=5"},
+            {"Content-Length", "3"},
+            {"Content-Type", "text/event-stream; charset=utf-8"}});
   EXPECT_TRUE(head.IsEventStream);
   EXPECT_EQ(head.ForwardedHeaders.size(), 2);
   EXPECT_EQ(valueOf(head.ForwardedHeaders, "X-Daisytack-Server-Signature"),
@@ -224,15 +226,16 @@
   EXPECT_TRUE(isAnswerTo(head, {}));
 }
 
-TEST(ErrorAnswer, CarriesRetryAfter) {
+TEST(WriteErrorAnswer, CarriesRetryAfter) {
   net::HttpResponse out =
-      errorAnswer(503, "abc", {ErrorKind::Overloaded, "full", 300ms});
+      writeErrorAnswer(503, "abc", {ErrorKind::Overloaded, "full", 300ms});
   EXPECT_EQ(valueOf(out.Headers, "Retry-After"), "0.300");
   EXPECT_EQ(valueOf(out.Headers, "X-Daisytack-Request-Id"), "abc");
   EXPECT_NE(out.Body.find("\"kind\":\"overloaded\""), std::string::npos);
-  EXPECT_EQ(valueOf(errorAnswer(502, "", {ErrorKind::ServerLost, ""}).Headers,
-                    "Retry-After"),
-            "");
+  EXPECT_EQ(
+      valueOf(writeErrorAnswer(502, "", {ErrorKind::ServerLost, ""}).Headers,
+              "Retry-After"),
+      "");
 }
 
 } // namespace
