--- a/src/direct/candidate.h
+++ b/src/direct/candidate.h
@@ -12,8 +12,8 @@
 struct Candidate {
   const BackendServer *Server = nullptr; ///< Points into the catalog.
   ServerLoadView Load;
-  /// How long a newer version than the server's weights has been wanted; zero
-  /// when its weights are current.
+  /// How long a newer version than the server's weights has been desired; zero
+  /// when the weights are current.
   Duration OutdatedFor{0};
   /// The server has just started or lost its warm state, or this can't be
   /// ruled out. It is subject to slow start.
--- a/src/direct/crash_suspects.h
+++ b/src/direct/crash_suspects.h
@@ -2,7 +2,7 @@
 ///
 /// A request can crash every server that starts to run it. Its caller sends it
 /// again, under another request id and to any entry, and each attempt takes
-/// down a server with all its other requests. A single crash doesn't tell which
+/// down a server with all its other requests. A single crash doesn't show which
 /// of the server's requests caused it, but several crashes with a request in
 /// common do. Each entry therefore records which servers crashed while running
 /// which requests, shares these records with the other entries, and quarantines
--- a/src/direct/drain_plan.h
+++ b/src/direct/drain_plan.h
@@ -1,5 +1,5 @@
-/// Schedule of an entry that was told to stop: what it still does, and until
-/// when.
+/// Schedule of an entry that got the signal to stop: what the entry still does,
+/// and until when.
 ///
 /// All times are fixed when the stop signal is seen, and checked for each
 /// request and each attempt. Closing the idle connections only once is not
--- a/src/direct/event_splitter.h
+++ b/src/direct/event_splitter.h
@@ -1,4 +1,4 @@
-/// Splits a stream of server-sent events into whole events, so that a caller
+/// Splits a stream of server-sent events into complete events, so that a caller
 /// never receives part of an event. Performs no I/O.
 #pragma once
 
@@ -14,7 +14,7 @@
   /// An event longer than this is returned in pieces.
   static constexpr size_t MaxBufferedBytes = 256U << 10;
 
-  /// Adds received data and returns the whole events that are now available;
+  /// Adds received data and returns the complete events that are now available;
   /// empty if there are none.
   std::string feed(std::string_view data);
   /// Removes and returns the buffered bytes of an incomplete event.
--- a/src/direct/forward_flow.cpp
+++ b/src/direct/forward_flow.cpp
@@ -257,7 +257,8 @@
       scaled(Request.MatchedRoute.TargetLatency, Settings.SilenceFactor);
   bool isSilent = !Current->HasHead && silenceLimit > Duration::zero() &&
                   now >= Current->SentAt + silenceLimit;
-  // A silent attempt is only given up while another server is left to try.
+  // An attempt without an answer is given up only while another server is left
+  // to try.
   bool canRetry = Request.MatchedRoute.mayRepeat() &&
                   PossibleRuns + 1 < Request.MatchedRoute.Attempts;
   if (!isSilent || !canRetry)
--- a/src/direct/forward_flow.h
+++ b/src/direct/forward_flow.h
@@ -31,9 +31,9 @@
   /// it without running it. These attempts don't count towards the route's
   /// attempts; each costs a round trip and draws from the retry budget.
   uint32_t MaxRejections = 2;
-  /// An attempt at a repeatable request is silent, and is moved to another
-  /// server, when its answer has not begun after this multiple of the route's
-  /// target latency; 0: never.
+  /// An attempt at a repeatable request is given up, and the request is sent to
+  /// another server, when no answer has begun after this multiple of the
+  /// route's target latency; 0: never.
   double SilenceFactor = 4;
   /// Retry-after time of a refused request when neither a server nor the reason
   /// for the refusal gives one.
@@ -56,7 +56,7 @@
   TimePoint Deadline; ///< For the final answer.
 };
 
-/// The server chosen for an attempt, and what it is told.
+/// The server chosen for an attempt, and what the attempt tells it.
 struct AttemptChoice {
   AttemptOrder Order;
   bool operator==(const AttemptChoice &) const = default;
@@ -65,7 +65,7 @@
 /// How an attempt ended, as evidence about the state of its server.
 enum class AttemptResult : uint8_t {
   Answered,    ///< With success, or with an error that the request caused.
-  Failed,      ///< With a server error, a broken answer or silence.
+  Failed,      ///< With a server error, a broken answer or timeout.
   TurnedAway,  ///< The server states that it did not run the request.
   Misdirected, ///< Not run: another instance answered, or other weights run.
   Unreached,   ///< Nothing was sent.
--- a/src/direct/kept_context.h
+++ b/src/direct/kept_context.h
@@ -135,7 +135,7 @@
   /// Withdraws a save that was planned but not carried out.
   void cancelSave(std::string_view scope, const PromptPart &part);
 
-  /// Stops offering the parts that the retirement covers, for good, so that
+  /// Permanently stops offering the parts that the retirement covers, so that
   /// they can be freed to make space for context of newer weights.
   void retire(const Retirement &retirement);
   /// Known parts of the store that the predicate accepts.
--- a/src/direct/order_lease.h
+++ b/src/direct/order_lease.h
@@ -1,4 +1,4 @@
-/// The order lease: the exclusive right of one entry, the holder, to send
+/// The order lease: a lease under which one entry, the holder, may send
 /// orders to backend servers. Decides who may claim the lease and how long a
 /// holder may act. Uses no sockets, clocks or threads.
 ///
--- a/src/direct/placement_settings.h
+++ b/src/direct/placement_settings.h
@@ -37,8 +37,8 @@
   /// Cost of each request that runs on a server, in milliseconds, as it slows
   /// down all requests there.
   double RunningMs = 0.5;
-  /// Cost of a server in another failure domain, in milliseconds, standing for
-  /// the price of traffic between domains. Small compared with the prefill of a
+  /// Cost of a server in another failure domain, in milliseconds, for the
+  /// price of traffic between domains. Small compared with the prefill of a
   /// long prompt, so that a session keeps one home server; large enough to keep
   /// short prompts in the entry's own domain.
   double OtherDomainMs = 30;
--- a/src/direct/protocol.h
+++ b/src/direct/protocol.h
@@ -49,7 +49,7 @@
   std::function<std::string(const EntryPeer &)> EncodeEntry;
   std::function<std::string(const Endpoint &peer)> RegistrationKey;
   std::function<std::string(const EntryRegistration &)> EncodeRegistration;
-  std::string HolderKey; ///< Key held by the one entry that may give orders.
+  std::string HolderKey; ///< Key of the record of the order lease.
   std::function<std::string(const OrderLeaseHolder &)> EncodeHolder;
   std::string RetiredKey; ///< Key of the list of all retired context.
   std::function<std::string(const RetiredContext &)> EncodeRetired;
--- a/src/direct/request_limits.cpp
+++ b/src/direct/request_limits.cpp
@@ -29,7 +29,7 @@
   QuotaBound out;
   out.Window = std::max(settings.Window, fromSeconds(secondsPerRequest));
   double requests = std::min(perSecond * toSeconds(out.Window), MaxRequests);
-  // At least one request, as only an answer tells that the limit was lifted.
+  // At least one request, as only an answer shows that the limit was lifted.
   out.Requests = std::max(1U, static_cast<uint32_t>(requests));
   out.IsPaced = true;
   return out;
--- a/src/direct/request_limits.h
+++ b/src/direct/request_limits.h
@@ -23,7 +23,7 @@
   /// arrive closer together than they were sent.
   Duration Window{4'400'000};
   /// Upper bound on the window for limits below one request per Window. Only an
-  /// answer tells that a limit was lifted, so requests must not be too rare.
+  /// answer shows that a limit was lifted, so requests must not be too rare.
   Duration MaxWindow{10'000'000};
   /// How long the lifting of a limit is passed on to other entries.
   Duration LiftGossipTime{10'000'000};
--- a/src/direct/retirement.h
+++ b/src/direct/retirement.h
@@ -119,7 +119,8 @@
   /// What to do now. Call several times a second, and only while this process
   /// holds the order lease. During a weight update, old context is retired to
   /// make room for new context: in proportion to the servers that have the new
-  /// weights, less the free share of the context stores.
+  /// weights, minus freeToUsedRatio, which is the free space of the context
+  /// stores divided by their used space.
   std::vector<RetirementAction> next(const Catalog &catalog,
                                      double freeToUsedRatio, TimePoint now);
   /// A write has ended. Its result doesn't matter: the catalog will show
--- a/src/direct/server_loads.h
+++ b/src/direct/server_loads.h
@@ -40,11 +40,11 @@
   /// Upper bound on a server's Retry-After. A server that asked for more by
   /// mistake gets requests again after this time.
   Duration MaxRetryAfter{3'600'000'000};
-  /// How long it is remembered that a server is leaving. The server is gone by
-  /// then.
+  /// How long it is remembered that a server is leaving: long enough for the
+  /// server to have ended.
   Duration LeavingTtl{3'600'000'000};
-  /// How long other entries are told that a server is leaving; long enough for
-  /// several datagrams.
+  /// How long this entry reports to other entries that a server is leaving;
+  /// long enough for several datagrams.
   Duration LeavingGossipTime{3'000'000};
   bool operator==(const ServerLoadSettings &) const = default;
 };
--- a/src/direct/server_start.h
+++ b/src/direct/server_start.h
@@ -5,8 +5,8 @@
 /// on another start never affect the current one, however late they arrive.
 ///
 /// The start time only tells starts apart. The newest record decides which
-/// start is current; comparing start times would keep a server out of use for
-/// good if its clock were set back.
+/// start is current; comparing start times would keep a server out of use
+/// permanently if its clock were set to an earlier time.
 #pragma once
 
 #include "direct/rendezvous.h"
--- a/src/gateway/context_follower.h
+++ b/src/gateway/context_follower.h
@@ -1,7 +1,6 @@
 /// Follows the context stores: which parts of prompts each holds, and the
-/// servers' clock.
-/// The holder of the right to give orders also frees context that no server can
-/// use any more.
+/// servers' clock. At the holder of the order lease, it also frees context that
+/// no server can use any more.
 #pragma once
 
 #include "direct/call_pacing.h"
@@ -42,7 +41,7 @@
 
 /// Calls that agree on retired context with other entries and record it.
 struct RetirementHooks {
-  /// Tells one entry; the callback gets whether that entry agreed.
+  /// Notifies one entry; the callback gets whether that entry agreed.
   std::function<void(const direct::NotifyEntry &,
                      const std::function<void(bool)> &)>
       Notify;
@@ -67,10 +66,10 @@
   /// Starts to follow stores that are new in the catalog.
   void onCatalog();
   /// Agrees with all entries on context that is no longer used. Call it only
-  /// while this process may give orders.
+  /// while this process holds the order lease.
   void retireUnused(TimePoint now);
   /// Frees context that all entries agreed is unused. Call it only while this
-  /// process may give orders.
+  /// process holds the order lease.
   void freeUnused(TimePoint now);
   void stop() { IsStopped = true; }
 
@@ -103,8 +102,8 @@
   void onChanges(const std::string &store,
                  const std::optional<direct::PartChanges> &changes);
   void onCallFailed(const std::string &store);
-  /// Handles a call for which the store had no place; what is known of the
-  /// store stays valid.
+  /// Handles a call that the store rejected because it already holds too many.
+  /// What is known of the store stays valid.
   void onBusy(const std::string &store);
   void scheduleNextPaced(const std::string &store);
   void markAnswered(const std::string &store, TimePoint now);
--- a/src/gateway/entry_lease.cpp
+++ b/src/gateway/entry_lease.cpp
@@ -52,7 +52,7 @@
                           self->Timer.cancel();
                           // The calls are only queued here. A process that
                           // ended now would not send them and would stay
-                          // announced until the lease lapses.
+                          // announced until the lease expires.
                           auto pending = std::make_shared<size_t>(2);
                           std::function<void()> onOneDone = [pending, done] {
                             if (--*pending == 0)
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -24,7 +24,7 @@
 constexpr Duration HolderWriteTimeout{1'200'000};
 /// How long the load of an unused server is remembered.
 constexpr Duration LoadRetention{60'000'000};
-/// How long a server's request limit is remembered unless it is named again.
+/// How long a server's request limit is remembered unless it is reported again.
 constexpr Duration LimitRetention{600'000'000};
 /// Longest time that a server is avoided because it loads new weights: its
 /// running requests end first, and the load itself takes a second or two.
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -65,9 +65,9 @@
   /// decides.
   void applyWatchPlan(TimePoint now);
   RetirementHooks retirementHooks();
-  /// Commits the write if this process still holds the right to give orders and
-  /// the key is still at `replacedRevision` (0: it does not exist). `done` gets
-  /// an empty header if the right is not held.
+  /// Commits the write if this process still holds the order lease and the key
+  /// is still at `replacedRevision` (0: it does not exist). `done` gets an
+  /// empty header if the order lease is not held.
   void commitAsHolder(edge::KvWrite write, uint64_t replacedRevision,
                       const std::function<void(const edge::KvHeader &)> &done);
   ContextFollowerSettings contextSettings() const;
--- a/src/gateway/gateway_options.h
+++ b/src/gateway/gateway_options.h
@@ -35,7 +35,7 @@
   bool operator==(const RetryShareSettings &) const = default;
 };
 
-/// How entries tell one another the load that each puts on servers.
+/// How entries send one another the load that each puts on servers.
 struct LoadExchangeSettings {
   /// Time between load messages to each peer in a small deployment. With older
   /// loads, entries choose the same servers at the same time.
@@ -74,8 +74,8 @@
   /// knowledge of the key-value service. All entries must agree on it, so it is
   /// not a setting; tests shorten it.
   Duration SourceTrust = direct::MaxSourceStaleness;
-  /// Term of the leases under which an entry announces itself and holds the
-  /// right to give orders.
+  /// Term of the order lease, and of the lease under which an entry announces
+  /// itself.
   Duration LeaseTerm{3'000'000};
   /// How long a holder that was paused waits before it acts again.
   Duration WakeDelay{300'000};
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -304,8 +304,8 @@
                     result == AttemptResult::Misdirected;
   if (wasRefused)
     State.Stats.AttemptsRejected.add();
-  // Otherwise every request would find out by itself, and wait for a
-  // connection.
+  // Otherwise every request would wait for a connection to the server before it
+  // is sent elsewhere.
   if (wasRefused || result == AttemptResult::Unreached)
     State.Loads.onRejected(order.server(), now);
   if (result == AttemptResult::Misdirected)
@@ -337,8 +337,8 @@
 
 void GatewayRequest::avoidReplacedServer(const AttemptOrder &order,
                                          TimePoint now) {
-  // While newer weights are wanted, the server may refuse the expected version
-  // because it has just loaded them.
+  // While a newer version is desired, the server may refuse the expected
+  // version because it has just loaded the newer one.
   const std::string &model = Flow.request().Head.Model;
   bool mayBeWeights =
       State.catalog()->behindSince(model, order.WeightVersion).has_value();
--- a/src/gateway/gateway_request.h
+++ b/src/gateway/gateway_request.h
@@ -75,8 +75,8 @@
   const std::shared_ptr<net::HttpExchange> Exchange;
   direct::ForwardFlow Flow;
   std::optional<Id128> Identity;
-  /// Crash occasions held against the request when the current attempt was
-  /// sent.
+  /// Number of crash incidents known against the request when the current
+  /// attempt was sent.
   uint32_t IncidentsAtSend = 0;
   net::HttpCall Call;
   direct::AttemptOrder Order; ///< Parameters of the current attempt.
--- a/src/gateway/holder_lease.cpp
+++ b/src/gateway/holder_lease.cpp
@@ -87,7 +87,7 @@
   IsAcquiring = false;
   TimePoint now = monotonicNow();
   // A holder that was stopped during its claim never acted, so nobody has to
-  // wait for its lease to lapse.
+  // wait for its lease to expire.
   if (IsStopped || LeaseState.hasLapsed(now))
     return release();
   Token = token;
--- a/src/gateway/holder_lease.h
+++ b/src/gateway/holder_lease.h
@@ -1,5 +1,6 @@
-/// The right of one entry to give orders: a key in the key-value service,
-/// written under a lease. The revision of that write is the fencing token.
+/// Acquires, renews and gives up the order lease (direct/order_lease.h) of this
+/// entry: a key in the key-value service, written under a lease. The revision
+/// of that write is the fencing token.
 #pragma once
 
 #include "direct/order_lease.h"
@@ -27,15 +28,15 @@
               DecisionLog &log);
 
   /// Tries to become the holder by replacing the record of that revision (0:
-  /// there is none). Has no effect if this entry holds the right or is
+  /// there is none). Has no effect if this entry holds the order lease or is
   /// acquiring it.
   void acquire(uint64_t replacedRevision);
   /// Renews the lease when that is due. Call several times a second.
   void onTimer(TimePoint now);
-  /// Abandons the right because another holder has a higher token. This token
-  /// is never used again.
+  /// Gives up the order lease because another holder has a higher token. The
+  /// token of this holder is never used again.
   void abandon(TimePoint now);
-  /// Stops acting and lets the lease lapse, so that a successor waits as long
+  /// Stops acting and lets the lease expire, so that a successor waits as long
   /// as after a crash.
   void stop() { IsStopped = true; }
 
@@ -43,7 +44,7 @@
   /// nothing otherwise.
   std::optional<uint64_t> token(TimePoint now) const;
   bool isHeld() const { return Token != 0; }
-  /// The fencing token; 0 if the right is not held.
+  /// The fencing token; 0 if the order lease is not held.
   uint64_t heldToken() const { return Token; }
   bool isAcquiring() const { return IsAcquiring; }
 
--- a/src/gateway/kv_service_follower.cpp
+++ b/src/gateway/kv_service_follower.cpp
@@ -52,7 +52,8 @@
     return;
   uint64_t epoch = ++Epoch;
   // Reads and watches all keys: the configuration, the servers, the weights and
-  // the entries lie under several prefixes, and one watch costs only one call.
+  // the entries have different prefixes, and a single watch costs fewer calls
+  // than one for each prefix.
   Store.Range({"", edge::prefixEnd(""), 0, 0}, Settings.CallTimeout,
               [self = shared_from_this(), epoch,
                askedAt = monotonicNow()](edge::KvRangeResult result) {
--- a/src/gateway/load_datagram.h
+++ b/src/gateway/load_datagram.h
@@ -1,4 +1,4 @@
-/// The datagram in which an entry tells the others its loads.
+/// Encoding of the datagram in which an entry sends its loads to other entries.
 #pragma once
 
 #include "direct/peer_messages.h"
--- a/src/gateway/load_exchange.h
+++ b/src/gateway/load_exchange.h
@@ -1,8 +1,8 @@
-/// Datagrams in which entries tell one another the load that each puts on every
-/// backend server, so that all know a server's total load; how late fetches
-/// came, so that all notice a slow link to a store at once; which servers are
-/// leaving; which requests crashed servers, so that no entry forwards them; and
-/// which rate limits servers named.
+/// Sends and receives the datagrams in which entries exchange the load that
+/// each puts on every backend server, so that all know a server's total load;
+/// how late fetches came, so that all notice a slow link to a store at once;
+/// which servers are leaving; which requests crashed servers, so that no entry
+/// forwards them; and which request limits servers reported.
 #pragma once
 
 #include "direct/peer_messages.h"
--- a/src/gateway/order_driver.cpp
+++ b/src/gateway/order_driver.cpp
@@ -94,8 +94,8 @@
     AcquireAt.reset();
     return;
   }
-  // A record left by an earlier process of this entry: no other entry claims
-  // the right over it.
+  // While the record of an earlier process of this entry exists, no other entry
+  // claims the order lease.
   if (*replacedRevision != 0)
     return Holder->acquire(*replacedRevision);
   if (!AcquireAt) {
--- a/src/gateway/order_driver.h
+++ b/src/gateway/order_driver.h
@@ -1,5 +1,5 @@
-/// Gives the orders that only one entry at a time may give: to load new
-/// weights, and to free kept context that no server can use any more.
+/// Sends engines the orders to load new weights while this entry holds the
+/// order lease, and tries to acquire that lease when no entry holds it.
 #pragma once
 
 #include "direct/peer_messages.h"
@@ -43,12 +43,13 @@
   /// Call several times a second and whenever the catalog has changed.
   void onTimer(TimePoint now);
   void stop();
-  /// The fencing token while this entry may give orders; nothing otherwise.
+  /// The fencing token while this entry holds the order lease; nothing
+  /// otherwise.
   std::optional<uint64_t> token(TimePoint now) const;
 
 private:
   void announceLoading(TimePoint now);
-  /// Tries to become the holder if no other instance may hold the right.
+  /// Tries to become the holder if no other instance can hold the order lease.
   void acquireIfVacant(const direct::Catalog &catalog, TimePoint now);
   void perform(const std::vector<direct::WeightAction> &actions);
   void requestReport(const direct::RequestReport &action);
--- a/src/gateway/quarantine.cpp
+++ b/src/gateway/quarantine.cpp
@@ -129,7 +129,7 @@
         boost::asio::dispatch(
             self->Executor, [self, request, lease, header = result.Header] {
               // If the answer was lost, the record may exist and is left to
-              // lapse with its lease.
+              // expire with its lease.
               if (header.Status == edge::KvStatus::CompareFailed ||
                   header.Status == edge::KvStatus::Unavailable)
                 self->Store.RevokeLease(lease, self->Settings.CallTimeout,
--- a/src/gateway/server_limit.h
+++ b/src/gateway/server_limit.h
@@ -1,5 +1,5 @@
-/// Applies the request limits that backend servers name in their answers, with
-/// a log line for each change.
+/// Applies the request limits that backend servers report in their answers,
+/// with a log line for each change.
 #pragma once
 
 #include "direct/exchange.h"
--- a/tests/direct/catalog_test.cpp
+++ b/tests/direct/catalog_test.cpp
@@ -95,7 +95,7 @@
   EXPECT_EQ(idsOf(keeper), Ids{"b"});
 }
 
-/// A new process can't tell how long a version has been desired. If it counted
+/// A new process can't know how long a version has been desired. If it counted
 /// from its own start, old weights would be used for twice the allowed time.
 TEST(CatalogKeeper, AssumesThatAVersionFoundAtTheFirstReadIsOld) {
   CatalogKeeper keeper({}, textHooks());
--- a/tests/direct/forward_flow_test.cpp
+++ b/tests/direct/forward_flow_test.cpp
@@ -239,8 +239,8 @@
   EXPECT_EQ(it.TimerAt, FlowStart + 3s); // No attempt is left after this one.
 }
 
-/// Guards against: moving a request away from a silent server used two requests
-/// of the quota of a server in slow start or with a rate limit.
+/// Guards against: moving a request away from an unresponsive server used two
+/// requests of the quota of a server in slow start or with a rate limit.
 TEST(ForwardFlow, ChoosesAServerOnceForEachAttempt) {
   FlowHarness it(routeFor(RouteKind::Idempotent, 2));
   it.Flow.start(FlowStart);
--- a/tests/direct/order_lease_test.cpp
+++ b/tests/direct/order_lease_test.cpp
@@ -80,7 +80,7 @@
     Instances[i].Lease.lost();
     Instances[i].DownUntil = Now + downFor;
   }
-  /// Kills the entry; its name comes back on another instance.
+  /// Kills the entry; a process of its name starts on another instance.
   void moveToNewInstance(size_t i, Duration downFor) {
     kill(i, downFor);
     Instances[i].Own.Peer = nextAddress();
@@ -194,8 +194,8 @@
   int Addresses = 0;
 };
 
-/// The holder is killed every two seconds, and its process is back after half a
-/// second. New weights must be in force within twelve seconds.
+/// The holder is killed every two seconds, and its process restarts after half
+/// a second. New weights must be in force within twelve seconds.
 TEST(OrderLease, OrdersContinueWhileTheHolderIsKilledRepeatedly) {
   for (bool serversCheckFence : {true, false}) {
     OrderLeaseWorld world(4, serversCheckFence);
@@ -210,7 +210,7 @@
   }
 }
 
-/// The wait for an instance that is lost for good happens only once.
+/// The wait for an instance that is lost permanently happens only once.
 TEST(OrderLease, TheWaitForALostHolderDoesNotRestartWhenClaimantsAreKilled) {
   OrderLeaseWorld world(4, false);
   world.advance(5s);
--- a/tests/direct/request_limits_test.cpp
+++ b/tests/direct/request_limits_test.cpp
@@ -92,8 +92,8 @@
   Second.onAnswer("needy", std::nullopt, Begin + 200ms);
   Second.onPeerReports(staleReports, Begin + 20ms);
   EXPECT_EQ(Second.limitedCount(), 0);
-  // An entry that still reports the limit is told that it was lifted, however
-  // long ago that was.
+  // An entry that still reports the limit gets a report that it was lifted,
+  // however long ago that was.
   EXPECT_TRUE(Second.takeGossip(Begin + 30s).empty());
   Second.onPeerReports(First.takeGossip(Begin + 30s), Begin + 30s);
   First.onPeerReports(Second.takeGossip(Begin + 30s), Begin + 30s);
@@ -116,7 +116,7 @@
   EXPECT_EQ(First.limitedCount(), 0);
 }
 
-/// Only an answer tells that a limit was lifted, so even a server with the
+/// Only an answer shows that a limit was lifted, so even a server with the
 /// limit 0 gets a request now and then. A very large limit has no effect.
 TEST_F(RequestLimitsTest, BoundsTheRequestsOfAllEntries) {
   auto boundOf = [](double perSecond) {
--- a/tests/direct/restart_test.cpp
+++ b/tests/direct/restart_test.cpp
@@ -117,7 +117,7 @@
 }
 
 /// The order of the records decides, not the start time: a server whose clock
-/// was set back would otherwise be out of use for good. A late record of the
+/// was set back would otherwise be out of use permanently. A late record of the
 /// earlier start is in force only until the next heartbeat.
 TEST(RestartedServer, IsTheOneInTheNewestRecordWhateverItsStartTime) {
   CatalogKeeper keeper({}, textHooks());
--- a/tests/direct/retirement_world.cpp
+++ b/tests/direct/retirement_world.cpp
@@ -450,7 +450,7 @@
                       static_cast<std::ptrdiff_t>(server % Servers.size()));
   if (!std::exchange(it->second.IsUp, false))
     return;
-  // The server comes back with the same weights.
+  // The server restarts with the same weights.
   std::string key = "server:" + it->first;
   Service.remove(key);
   schedule(Now + pause, [this, key, id = it->first] {
--- a/tests/gateway/drain_test.cpp
+++ b/tests/gateway/drain_test.cpp
@@ -27,7 +27,7 @@
 }
 
 /// Streamed answers of a backend server that begin at once, unless the server
-/// is silent, and end when endAll() is called.
+/// sends nothing, and end when endAll() is called.
 class OpenStreams {
 public:
   void begin(const HttpRequest &request, const ExchangePtr &to) {
--- a/tests/gateway/fake_servers.h
+++ b/tests/gateway/fake_servers.h
@@ -92,12 +92,12 @@
     std::lock_guard guard(Lock);
     return Revision;
   }
-  /// Number of watches that were told that their history is lost.
+  /// Number of watches that ended because their history is lost.
   size_t lostWatches() {
     std::lock_guard guard(Lock);
     return LostWatches;
   }
-  /// Whether every watch is told that its history is lost.
+  /// Whether every watch ends with the error that its history is lost.
   std::atomic<bool> HasNoHistory{false};
   /// Status with which every call fails at once; 0: calls are answered.
   std::atomic<unsigned> RefusalStatus{0};
--- a/tests/gateway/follow_test.cpp
+++ b/tests/gateway/follow_test.cpp
@@ -25,8 +25,8 @@
         fetch(entry.Options.Metrics, request("/metrics")).Response.Body;
     return text.find("daisytack_service_watched 0") == std::string::npos;
   }
-  /// Whether at most the two readers and the holder of the right to give orders
-  /// watch.
+  /// Whether at most the two readers and the holder of the order lease watch
+  /// the key-value service.
   bool onlyReadersWatch() {
     KvService.completeWatches();
     return std::count_if(Entries.begin(), Entries.end(),
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -144,7 +144,7 @@
   Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// What a caller was told can be looked up by the request's id.
+/// The log shows, by the request's id, which retry delay a caller got.
 TEST_F(GatewayTest, LogsTheRetryDelayOfARefusedRequest) {
   test::StdoutCapture lines;
   KvService.put("op/config", configText("\"k1\""));
@@ -161,8 +161,8 @@
   Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// Operators can tell that two failed requests are the same one, although each
-/// has its own id.
+/// The log shows operators that two failed requests are the same one, although
+/// each has its own id.
 TEST_F(GatewayTest, LogsTheSameIdentityForRetriesOfAFailedRequest) {
   test::StdoutCapture lines;
   test::FakeServer &server = startBackend(
@@ -251,9 +251,9 @@
   Threads.stop(); // Handlers use what is destroyed here.
 }
 
-// An announced entry is told which servers and which kept context to avoid, and
-// needs that until its last answer is sent. If its key outlives it, other
-// entries call an address at which nobody answers.
+// Other entries notify an announced entry of servers and kept context to avoid,
+// which it needs to know until its last answer is sent. If its key outlives it,
+// other entries call an address at which nobody answers.
 TEST_F(GatewayTest, StaysAnnouncedOnlyUntilItsLastAnswerIsSent) {
   std::mutex lock;
   std::vector<std::function<void()>> answers;
--- a/tests/gateway/holder_test.cpp
+++ b/tests/gateway/holder_test.cpp
@@ -1,6 +1,6 @@
 /// Guards against new weights that reach servers too late when the holder of
-/// the right to give orders is killed and restarted: its new process, up after
-/// half a second, had to wait until the lease of the old one lapsed.
+/// the order lease is killed and restarted: its new process, which started
+/// after half a second, had to wait until the lease of the old one expired.
 #include "gateway/gateway_fixture.h"
 
 namespace daisytack::gateway {
@@ -10,8 +10,8 @@
   return R"({"entry":")" + name + R"(","peer":")" + toString(peer) + R"("})";
 }
 
-/// Leases of the fake service do not lapse by themselves, so that only a
-/// takeover ends the right of the killed process.
+/// Leases of the fake service do not expire by themselves, so that only a
+/// takeover ends the order lease of the killed process.
 TEST_F(GatewayTest, TakesOverFromAKilledProcessOfItsInstance) {
   Entry &entry = prepare("e1", KvService.address());
   KvService.put("daisytack/holder", holderText("e1", entry.Options.Peers), 77);
--- a/tests/gateway/restore_test.cpp
+++ b/tests/gateway/restore_test.cpp
@@ -117,7 +117,7 @@
   Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// Guards against an entry that reads the whole service again without a pause
+/// Guards against an entry that reads a new snapshot repeatedly without a pause
 /// when all its watches lose their history; it did so up to 67 times a second.
 TEST_F(RestoreTest, BacksOffWhileHistoryIsLostRepeatedly) {
   constexpr size_t MaxReadsPerSecond = 10;
@@ -139,8 +139,8 @@
   Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// Once revisions have passed those that were known, no watch is told that its
-/// history is lost.
+/// Once revisions have passed those that were known, the service no longer
+/// reports to any watch that its history is lost.
 TEST_F(RestoreTest, DetectsARestoreWhoseRevisionsHavePassedThoseKnown) {
   configure("\"k1\"", 1);
   Entry &entry = startReady("e1");
--- a/tests/gateway/server_signals_test.cpp
+++ b/tests/gateway/server_signals_test.cpp
@@ -72,7 +72,7 @@
   Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// An entry shares with the others what a server told it.
+/// An entry reports to the others that a server is leaving.
 TEST_F(ServerSignalsTest, SharesLeavingServersWithOtherEntries) {
   test::FakeServer &leavingServer = startLeavingServer();
   registerServer("i-1", leavingServer);
@@ -88,8 +88,8 @@
   Threads.stop(); // Handlers use what is destroyed here.
 }
 
-/// This also holds if no other server is left: the caller is told at once when
-/// to retry.
+/// This also holds if no other server is left: the caller gets an error with a
+/// Retry-After at once.
 TEST_F(ServerSignalsTest, AvoidsAServerUntilItsRetryAfterHasPassed) {
   test::FakeServer &server = startRejectingServer();
   registerServer("i-1", server);
--- a/tests/platform/slow_start_test.cpp
+++ b/tests/platform/slow_start_test.cpp
@@ -68,8 +68,8 @@
   EXPECT_EQ(setup.RequestCounts[""], 0);
 }
 
-/// While the key-value service is silent, servers may become cold without a
-/// record that says so; such servers got 32 and 37 requests in a second. The
+/// While the key-value service does not answer, servers may become cold without
+/// a record that says so; such servers got 32 and 37 requests in a second. The
 /// bound must hold whether or not entries can reach the service.
 TEST(SlowStart, BoundsServersThatMayBeColdWhileTheStoreIsLost) {
   ColdServerSetup setup(0);
