--- a/src/direct/catalog.cpp
+++ b/src/direct/catalog.cpp
@@ -196,9 +196,9 @@
   if (order > 0)
     return false;
   if (order < 0) {
-    bool neverGoesBack =
+    bool neverDecreases =
         kind == RecordKind::Config || kind == RecordKind::Weights;
-    return neverGoesBack || mayBeCopy;
+    return neverDecreases || mayBeCopy;
   }
   // The values don't show which is newer. Records written by entries are taken
   // as the store has them, because conditional writes must name their revision.
--- a/src/direct/follow_plan.cpp
+++ b/src/direct/follow_plan.cpp
@@ -13,13 +13,13 @@
   for (const EntryPeer &it : catalog.Entries)
     if (it.FailureDomain == domain)
       ranked.emplace_back(rendezvousScore(Key, it.Name), it.Peer);
-  size_t wanted = ranked.size();
+  size_t readerCount = ranked.size();
   if (settings.EntriesPerReader > 0)
-    wanted = std::max(settings.MinReaders,
-                      (ranked.size() + settings.EntriesPerReader - 1) /
-                          settings.EntriesPerReader);
+    readerCount = std::max(settings.MinReaders,
+                           (ranked.size() + settings.EntriesPerReader - 1) /
+                               settings.EntriesPerReader);
   std::sort(ranked.rbegin(), ranked.rend());
-  ranked.resize(std::min(wanted, ranked.size()));
+  ranked.resize(std::min(readerCount, ranked.size()));
   std::vector<Endpoint> out;
   out.reserve(ranked.size());
   for (auto &[score, peer] : ranked)
@@ -46,8 +46,8 @@
   NextPollAt = now + Settings.PollInterval;
   // Round-robin with a different first reader in each entry, so that the next
   // poll makes up for a reader that is dead or stale.
-  size_t turn = stableHash(Own.Name) + PollCount++;
-  out.PollTarget = readers[turn % readers.size()];
+  size_t index = stableHash(Own.Name) + PollCount++;
+  out.PollTarget = readers[index % readers.size()];
   return out;
 }
 
--- a/src/direct/request_limits.cpp
+++ b/src/direct/request_limits.cpp
@@ -49,7 +49,7 @@
   bool wasLimited = it != Servers.end() && it->second.PerSecond;
   State &state = Servers[server.key()];
   state.PerSecond = perSecond;
-  state.HeardAt = now;
+  state.AnsweredAt = now;
   state.IsOwn = true;
   if (wasLimited == perSecond.has_value())
     return LimitChange::None;
@@ -63,9 +63,9 @@
                                   TimePoint now) {
   std::lock_guard guard(Lock);
   for (const LimitReport &report : reports) {
-    TimePoint heardAt = now - std::chrono::milliseconds(report.AgeMs);
+    TimePoint answeredAt = now - std::chrono::milliseconds(report.AgeMs);
     auto it = Servers.find(report.ServerKey);
-    bool isStale = it != Servers.end() && heardAt <= it->second.HeardAt;
+    bool isStale = it != Servers.end() && answeredAt <= it->second.AnsweredAt;
     if (isStale) {
       // The sender does not know yet that the limit was lifted.
       if (report.IsLimited && !it->second.PerSecond)
@@ -78,7 +78,7 @@
     State &state = Servers[report.ServerKey];
     state.PerSecond =
         report.IsLimited ? std::optional(report.PerSecond) : std::nullopt;
-    state.HeardAt = heardAt;
+    state.AnsweredAt = answeredAt;
     state.IsOwn = false;
   }
 }
@@ -96,7 +96,7 @@
   std::vector<LimitReport> out;
   for (auto &[server, state] : due) {
     state->LastGossipAt = now;
-    int64_t ageMs = (now - state->HeardAt).count() / 1000;
+    int64_t ageMs = (now - state->AnsweredAt).count() / 1000;
     out.push_back(
         {server, state->PerSecond.has_value(), state->PerSecond.value_or(0),
          static_cast<uint32_t>(std::min<int64_t>(ageMs, UINT32_MAX))});
@@ -114,8 +114,9 @@
   // When no answer of the server was received for two windows, the entries with
   // a share are not using it. The rotation then gives shares to other entries,
   // so that the server gets a request and a lifted limit is noticed.
-  Duration silence = std::max(now - it->second.HeardAt, Duration::zero());
-  out.Rotation = static_cast<uint64_t>(silence / (2 * out.Window));
+  Duration timeSinceAnswer =
+      std::max(now - it->second.AnsweredAt, Duration::zero());
+  out.Rotation = static_cast<uint64_t>(timeSinceAnswer / (2 * out.Window));
   return out;
 }
 
@@ -140,14 +141,14 @@
       }));
 }
 
-void RequestLimits::forgetIdle(TimePoint heardBefore) {
+void RequestLimits::forgetIdle(TimePoint answeredBefore) {
   {
     std::lock_guard guard(Lock);
     std::erase_if(Servers, [&](const auto &it) {
-      return it.second.HeardAt < heardBefore;
+      return it.second.AnsweredAt < answeredBefore;
     });
   }
-  Quota.forgetIdle(heardBefore);
+  Quota.forgetIdle(answeredBefore);
 }
 
 } // namespace daisytack::direct
--- a/src/direct/request_limits.h
+++ b/src/direct/request_limits.h
@@ -83,13 +83,13 @@
   /// Number of servers with a limit in force.
   size_t limitedCount() const;
   /// Drops the state of servers whose latest known answer is older than
-  /// `heardBefore`.
-  void forgetIdle(TimePoint heardBefore);
+  /// `answeredBefore`.
+  void forgetIdle(TimePoint answeredBefore);
 
 private:
   struct State {
     std::optional<double> PerSecond; ///< Nullopt: no limit.
-    TimePoint HeardAt;               ///< When the latest answer was received.
+    TimePoint AnsweredAt;            ///< When the latest answer was received.
     bool IsOwn = false; ///< This entry received the latest answer itself.
     TimePoint GossipLiftUntil; ///< The lifting is passed on until then.
     TimePoint LastGossipAt;
--- a/src/direct/server_loads.cpp
+++ b/src/direct/server_loads.cpp
@@ -156,12 +156,12 @@
   auto it = Servers.find(serverKey);
   if (it != Servers.end()) {
     const State &state = it->second;
-    bool isSilent = state.Running > 0 &&
-                    now >= state.LastActivity + Settings.SilenceTimeout;
+    bool isUnresponsive = state.Running > 0 &&
+                          now >= state.LastActivity + Settings.SilenceTimeout;
     out = {state.Running,
            state.WaitingTokens,
            state.HeldTokens,
-           isSilent || now < state.AvoidUntil,
+           isUnresponsive || now < state.AvoidUntil,
            false,
            state.RetryAt};
   }
--- a/src/direct/weight_plan.cpp
+++ b/src/direct/weight_plan.cpp
@@ -11,10 +11,11 @@
   for (const BackendServer &server : catalog.AllServers) {
     if (server.IsDraining)
       continue;
-    for (const ModelVersion &has : server.Weights)
-      if (auto since = catalog.behindSince(has.Model, has.Version))
-        out.push_back(
-            {&server, {has.Model, catalog.desiredVersion(has.Model)}, *since});
+    for (const ModelVersion &loaded : server.Weights)
+      if (auto since = catalog.behindSince(loaded.Model, loaded.Version))
+        out.push_back({&server,
+                       {loaded.Model, catalog.desiredVersion(loaded.Model)},
+                       *since});
   }
   return out;
 }
@@ -33,9 +34,9 @@
 size_t WeightPlan::concurrency(const Catalog &catalog,
                                const std::vector<OutdatedServer> &outdated,
                                TimePoint now) const {
-  size_t least = minConcurrency(catalog);
+  size_t minLoads = minConcurrency(catalog);
   if (outdated.empty())
-    return least;
+    return minLoads;
   TimePoint oldest = now;
   for (const OutdatedServer &it : outdated)
     oldest = std::min(oldest, it.Since);
@@ -43,8 +44,8 @@
       std::max(oldest + Settings.RolloutLimit - now, Settings.UsualLoadTime);
   auto needed = static_cast<size_t>(static_cast<int64_t>(outdated.size()) *
                                     Settings.UsualLoadTime / left);
-  size_t most = std::max<size_t>(outdated.size() / 2, least);
-  return std::clamp<size_t>(needed, least, most);
+  size_t maxLoads = std::max<size_t>(outdated.size() / 2, minLoads);
+  return std::clamp<size_t>(needed, minLoads, maxLoads);
 }
 
 void WeightPlan::dropFinishedLoads(const Catalog &catalog, TimePoint now) {
@@ -81,8 +82,8 @@
 
 void WeightPlan::startLoads(const Catalog &catalog, TimePoint now) {
   std::vector<OutdatedServer> outdated = outdatedServers(catalog);
-  size_t most = concurrency(catalog, outdated, now);
-  while (Loads.size() < most) {
+  size_t maxLoads = concurrency(catalog, outdated, now);
+  while (Loads.size() < maxLoads) {
     const OutdatedServer *it = pickNext(outdated, catalog);
     if (!it)
       return;
@@ -129,14 +130,14 @@
     return {};
   }
   uint64_t version = 0;
-  for (const ModelVersion &has : report->Weights)
-    if (has.Model == load.Desired.Model)
-      version = has.Version;
+  for (const ModelVersion &loaded : report->Weights)
+    if (loaded.Model == load.Desired.Model)
+      version = loaded.Version;
   if (version >= load.Desired.Version) {
-    ModelVersion has{load.Desired.Model, version};
+    ModelVersion loaded{load.Desired.Model, version};
     uint64_t startedMs = load.StartedMs;
     Loads.erase(it);
-    return {NoteLoaded{server, std::move(has), startedMs}};
+    return {NoteLoaded{server, std::move(loaded), startedMs}};
   }
   if (report->IsBusy) {
     load.CurrentPhase = Phase::Loading;
--- a/src/gateway/context_follower.cpp
+++ b/src/gateway/context_follower.cpp
@@ -45,7 +45,7 @@
   TimePoint now = monotonicNow();
   bool isListAllowed = !followed.LastListAt ||
                        now >= *followed.LastListAt + Settings.MinListInterval;
-  if (followed.WantsList && isListAllowed)
+  if (followed.NeedsList && isListAllowed)
     return requestList(store);
   pollChanges(store);
 }
@@ -84,7 +84,7 @@
   FollowedStore &followed = Stores[store];
   TimePoint now = monotonicNow();
   markAnswered(store, now);
-  followed.WantsList = false;
+  followed.NeedsList = false;
   followed.LastListAt = now;
   followed.Epoch = list->Epoch;
   followed.Next = list->Next;
@@ -156,20 +156,20 @@
   followed.Epoch = changes->Epoch;
   followed.Next = changes->Next;
   bool isComplete = State.StoredParts.apply(store, *changes);
-  followed.WantsList |= !isComplete;
+  followed.NeedsList |= !isComplete;
   scheduleNextPaced(store);
 }
 
 void ContextFollower::onCallFailed(const std::string &store) {
   State.StoredParts.onUnreachable(store);
-  if (!std::exchange(Stores[store].IsSilent, true))
+  if (!std::exchange(Stores[store].IsUnreachable, true))
     State.Log.write(LogWeight::Notable, "store_lost", {{"store", store}},
                     monotonicNow());
   scheduleNext(store, Settings.RetryInterval);
 }
 
 void ContextFollower::markAnswered(const std::string &store, TimePoint now) {
-  if (std::exchange(Stores[store].IsSilent, false))
+  if (std::exchange(Stores[store].IsUnreachable, false))
     State.Log.write(LogWeight::Notable, "store_regained", {{"store", store}},
                     now);
 }
@@ -258,7 +258,7 @@
             FollowedStore &it = self->Stores[name];
             it.IsFreeing = false;
             it.LastFreeAt = monotonicNow();
-            it.WantsList |= !isDone;
+            it.NeedsList |= !isDone;
             if (!isDone)
               return;
             self->State.StoredParts.onFreed(name, parts);
--- a/src/gateway/context_follower.h
+++ b/src/gateway/context_follower.h
@@ -84,8 +84,8 @@
     /// Sequence number from which to ask for changes.
     uint64_t Next = 0;
     /// Whether the list of all parts has to be read.
-    bool WantsList = true;
-    bool IsSilent = false; ///< Whether the last call got no answer.
+    bool NeedsList = true;
+    bool IsUnreachable = false; ///< Whether the last call got no answer.
     std::optional<TimePoint> LastListAt;
     /// Incomplete parts in the last list.
     std::set<direct::PartRef> IncompleteParts;
--- a/src/gateway/entry_lease.cpp
+++ b/src/gateway/entry_lease.cpp
@@ -129,8 +129,8 @@
 void EntryLease::announce() {
   edge::KvTransaction write;
   write.Then.push_back({Announcement.Key, Announcement.Value, Lease, false});
-  // Written again each time: its revision shows that the entry was listed once
-  // more.
+  // The registration is written with each announcement, so that its revision
+  // shows that the entry was announced again.
   write.Then.push_back({Registration.Key, Registration.Value, 0, false});
   RegistrationRevision = 0;
   Store.Commit(
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -20,8 +20,8 @@
 
 namespace {
 
-/// Added to a call's timeout, so that the timer of the flow, which decides,
-/// fires first.
+/// Added to the timeout of a call to a server, so that the timer of the
+/// ForwardFlow fires first and decides how the attempt ends.
 constexpr Duration CallTimeoutMargin{500'000};
 /// Largest body in bytes that is hashed although there are no suspects; this
 /// takes about a microsecond.
@@ -255,8 +255,8 @@
 
 void GatewayRequest::applyServerSignals(const direct::ServerHead &head,
                                         TimePoint now) {
-  // The answer may come from another instance that started after this one
-  // ended.
+  // The answer may come from another instance, which started at the address
+  // after the server had ended.
   if (head.Status == net::StatusMisdirected)
     return;
   State.Suspects.onServerAlive(Order.server().key(), now);
@@ -265,8 +265,8 @@
   if (isRejection && head.RetryAfter)
     State.Loads.onRetryAfter(Order.server(), *head.RetryAfter, now);
   applyRequestLimit(State, Order.server(), head, ResponseKind::Request, now);
-  // The server's record says so too, but cannot be written while the key-value
-  // service is unreachable.
+  // The server's record also says that the server is leaving, but cannot be
+  // written while the key-value service is unreachable.
   bool isNewlyKnown =
       head.IsLeaving && State.Loads.onLeaving(Order.server().key(), now);
   if (isNewlyKnown)
@@ -304,8 +304,8 @@
                     result == AttemptResult::Misdirected;
   if (wasRefused)
     State.Stats.AttemptsRejected.add();
-  // Otherwise every request would wait for a connection to the server before it
-  // is sent elsewhere.
+  // Otherwise each request would have to try this server itself, and might wait
+  // for a connection to it.
   if (wasRefused || result == AttemptResult::Unreached)
     State.Loads.onRejected(order.server(), now);
   if (result == AttemptResult::Misdirected)
@@ -326,7 +326,8 @@
                              {"attempt", attempt},
                              {"server", order.ServerId},
                              {"result", direct::attemptResultName(result)}};
-  // Shows whether the same request failed before under another request id.
+  // The identity shows whether the same request failed before under another
+  // request id.
   if (result == AttemptResult::Failed)
     fields["identity"] = toHex(identity());
   if (FirstByteAt)
--- a/src/gateway/gateway_request.h
+++ b/src/gateway/gateway_request.h
@@ -37,8 +37,8 @@
   std::optional<direct::AttemptChoice>
   choose(const std::vector<std::string> &tried, TimePoint now, Error &reason);
   RetryBudget &budget();
-  /// Digest that identifies the request across ids and entries; computed on
-  /// first use.
+  /// Digest that identifies the request across request ids and entries;
+  /// computed on first use.
   const Id128 &identity();
   /// The error of a quarantined request; nothing if the request may be
   /// forwarded.
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -199,7 +199,7 @@
       Catalog(options.Catalog, catalogHooks(WireProtocol, log)) {}
 
 Error drainingError() {
-  // Short, because a new connection leads to another entry.
+  // Short, because a retry on a new connection reaches another entry.
   constexpr Duration RetryElsewhereAfter{10'000};
   return {ErrorKind::Draining, "this entry is stopping", RetryElsewhereAfter};
 }
@@ -243,7 +243,8 @@
 
 direct::SourceEligibility GatewayState::sourceEligibility() const {
   direct::SourceEligibility out;
-  // Read before the catalog, so that the catalog is at least as new.
+  // ListedAt is read before the catalog, so that the catalog is at least as
+  // new.
   out.AnnouncedAsOf = TimePoint(Duration(ListedAt.load()));
   out.HasReadAll = HasReadAll;
   auto catalog = this->catalog();
--- a/src/gateway/holder_lease.h
+++ b/src/gateway/holder_lease.h
@@ -34,7 +34,7 @@
   /// Renews the lease when that is due. Call several times a second.
   void onTimer(TimePoint now);
   /// Gives up the order lease because another holder has a higher token. The
-  /// token of this holder is never used again.
+  /// token of this entry is never used again.
   void abandon(TimePoint now);
   /// Stops acting and lets the lease expire, so that a successor waits as long
   /// as after a crash.
--- a/src/gateway/order_driver.h
+++ b/src/gateway/order_driver.h
@@ -43,8 +43,8 @@
   /// Call several times a second and whenever the catalog has changed.
   void onTimer(TimePoint now);
   void stop();
-  /// The fencing token while this entry holds the order lease; nothing
-  /// otherwise.
+  /// The fencing token while this entry may give orders; nothing while it does
+  /// not hold the order lease, or waits for WakeDelay after a pause.
   std::optional<uint64_t> token(TimePoint now) const;
 
 private:
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -17,8 +17,9 @@
 /// Time between requests for records while the key-value service is
 /// unreachable.
 constexpr Duration RequestInterval{400'000};
-/// Three make it likely that one of them has newer records within two rounds,
-/// even if a third of all entries are cut off as well.
+/// Number of entries that are asked at a time. With three, it is likely that
+/// one of them has newer records within two rounds, even if a third of all
+/// entries are cut off from the service as well.
 constexpr size_t PeersPerRound = 3;
 /// How long an entry that is no longer listed is remembered: longer than usual
 /// outages of the key-value service. A call to an entry that is gone costs one
--- a/src/gateway/quarantine.cpp
+++ b/src/gateway/quarantine.cpp
@@ -157,8 +157,8 @@
 
 void QuarantineRecords::endCall(const Id128 &request, TimePoint now) {
   IsCallPending = false;
-  // Unless the catalog shows the record, this entry writes it again after one
-  // more WriteStagger.
+  // If the catalog still lacks the record after another WriteStagger, this
+  // entry writes the record again.
   if (auto it = MissingSince.find(request); it != MissingSince.end())
     it->second = now + Settings.WriteStagger;
 }
--- a/src/gateway/server_limit.cpp
+++ b/src/gateway/server_limit.cpp
@@ -7,8 +7,8 @@
 void applyRequestLimit(GatewayState &state, direct::ServerRef server,
                        const direct::ServerHead &head, ResponseKind kind,
                        TimePoint now) {
-  // The answer may come from another instance that started after this one
-  // ended.
+  // The answer may come from another instance, which started at the address
+  // after the server had ended.
   if (head.Status == net::StatusMisdirected)
     return;
   if (head.IsLimitUnreadable)
