--- a/src/direct/protocol.h
+++ b/src/direct/protocol.h
@@ -43,13 +43,13 @@
   std::function<RecordSubject(std::string_view key)> SubjectOf;
   /// Decodes a stored record; empty, with the reason, if it is malformed.
   std::function<std::optional<RecordValue>(const StoreRecord &, Error &reason)>
-      DecodeFact;
+      DecodeRecord;
   // The keys and values of records that entries write.
   std::function<std::string(std::string_view entry)> EntryKey;
   std::function<std::string(const EntryPeer &)> EncodeEntry;
   std::function<std::string(const Endpoint &peer)> RegistrationKey;
   std::function<std::string(const EntryRegistration &)> EncodeRegistration;
-  std::string HolderKey; ///< Key held by the one entry that may give orders.
+  std::string HolderKey; ///< Key of the record of the order lease.
   std::function<std::string(const OrderLeaseHolder &)> EncodeHolder;
   std::string RetiredKey; ///< Key of the list of all retired context.
   std::function<std::string(const RetiredContext &)> EncodeRetired;
--- a/src/direct/request_limits.h
+++ b/src/direct/request_limits.h
@@ -23,7 +23,7 @@
   /// arrive closer together than they were sent.
   Duration Window{4'400'000};
   /// Upper bound on the window for limits below one request per Window. Only an
-  /// answer tells that a limit was lifted, so requests must not be too rare.
+  /// answer shows that a limit was lifted, so requests must not be too rare.
   Duration MaxWindow{10'000'000};
   /// How long the lifting of a limit is passed on to other entries.
   Duration LiftGossipTime{10'000'000};
@@ -83,13 +83,13 @@
   /// Number of servers with a limit in force.
   size_t limitedCount() const;
   /// Drops the state of servers whose latest known answer is older than
-  /// `heardBefore`.
-  void forgetIdle(TimePoint heardBefore);
+  /// `answeredBefore`.
+  void forgetIdle(TimePoint answeredBefore);
 
 private:
   struct State {
     std::optional<double> PerSecond; ///< Nullopt: no limit.
-    TimePoint HeardAt;               ///< When the latest answer was received.
+    TimePoint AnsweredAt;            ///< When the latest answer was received.
     bool IsOwn = false; ///< This entry received the latest answer itself.
     TimePoint GossipLiftUntil; ///< The lifting is passed on until then.
     TimePoint LastGossipAt;
--- a/src/direct/weight_plan.cpp
+++ b/src/direct/weight_plan.cpp
@@ -11,10 +11,11 @@
   for (const BackendServer &server : catalog.AllServers) {
     if (server.IsDraining)
       continue;
-    for (const ModelVersion &has : server.Weights)
-      if (auto since = catalog.behindSince(has.Model, has.Version))
-        out.push_back(
-            {&server, {has.Model, catalog.desiredVersion(has.Model)}, *since});
+    for (const ModelVersion &loaded : server.Weights)
+      if (auto since = catalog.behindSince(loaded.Model, loaded.Version))
+        out.push_back({&server,
+                       {loaded.Model, catalog.desiredVersion(loaded.Model)},
+                       *since});
   }
   return out;
 }
@@ -33,9 +34,9 @@
 size_t WeightPlan::concurrency(const Catalog &catalog,
                                const std::vector<OutdatedServer> &outdated,
                                TimePoint now) const {
-  size_t least = minConcurrency(catalog);
+  size_t minLoads = minConcurrency(catalog);
   if (outdated.empty())
-    return least;
+    return minLoads;
   TimePoint oldest = now;
   for (const OutdatedServer &it : outdated)
     oldest = std::min(oldest, it.Since);
@@ -43,8 +44,8 @@
       std::max(oldest + Settings.RolloutLimit - now, Settings.UsualLoadTime);
   auto needed = static_cast<size_t>(static_cast<int64_t>(outdated.size()) *
                                     Settings.UsualLoadTime / left);
-  size_t most = std::max<size_t>(outdated.size() / 2, least);
-  return std::clamp<size_t>(needed, least, most);
+  size_t maxLoads = std::max<size_t>(outdated.size() / 2, minLoads);
+  return std::clamp<size_t>(needed, minLoads, maxLoads);
 }
 
 void WeightPlan::dropFinishedLoads(const Catalog &catalog, TimePoint now) {
@@ -54,8 +55,8 @@
         std::find_if(servers.begin(), servers.end(),
                      [&](const BackendServer &s) { return s.Id == it.first; });
     bool isGone = server == servers.end() || server->IsDraining;
-    bool isDone = !isGone && server->versionOf(it.second.Wanted.Model) >=
-                                 it.second.Wanted.Version;
+    bool isDone = !isGone && server->versionOf(it.second.Desired.Model) >=
+                                 it.second.Desired.Version;
     bool isRestarted = !isGone && server->StartedMs != it.second.StartedMs;
     bool isStuck = now >= it.second.Since + Settings.LoadTimeout;
     return isGone || isDone || isRestarted || isStuck;
@@ -81,14 +82,14 @@
 
 void WeightPlan::startLoads(const Catalog &catalog, TimePoint now) {
   std::vector<OutdatedServer> outdated = outdatedServers(catalog);
-  size_t most = concurrency(catalog, outdated, now);
-  while (Loads.size() < most) {
+  size_t maxLoads = concurrency(catalog, outdated, now);
+  while (Loads.size() < maxLoads) {
     const OutdatedServer *it = pickNext(outdated, catalog);
     if (!it)
       return;
     Loads[it->Server->Id] = {it->Server->StartedMs,
                              it->Server->Address,
-                             it->Wanted,
+                             it->Desired,
                              Phase::Asking,
                              now,
                              now + Settings.PrepareTime};
@@ -106,8 +107,8 @@
     load.CurrentPhase = Phase::Asking;
     load.NextCheckAt = now + Settings.CallTimeout;
     // A newer version may have become desired since the engine was selected.
-    load.Wanted.Version = std::max(load.Wanted.Version,
-                                   catalog.desiredVersion(load.Wanted.Model));
+    load.Desired.Version = std::max(load.Desired.Version,
+                                    catalog.desiredVersion(load.Desired.Model));
     out.push_back(RequestReport{id, load.Address});
   }
   return out;
@@ -129,14 +130,14 @@
     return {};
   }
   uint64_t version = 0;
-  for (const ModelVersion &has : report->Weights)
-    if (has.Model == load.Wanted.Model)
-      version = has.Version;
-  if (version >= load.Wanted.Version) {
-    ModelVersion has{load.Wanted.Model, version};
+  for (const ModelVersion &loaded : report->Weights)
+    if (loaded.Model == load.Desired.Model)
+      version = loaded.Version;
+  if (version >= load.Desired.Version) {
+    ModelVersion loaded{load.Desired.Model, version};
     uint64_t startedMs = load.StartedMs;
     Loads.erase(it);
-    return {NoteLoaded{server, std::move(has), startedMs}};
+    return {NoteLoaded{server, std::move(loaded), startedMs}};
   }
   if (report->IsBusy) {
     load.CurrentPhase = Phase::Loading;
@@ -145,7 +146,7 @@
   }
   load.CurrentPhase = Phase::Ordering;
   load.NextCheckAt = now + Settings.CallTimeout;
-  return {SendWeightOrder{server, load.Address, load.Wanted,
+  return {SendWeightOrder{server, load.Address, load.Desired,
                           report->OrdersTaken, load.StartedMs}};
 }
 
--- a/src/gateway/context_follower.cpp
+++ b/src/gateway/context_follower.cpp
@@ -45,7 +45,7 @@
   TimePoint now = monotonicNow();
   bool isListAllowed = !followed.LastListAt ||
                        now >= *followed.LastListAt + Settings.MinListInterval;
-  if (followed.WantsList && isListAllowed)
+  if (followed.NeedsList && isListAllowed)
     return requestList(store);
   pollChanges(store);
 }
@@ -84,7 +84,7 @@
   FollowedStore &followed = Stores[store];
   TimePoint now = monotonicNow();
   markAnswered(store, now);
-  followed.WantsList = false;
+  followed.NeedsList = false;
   followed.LastListAt = now;
   followed.Epoch = list->Epoch;
   followed.Next = list->Next;
@@ -156,20 +156,20 @@
   followed.Epoch = changes->Epoch;
   followed.Next = changes->Next;
   bool isComplete = State.StoredParts.apply(store, *changes);
-  followed.WantsList |= !isComplete;
+  followed.NeedsList |= !isComplete;
   scheduleNextPaced(store);
 }
 
 void ContextFollower::onCallFailed(const std::string &store) {
   State.StoredParts.onUnreachable(store);
-  if (!std::exchange(Stores[store].IsSilent, true))
+  if (!std::exchange(Stores[store].IsUnreachable, true))
     State.Log.write(LogWeight::Notable, "store_lost", {{"store", store}},
                     monotonicNow());
   scheduleNext(store, Settings.RetryInterval);
 }
 
 void ContextFollower::markAnswered(const std::string &store, TimePoint now) {
-  if (std::exchange(Stores[store].IsSilent, false))
+  if (std::exchange(Stores[store].IsUnreachable, false))
     State.Log.write(LogWeight::Notable, "store_regained", {{"store", store}},
                     now);
 }
@@ -180,9 +180,10 @@
   };
   for (const auto &action : Agreement.next(
            *State.catalog(), State.StoredParts.freeToUsedRatio(), now)) {
-    if (const auto *tell = std::get_if<direct::NotifyEntry>(&action))
-      Hooks.Tell(*tell, [self = shared_from_this(), tell = *tell](bool agreed) {
-        self->onEntryAnswered(tell, agreed);
+    if (const auto *notification = std::get_if<direct::NotifyEntry>(&action))
+      Hooks.Notify(*notification, [self = shared_from_this(),
+                                   notification = *notification](bool agreed) {
+        self->onEntryAnswered(notification, agreed);
       });
     if (const auto *write = std::get_if<direct::WriteRetired>(&action))
       Hooks.Write(*write, onWritten);
@@ -191,15 +192,15 @@
   }
 }
 
-void ContextFollower::onEntryAnswered(const direct::NotifyEntry &tell,
+void ContextFollower::onEntryAnswered(const direct::NotifyEntry &notification,
                                       bool hasAgreed) {
   TimePoint now = monotonicNow();
   State.Log.write(LogWeight::Notable, "context_retirement_told",
-                  {{"peer", toString(tell.Peer)},
-                   {"revision", tell.Revision},
+                  {{"peer", toString(notification.Peer)},
+                   {"revision", notification.Revision},
                    {"agreed", hasAgreed}},
                   now);
-  Agreement.onNotified(tell, hasAgreed, now);
+  Agreement.onNotified(notification, hasAgreed, now);
 }
 
 std::vector<direct::PartRef> ContextFollower::unusedParts(
@@ -257,7 +258,7 @@
             FollowedStore &it = self->Stores[name];
             it.IsFreeing = false;
             it.LastFreeAt = monotonicNow();
-            it.WantsList |= !isDone;
+            it.NeedsList |= !isDone;
             if (!isDone)
               return;
             self->State.StoredParts.onFreed(name, parts);
--- a/src/gateway/gateway_request.h
+++ b/src/gateway/gateway_request.h
@@ -37,8 +37,8 @@
   std::optional<direct::AttemptChoice>
   choose(const std::vector<std::string> &tried, TimePoint now, Error &reason);
   RetryBudget &budget();
-  /// Digest that identifies the request across ids and entries; computed on
-  /// first use.
+  /// Digest that identifies the request across request ids and entries;
+  /// computed on first use.
   const Id128 &identity();
   /// The error of a quarantined request; nothing if the request may be
   /// forwarded.
@@ -75,9 +75,9 @@
   const std::shared_ptr<net::HttpExchange> Exchange;
   direct::ForwardFlow Flow;
   std::optional<Id128> Identity;
-  /// Crash occasions held against the request when the current attempt was
-  /// sent.
-  uint32_t OccasionsAtSend = 0;
+  /// Number of crash incidents known against the request when the current
+  /// attempt was sent.
+  uint32_t IncidentsAtSend = 0;
   net::HttpCall Call;
   direct::AttemptOrder Order; ///< Parameters of the current attempt.
   TimePoint SentAt;
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -35,7 +35,7 @@
   return out;
 }
 
-std::string_view factName(direct::RecordKind kind) {
+std::string_view kindName(direct::RecordKind kind) {
   switch (kind) {
   case direct::RecordKind::Config:
     return "configuration";
@@ -61,16 +61,16 @@
   return "other";
 }
 
-direct::CatalogHooks catalogHooks(const direct::Protocol &speak,
+direct::CatalogHooks catalogHooks(const direct::Protocol &protocol,
                                   DecisionLog &log) {
   direct::CatalogHooks out;
-  out.SubjectOf = speak.SubjectOf;
-  out.Decode = speak.DecodeFact;
+  out.SubjectOf = protocol.SubjectOf;
+  out.Decode = protocol.DecodeRecord;
   out.Changed = [&log](const direct::RecordSubject &subject,
                        std::string_view change, uint64_t revision,
                        TimePoint now) {
     log.write(LogWeight::Notable, "belief_changed",
-              {{"subject", factName(subject.Kind)},
+              {{"subject", kindName(subject.Kind)},
                {"name", subject.Name},
                {"change", change},
                {"revision", revision}},
@@ -199,7 +199,7 @@
       Catalog(options.Catalog, catalogHooks(WireProtocol, log)) {}
 
 Error drainingError() {
-  // Short, because a new connection leads to another entry.
+  // Short, because a retry on a new connection reaches another entry.
   constexpr Duration RetryElsewhereAfter{10'000};
   return {ErrorKind::Draining, "this entry is stopping", RetryElsewhereAfter};
 }
@@ -243,7 +243,8 @@
 
 direct::SourceEligibility GatewayState::sourceEligibility() const {
   direct::SourceEligibility out;
-  // Read before the catalog, so that the catalog is at least as new.
+  // ListedAt is read before the catalog, so that the catalog is at least as
+  // new.
   out.AnnouncedAsOf = TimePoint(Duration(ListedAt.load()));
   out.HasReadAll = HasReadAll;
   auto catalog = this->catalog();
--- a/src/gateway/holder_lease.cpp
+++ b/src/gateway/holder_lease.cpp
@@ -14,7 +14,7 @@
                          DecisionLog &log)
     : Executor(std::move(strand)), Store(std::move(store)), Key(std::move(key)),
       Value(std::move(value)), Settings(settings), Log(log),
-      LeaseState(direct::orderLease(settings.Right)) {}
+      LeaseState(direct::orderLease(settings.OrderLease)) {}
 
 void HolderLease::acquire(uint64_t replacedRevision) {
   if (IsStopped || IsAcquiring || Token != 0)
@@ -87,7 +87,7 @@
   IsAcquiring = false;
   TimePoint now = monotonicNow();
   // A holder that was stopped during its claim never acted, so nobody has to
-  // wait for its lease to lapse.
+  // wait for its lease to expire.
   if (IsStopped || LeaseState.hasLapsed(now))
     return release();
   Token = token;
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -17,8 +17,9 @@
 /// Time between requests for records while the key-value service is
 /// unreachable.
 constexpr Duration RequestInterval{400'000};
-/// Three make it likely that one of them has newer records within two rounds,
-/// even if a third of all entries are cut off as well.
+/// Number of entries that are asked at a time. With three, it is likely that
+/// one of them has newer records within two rounds, even if a third of all
+/// entries are cut off from the service as well.
 constexpr size_t PeersPerRound = 3;
 /// How long an entry that is no longer listed is remembered: longer than usual
 /// outages of the key-value service. A call to an entry that is gone costs one
@@ -80,13 +81,13 @@
       State.StoredParts.retire(it);
     return direct::Acknowledgement{};
   }
-  const auto *wanted = std::get_if<direct::RecordsRequest>(&message);
-  if (!wanted)
+  const auto *request = std::get_if<direct::RecordsRequest>(&message);
+  if (!request)
     return direct::Acknowledgement{};
   TimePoint now = monotonicNow();
   int64_t nowUs = now.time_since_epoch().count();
   direct::RecordsResponse out;
-  out.Records = State.Catalog.recordsSince(wanted->Revision);
+  out.Records = State.Catalog.recordsSince(request->Revision);
   out.ConfirmationAge = nowUs - State.ConfirmedAt.load();
   out.CompleteStateAge = nowUs - State.SyncedAt.load();
   out.CompleteTo = State.SyncedRevision;
@@ -161,8 +162,9 @@
   post(peer, direct::RecordsRequest{newerThan},
        [this, syncedRevision,
         askedAt = monotonicNow()](const direct::PeerMessage &reply) {
-         if (const auto *found = std::get_if<direct::RecordsResponse>(&reply))
-           Hooks.OnRecords(*found, syncedRevision, askedAt);
+         if (const auto *response =
+                 std::get_if<direct::RecordsResponse>(&reply))
+           Hooks.OnRecords(*response, syncedRevision, askedAt);
        });
 }
 
--- a/src/gateway/quarantine.cpp
+++ b/src/gateway/quarantine.cpp
@@ -129,7 +129,7 @@
         boost::asio::dispatch(
             self->Executor, [self, request, lease, header = result.Header] {
               // If the answer was lost, the record may exist and is left to
-              // lapse with its lease.
+              // expire with its lease.
               if (header.Status == edge::KvStatus::CompareFailed ||
                   header.Status == edge::KvStatus::Unavailable)
                 self->Store.RevokeLease(lease, self->Settings.CallTimeout,
@@ -157,8 +157,8 @@
 
 void QuarantineRecords::endCall(const Id128 &request, TimePoint now) {
   IsCallPending = false;
-  // Unless the catalog shows the record, this entry writes it again after one
-  // more WriteStagger.
+  // If the catalog still lacks the record after another WriteStagger, this
+  // entry writes the record again.
   if (auto it = MissingSince.find(request); it != MissingSince.end())
     it->second = now + Settings.WriteStagger;
 }
