--- a/src/serve/agent_answer.cpp
+++ b/src/serve/agent_answer.cpp
@@ -5,38 +5,38 @@
 uint32_t AnswerBuffer::append(std::string_view text, uint32_t tokens) {
   uint32_t index = nextIndex();
   Text.append(text);
-  Marks.push_back({static_cast<uint32_t>(Text.size()), tokens});
+  Ends.push_back({static_cast<uint32_t>(Text.size()), tokens});
   Tokens += tokens;
-  if (Text.size() > Limit)
+  if (Text.size() > MaxBytes)
     dropOldest();
   return index;
 }
 
 AnswerBuffer::View AnswerBuffer::at(uint32_t index) const {
-  size_t i = index - Base;
-  uint32_t from = begin(i);
+  size_t i = index - FirstIndex;
+  uint32_t from = chunkBegin(i);
   std::string_view all = Text;
-  return {index, Marks[i].Tokens, all.substr(from, Marks[i].End - from)};
+  return {index, Ends[i].Tokens, all.substr(from, Ends[i].End - from)};
 }
 
 size_t AnswerBuffer::footprint() const {
-  return Text.capacity() + Marks.capacity() * sizeof(Mark);
+  return Text.capacity() + Ends.capacity() * sizeof(ChunkEnd);
 }
 
 /// Drops down to half of the limit, so that its cost is spread over many
 /// appends; the newest chunk always stays.
 void AnswerBuffer::dropOldest() {
   size_t n = 0;
-  while (n + 1 < Marks.size() && Text.size() - Marks[n].End > Limit / 2)
+  while (n + 1 < Ends.size() && Text.size() - Ends[n].End > MaxBytes / 2)
     ++n;
-  if (n + 1 < Marks.size())
+  if (n + 1 < Ends.size())
     ++n;
-  uint32_t cut = begin(n);
-  Text.erase(0, cut);
-  Marks.erase(Marks.begin(), Marks.begin() + static_cast<ptrdiff_t>(n));
-  for (Mark &mark : Marks)
-    mark.End -= cut;
-  Base += static_cast<uint32_t>(n);
+  uint32_t droppedBytes = chunkBegin(n);
+  Text.erase(0, droppedBytes);
+  Ends.erase(Ends.begin(), Ends.begin() + static_cast<ptrdiff_t>(n));
+  for (ChunkEnd &chunkEnd : Ends)
+    chunkEnd.End -= droppedBytes;
+  FirstIndex += static_cast<uint32_t>(n);
 }
 
 } // namespace daisytack::serve
--- a/src/serve/agent_answer.h
+++ b/src/serve/agent_answer.h
@@ -22,16 +22,16 @@
   };
 
   AnswerBuffer(uint32_t firstIndex, size_t maxBytes)
-      : Base(firstIndex), Limit(maxBytes) {}
+      : FirstIndex(firstIndex), MaxBytes(maxBytes) {}
 
   /// Returns the index of the new chunk.
   uint32_t append(std::string_view text, uint32_t tokens);
 
   /// Chunks from this index on can be had.
-  uint32_t firstIndex() const { return Base; }
+  uint32_t firstIndex() const { return FirstIndex; }
   /// Index that the next chunk will have.
   uint32_t nextIndex() const {
-    return Base + static_cast<uint32_t>(Marks.size());
+    return FirstIndex + static_cast<uint32_t>(Ends.size());
   }
   View at(uint32_t index) const;
   size_t bytes() const { return Text.size(); }
@@ -43,18 +43,18 @@
   size_t footprint() const;
 
 private:
-  struct Mark {
+  struct ChunkEnd {
     uint32_t End = 0; ///< Offset in Text behind the chunk.
     uint32_t Tokens = 0;
   };
   void dropOldest();
-  uint32_t begin(size_t i) const { return i == 0 ? 0 : Marks[i - 1].End; }
+  uint32_t chunkBegin(size_t i) const { return i == 0 ? 0 : Ends[i - 1].End; }
 
-  uint32_t Base;
-  size_t Limit;
+  uint32_t FirstIndex;
+  size_t MaxBytes;
   uint32_t Tokens = 0;
   std::string Text;
-  std::vector<Mark> Marks;
+  std::vector<ChunkEnd> Ends;
 };
 
 } // namespace daisytack::serve
--- a/src/serve/agent_context.cpp
+++ b/src/serve/agent_context.cpp
@@ -16,7 +16,7 @@
 }
 
 void AgentCore::Impl::on(const EngineSilent &input, Step &step) {
-  if (!EngineSeen || step.Now - *EngineSeen < Settings.SilenceLimit)
+  if (!EngineSeen || step.Now - *EngineSeen < Settings.EngineTimeout)
     return;
   EngineSeen.reset();
   Dirty = true;
@@ -53,18 +53,18 @@
   const wire::Offer &offer = *run.Request;
   if (Settings.IsService || offer.Pieces.empty() || Stores.size() == 0)
     return;
-  FetchWish wish;
-  wish.Id = offer.Id;
-  wish.Try = offer.Try;
-  wish.Organisation = offer.Organisation;
-  wish.Pieces = offer.Pieces;
-  wish.Version = run.Version;
-  wish.PromptTokens = offer.PromptTokens;
-  wish.KeepFor = Duration(offer.KeepMicros);
-  wish.ExpectedStart = step.Now + decision.Wait;
-  wish.FirstTokenLimit =
+  FetchParams params;
+  params.Id = offer.Id;
+  params.Try = offer.Try;
+  params.Organisation = offer.Organisation;
+  params.Pieces = offer.Pieces;
+  params.Version = run.Version;
+  params.PromptTokens = offer.PromptTokens;
+  params.KeepFor = Duration(offer.KeepMicros);
+  params.ExpectedStart = step.Now + decision.Wait;
+  params.FirstTokenLimit =
       run.Deadline - Duration(offer.ReserveMicros) - decision.Decode;
-  Fetch.begin(std::move(wish), step);
+  Fetch.begin(std::move(params), step);
   // Others go first until the stores have answered.
   if (Fetch.isPending(offer.Id))
     Queue.setContextReady(offer.Id, offer.Try,
@@ -84,21 +84,21 @@
   if (n < offer.Pieces.size() && done.CachedTokens < done.PromptTokens &&
       Fetch.presentPieces(offer.Pieces) > n)
     View.markAbsent(offer.Pieces[n]);
-  ExportWish wish;
-  wish.Id = offer.Id;
-  wish.Organisation = offer.Organisation;
-  wish.Pieces = offer.Pieces;
-  wish.Rule = static_cast<KeepRule>(offer.Keep);
-  wish.KeepFor = Duration(offer.KeepMicros);
-  wish.Quota = offer.KeptQuota;
-  wish.Version = run.Version;
-  Exports.begin(std::move(wish), step);
+  ExportParams params;
+  params.Id = offer.Id;
+  params.Organisation = offer.Organisation;
+  params.Pieces = offer.Pieces;
+  params.Rule = static_cast<KeepRule>(offer.Keep);
+  params.KeepFor = Duration(offer.KeepMicros);
+  params.Quota = offer.KeptQuota;
+  params.Version = run.Version;
+  Exports.begin(std::move(params), step);
 }
 
 void AgentCore::Impl::settleContext(Step &step) {
   for (;;) {
-    std::vector<FetchNews> news = Fetch.takeNews();
-    for (const FetchNews &it : news)
+    std::vector<FetchUpdate> news = Fetch.takeUpdates();
+    for (const FetchUpdate &it : news)
       onFetchNews(it, step);
     startTransfers(step);
     if (news.empty())
@@ -106,7 +106,7 @@
   }
 }
 
-void AgentCore::Impl::onFetchNews(const FetchNews &news, Step &step) {
+void AgentCore::Impl::onFetchNews(const FetchUpdate &news, Step &step) {
   Run *run = Runs.find(news.Id);
   if (!run || run->State != RunState::Waiting)
     return;
@@ -115,7 +115,7 @@
   Queue.setContextReady(news.Id, run->Token.Try, news.Ready);
   Queue.setPrefill(news.Id, run->Token.Try,
                    Predictor.prefill(run->ExpectedPrefill));
-  if (!news.Settled)
+  if (!news.IsFinal)
     return;
   if (run->HasSlot)
     useSlot(*run, step);
--- a/src/serve/agent_core.cpp
+++ b/src/serve/agent_core.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-void earliest(std::optional<TimePoint> &out, TimePoint when) {
+void updateEarliest(std::optional<TimePoint> &out, TimePoint when) {
   if (!out || when < *out)
     out = when;
 }
@@ -35,7 +35,7 @@
   return out;
 }
 
-RunView viewOf(const Run &run) {
+RunView makeRunView(const Run &run) {
   RunView out;
   out.Id = run.Token.Id;
   out.Try = run.Token.Try;
@@ -153,16 +153,16 @@
   Run *run = Runs.find(id);
   if (!run)
     return;
-  bool abandoned = run->KeptUntil && *run->KeptUntil <= step.Now;
+  bool isAbandoned = run->KeptUntil && *run->KeptUntil <= step.Now;
   if (run->isFinished()) {
-    if (abandoned) {
+    if (isAbandoned) {
       HeldBytes -= run->Answer.bytes();
       Runs.erase(id);
       forgetFinished();
     }
     return;
   }
-  if (abandoned) {
+  if (isAbandoned) {
     stopAtServer(*run, step);
     record(step, EventKind::RunCancelled, *run, ErrorKind::Cancelled);
     fail(*run, {ErrorKind::Cancelled, "nobody reads the answer"}, step);
@@ -194,20 +194,20 @@
 std::optional<TimePoint> AgentCore::Impl::nextTimer() const {
   std::optional<TimePoint> out = Runs.nextWake();
   if (wantsTicks())
-    earliest(out, NextTick);
+    updateEarliest(out, NextTick);
   if (!Settings.IsService)
-    earliest(out, NextCacheEvents);
+    updateEarliest(out, NextCacheEvents);
   if (auto at = Fetch.nextTimer())
-    earliest(out, *at);
+    updateEarliest(out, *at);
   if (auto at = Swap.nextTimer())
-    earliest(out, *at);
+    updateEarliest(out, *at);
   if (auto at = Stores.nextTransferAt(Latest))
-    earliest(out, *at);
+    updateEarliest(out, *at);
   if (Dirty)
-    earliest(out, NextPicture);
+    updateEarliest(out, NextPicture);
   if (!ClosedOrder.empty())
     if (auto it = Closed.find(ClosedOrder.front()); it != Closed.end())
-      earliest(out, it->second.Until);
+      updateEarliest(out, it->second.Until);
   return out;
 }
 
@@ -225,7 +225,7 @@
 
 bool AgentCore::Impl::isStatusFresh(TimePoint now) const {
   return Settings.IsService ||
-         (EngineSeen && now - *EngineSeen < Settings.SilenceLimit);
+         (EngineSeen && now - *EngineSeen < Settings.EngineTimeout);
 }
 
 bool AgentCore::Impl::isReady() const {
@@ -259,7 +259,7 @@
   out->Swap = Swap.state();
   for (const auto &[id, run] : Runs.all())
     if (!run->isFinished())
-      out->Runs.push_back(viewOf(*run));
+      out->Runs.push_back(makeRunView(*run));
   std::sort(
       out->Runs.begin(), out->Runs.end(),
       [](const RunView &a, const RunView &b) { return a.Arrived < b.Arrived; });
--- a/src/serve/agent_core.h
+++ b/src/serve/agent_core.h
@@ -34,11 +34,11 @@
   Duration ResumeWindow{10'000'000}; ///< How long an answer without a reader
                                      ///< is kept.
   size_t MaxAnswerBytes = 4U << 20;  ///< Held of one answer.
-  size_t MaxHeldBytes = 256U << 20;  ///< Held of all answers.
-  Duration StatusPeriod{500'000};    ///< Also between looks for runs at risk.
+  size_t MaxTotalAnswerBytes = 256U << 20; ///< Held of all answers.
+  Duration StatusPeriod{500'000}; ///< Also between looks for runs at risk.
   Duration CacheEventPeriod{200'000};
-  Duration SilenceLimit{3'000'000}; ///< Engine counts as unreachable after.
-  Duration SnapshotPeriod{20'000};  ///< Least time between two snapshots.
+  Duration EngineTimeout{3'000'000}; ///< Engine counts as unreachable after.
+  Duration SnapshotPeriod{20'000};   ///< Least time between two snapshots.
   StoreSettings Stores;
   FetchSettings Fetch;
   ExportSettings Export;
--- a/src/serve/agent_export.cpp
+++ b/src/serve/agent_export.cpp
@@ -18,83 +18,86 @@
                        CallNumbers &numbers,
                        std::function<std::string()> engineVersion)
     : Settings(settings), Stores(stores), Numbers(numbers),
-      EngineVersion(std::move(engineVersion)), Sights(settings.Sightings),
-      Policy(Settings.Keep, Returns) {}
+      EngineVersion(std::move(engineVersion)),
+      RecentSightings(settings.Sightings), Policy(Settings.Keep, Returns) {}
 
-void ExportFlow::begin(ExportWish wish, Step &step) {
+void ExportFlow::begin(ExportParams params, Step &step) {
   Job job;
-  size_t n = std::min(wish.Pieces.size(), Settings.MaxPiecesPerJob);
+  size_t n = std::min(params.Pieces.size(), Settings.MaxPiecesPerJob);
   for (uint32_t i = 0; i < n; ++i) {
-    SightingHistory before = Sights.record(wish.Pieces[i], step.Now);
+    SightingHistory before = RecentSightings.record(params.Pieces[i], step.Now);
     Returns.observe(before);
-    ExportCandidate question;
-    question.Rule = wish.Rule;
-    question.Before = before;
-    question.Quota = wish.Quota;
-    if (Policy.decide(question).Verdict == ExportVerdict::Export)
+    ExportCandidate input;
+    input.Rule = params.Rule;
+    input.Before = before;
+    input.Quota = params.Quota;
+    if (Policy.decide(input).Verdict == ExportVerdict::Export)
       job.Candidates.push_back({i, before});
   }
   if (job.Candidates.empty() || Stores.size() == 0 ||
       Jobs.size() >= Settings.MaxJobs)
     return;
-  job.Wish = std::move(wish);
+  job.Params = std::move(params);
   Jobs.push_back(std::move(job));
-  pump(step);
+  startNextJob(step);
 }
 
-void ExportFlow::pump(Step &step) {
+void ExportFlow::startNextJob(Step &step) {
   if (IsBusy || Jobs.empty())
     return;
   IsBusy = true;
-  askUsage(step);
-  askStatus(step);
-  lookUp(step);
-  if (Jobs.front().Pending == 0)
-    infoComplete(step);
+  requestUsage(step);
+  requestStatus(step);
+  requestLookups(step);
+  if (Jobs.front().PendingCalls == 0)
+    onInfoComplete(step);
 }
 
-CallId ExportFlow::call(Asked asked, StoreHandle store, StoreRequest request,
-                        Step &step) {
+CallId ExportFlow::callStore(CallPurpose purpose, StoreHandle store,
+                             StoreRequest request, Step &step) {
   CallId out = Numbers.next();
-  Calls[out] = asked;
+  Calls[out] = purpose;
   step.Out.push_back(CallStore{out, store, std::move(request),
                                Stores.settings().WriteTimeout});
   return out;
 }
 
-void ExportFlow::askUsage(Step &step) {
+void ExportFlow::requestUsage(Step &step) {
   Job &job = Jobs.front();
-  auto it = Usage.find(job.Wish.Organisation);
-  if (it != Usage.end() && step.Now - it->second.At < Settings.UsageAge) {
-    job.Sum = it->second;
+  auto it = Usage.find(job.Params.Organisation);
+  if (it != Usage.end() &&
+      step.Now - it->second.ReportedAt < Settings.MaxReportAge) {
+    job.ReportedUsage = it->second;
     return;
   }
-  job.Sum.At = step.Now;
+  job.ReportedUsage.ReportedAt = step.Now;
   for (uint32_t i = 0; i < Stores.size(); ++i) {
-    call(Asked::Usage, {i}, AskUsage{metaPrefix(job.Wish.Organisation)}, step);
-    ++job.Pending;
+    callStore(CallPurpose::Usage, {i},
+              AskUsage{metaPrefix(job.Params.Organisation)}, step);
+    ++job.PendingCalls;
   }
 }
 
-void ExportFlow::askStatus(Step &step) {
-  if (StatusAt && step.Now - *StatusAt < Settings.UsageAge)
+void ExportFlow::requestStatus(Step &step) {
+  if (StatusAt && step.Now - *StatusAt < Settings.MaxReportAge)
     return;
   StatusAt = step.Now;
   for (uint32_t i = 0; i < Stores.size(); ++i) {
-    call(Asked::Status, {i}, AskStatus{}, step);
-    ++Jobs.front().Pending;
+    callStore(CallPurpose::Status, {i}, AskStatus{}, step);
+    ++Jobs.front().PendingCalls;
   }
 }
 
-void ExportFlow::lookUp(Step &step) {
+void ExportFlow::requestLookups(Step &step) {
   Job &job = Jobs.front();
   std::map<StoreHandle, std::vector<PieceKey>> keys;
   for (const Candidate &it : job.Candidates)
-    for (StoreHandle store : targetsOf(it, MaxStoreCopies, step.Now))
-      keys[store].push_back(job.Wish.Pieces[it.Index]);
+    for (StoreHandle store : missingStores(it, MaxStoreCopies, step.Now))
+      keys[store].push_back(job.Params.Pieces[it.Index]);
   for (auto &[store, wanted] : keys) {
-    call(Asked::Lookup, store, LookupPieces{std::move(wanted)}, step);
-    ++job.Pending;
+    callStore(CallPurpose::Lookup, store, LookupPieces{std::move(wanted)},
+              step);
+    ++job.PendingCalls;
   }
 }
 
@@ -102,56 +105,57 @@
   auto it = Calls.find(answer.Call);
   if (it == Calls.end())
     return false;
-  Asked asked = it->second;
+  CallPurpose purpose = it->second;
   Calls.erase(it);
   const auto *error = std::get_if<Error>(&answer.Result);
   if (error && isStoreFailure(*error))
     Stores.onFailed(answer.Store, step.Now);
-  bool isCurrent = Current && Current->Call == answer.Call;
-  if (asked == Asked::Write || asked == Asked::Replace) {
-    if (isCurrent && asked == Asked::Write)
+  bool isCurrent = CurrentWrite && CurrentWrite->Call == answer.Call;
+  if (purpose == CallPurpose::Write || purpose == CallPurpose::Replace) {
+    if (isCurrent && purpose == CallPurpose::Write)
       onWrite(answer, step);
     else if (isCurrent)
-      replaceOwn(answer, step);
-  } else if (asked != Asked::Nothing) {
-    onInfo(asked, answer, step);
+      replaceOwnPieces(answer, step);
+  } else if (purpose != CallPurpose::Free) {
+    onInfo(purpose, answer, step);
   }
   return true;
 }
 
-void ExportFlow::onInfo(Asked asked, const StoreAnswer &answer, Step &step) {
+void ExportFlow::onInfo(CallPurpose purpose, const StoreAnswer &answer,
+                        Step &step) {
   if (Jobs.empty())
     return;
   Job &job = Jobs.front();
   if (const auto *usage = std::get_if<StoreUsage>(&answer.Result)) {
-    job.Sum.Bytes += usage->Bytes;
-    job.Sum.Pieces += usage->Pieces;
+    job.ReportedUsage.Bytes += usage->Bytes;
+    job.ReportedUsage.Pieces += usage->Pieces;
   }
   if (const auto *status = std::get_if<StoreStatus>(&answer.Result))
     Status[answer.Store] = *status;
   if (const auto *found = std::get_if<StoreFound>(&answer.Result);
-      found && asked == Asked::Lookup)
+      found && purpose == CallPurpose::Lookup)
     for (const FoundPiece &it : found->Pieces)
       job.Stored.insert({answer.Store, it.Key});
-  if (--job.Pending == 0)
-    infoComplete(step);
+  if (--job.PendingCalls == 0)
+    onInfoComplete(step);
 }
 
-void ExportFlow::infoComplete(Step &step) {
+void ExportFlow::onInfoComplete(Step &step) {
   Job &job = Jobs.front();
-  Usage[job.Wish.Organisation] = job.Sum;
-  nextPiece(step);
+  Usage[job.Params.Organisation] = job.ReportedUsage;
+  exportNextPiece(step);
 }
 
 ExportDecision ExportFlow::decide(const Candidate &candidate,
                                   uint64_t bytes) const {
   const Job &job = Jobs.front();
-  ExportCandidate question;
-  question.Rule = job.Wish.Rule;
-  question.Before = candidate.Before;
-  question.Bytes = bytes;
-  question.OrganisationBytes = Usage.at(job.Wish.Organisation).Bytes;
-  question.Quota = job.Wish.Quota;
+  ExportCandidate input;
+  input.Rule = job.Params.Rule;
+  input.Before = candidate.Before;
+  input.Bytes = bytes;
+  input.OrganisationBytes = Usage.at(job.Params.Organisation).Bytes;
+  input.Quota = job.Params.Quota;
   uint64_t used = 0;
   uint64_t total = 0;
   for (const auto &[store, status] : Status) {
@@ -159,43 +163,43 @@
     total += status.MemoryTotal + status.DiskTotal;
   }
   if (total > 0)
-    question.StoreUsed = static_cast<double>(used) / static_cast<double>(total);
-  return Policy.decide(question);
+    input.StoreUsed = static_cast<double>(used) / static_cast<double>(total);
+  return Policy.decide(input);
 }
 
-std::vector<StoreHandle> ExportFlow::targetsOf(const Candidate &candidate,
-                                               uint32_t copies,
-                                               TimePoint now) const {
+std::vector<StoreHandle> ExportFlow::missingStores(const Candidate &candidate,
+                                                   uint32_t copies,
+                                                   TimePoint now) const {
   const Job &job = Jobs.front();
   std::vector<StoreHandle> out =
-      Stores.storesOf(job.Wish.Pieces, candidate.Index, copies, now);
-  const PieceKey &key = job.Wish.Pieces[candidate.Index];
+      Stores.storesOf(job.Params.Pieces, candidate.Index, copies, now);
+  const PieceKey &key = job.Params.Pieces[candidate.Index];
   std::erase_if(out, [&](StoreHandle store) {
     return job.Stored.contains({store, key});
   });
   return out;
 }
 
-void ExportFlow::nextPiece(Step &step) {
+void ExportFlow::exportNextPiece(Step &step) {
   Job &job = Jobs.front();
-  for (; job.At < job.Candidates.size(); ++job.At) {
-    if (EngineVersion() != job.Wish.Version)
+  for (; job.NextCandidate < job.Candidates.size(); ++job.NextCandidate) {
+    if (EngineVersion() != job.Params.Version)
       break;
-    const Candidate &it = job.Candidates[job.At];
+    const Candidate &it = job.Candidates[job.NextCandidate];
     ExportDecision decision = decide(it, 0);
     if (!mayExport(decision))
       continue;
-    Targets = targetsOf(it, decision.Copies, step.Now);
-    if (Targets.empty())
+    RemainingStores = missingStores(it, decision.Copies, step.Now);
+    if (RemainingStores.empty())
       continue;
-    Copy = 0;
+    CopyIndex = 0;
     ExportCall = Numbers.next();
-    step.Out.push_back(ExportPiece{ExportCall, job.Wish.Pieces[it.Index]});
+    step.Out.push_back(ExportPiece{ExportCall, job.Params.Pieces[it.Index]});
     return;
   }
   Jobs.pop_front();
   IsBusy = false;
-  pump(step);
+  startNextJob(step);
 }
 
 bool ExportFlow::onExport(const PieceExport &answer, Step &step) {
@@ -203,15 +207,16 @@
     return false;
   ExportCall = 0;
   Job &job = Jobs.front();
-  Bytes = answer.Bytes;
-  bool isUsable = !answer.Why && Bytes && EngineVersion() == job.Wish.Version;
+  PieceBytes = answer.Bytes;
+  bool isUsable =
+      !answer.Why && PieceBytes && EngineVersion() == job.Params.Version;
   ExportDecision decision;
   if (isUsable)
-    decision = decide(job.Candidates[job.At], Bytes->size());
+    decision = decide(job.Candidates[job.NextCandidate], PieceBytes->size());
   IsOverQuota = decision.Verdict == ExportVerdict::OverQuota;
   if (!mayExport(decision))
-    Targets.clear();
-  nextTarget(step);
+    RemainingStores.clear();
+  writeToNextStore(step);
   return true;
 }
 
@@ -219,7 +224,7 @@
                         std::array<int64_t, Event::MaxScores> scores) const {
   Event event;
   event.Kind = kind;
-  event.Request = Jobs.front().Wish.Id;
+  event.Request = Jobs.front().Params.Id;
   event.Scores = scores;
   event.Subject = subject;
   step.Out.push_back(RecordEvent{std::move(event)});
--- a/src/serve/agent_export.h
+++ b/src/serve/agent_export.h
@@ -19,13 +19,14 @@
   size_t MaxJobs = 256;          ///< Finished runs that wait for their export.
   size_t MaxPiecesPerJob = 1024; ///< A longer prompt keeps its beginning.
   size_t Sightings = 1U << 16;   ///< Pieces whose sightings are remembered.
-  Duration UsageAge{10'000'000}; ///< What stores reported is asked again after.
-  uint32_t SampleSize = 16;      ///< Pieces weighed when a store is full.
+  Duration MaxReportAge{
+      10'000'000};          ///< What stores reported is asked again after.
+  uint32_t SampleSize = 16; ///< Pieces weighed when a store is full.
   Duration ExportDeadline{30'000'000}; ///< Orders exports on a link.
 };
 
 /// A run that ended well.
-struct ExportWish {
+struct ExportParams {
   RequestId Id;
   std::string Organisation;
   std::vector<PieceKey> Pieces;
@@ -36,10 +37,10 @@
 };
 
 /// What stores report of one organisation.
-struct KeptUsage {
+struct OrganisationUsage {
   uint64_t Pieces = 0;
   uint64_t Bytes = 0;
-  TimePoint At;
+  TimePoint ReportedAt;
 };
 
 /// Not thread-safe.
@@ -48,12 +49,14 @@
   ExportFlow(ExportSettings settings, StoreTable &stores, CallNumbers &numbers,
              std::function<std::string()> engineVersion);
 
-  void begin(ExportWish wish, Step &step);
+  void begin(ExportParams params, Step &step);
   void startTransfer(StoreHandle store, uint64_t transfer, Step &step);
   /// False when the call is not of this flow.
   bool onAnswer(StoreAnswer &answer, Step &step);
   bool onExport(const PieceExport &answer, Step &step);
-  const std::map<std::string, KeptUsage> &usage() const { return Usage; }
+  const std::map<std::string, OrganisationUsage> &usage() const {
+    return Usage;
+  }
   size_t waiting() const { return Jobs.size(); }
 
 private:
@@ -62,16 +65,23 @@
     SightingHistory Before;
   };
   struct Job {
-    ExportWish Wish;
+    ExportParams Params;
     std::vector<Candidate> Candidates;
-    size_t At = 0;
-    uint32_t Pending = 0; ///< Usage, status and lookups not answered yet.
-    KeptUsage Sum;
+    size_t NextCandidate = 0;
+    uint32_t PendingCalls = 0; ///< Usage, status and lookups not answered yet.
+    OrganisationUsage ReportedUsage;
     std::set<std::pair<StoreHandle, PieceKey>> Stored;
   };
   /// What an answer is for.
-  enum class Asked : uint8_t { Usage, Status, Lookup, Replace, Write, Nothing };
-  struct Writing {
+  enum class CallPurpose : uint8_t {
+    Usage,
+    Status,
+    Lookup,
+    Replace,
+    Write,
+    Free
+  };
+  struct PieceWrite {
     CommittedWrite Write;
     StoreHandle Store;
     uint64_t Transfer = 0;
@@ -80,28 +90,29 @@
     KeptMeta Meta;
   };
 
-  void pump(Step &step);
-  void askUsage(Step &step);
-  void askStatus(Step &step);
-  void lookUp(Step &step);
-  void onInfo(Asked asked, const StoreAnswer &answer, Step &step);
-  void infoComplete(Step &step);
+  void startNextJob(Step &step);
+  void requestUsage(Step &step);
+  void requestStatus(Step &step);
+  void requestLookups(Step &step);
+  void onInfo(CallPurpose purpose, const StoreAnswer &answer, Step &step);
+  void onInfoComplete(Step &step);
   /// Goes to the next piece that is worth an export, or to the next job.
-  void nextPiece(Step &step);
+  void exportNextPiece(Step &step);
   ExportDecision decide(const Candidate &candidate, uint64_t bytes) const;
-  std::vector<StoreHandle> targetsOf(const Candidate &candidate,
-                                     uint32_t copies, TimePoint now) const;
-  void nextTarget(Step &step);
+  std::vector<StoreHandle> missingStores(const Candidate &candidate,
+                                         uint32_t copies, TimePoint now) const;
+  void writeToNextStore(Step &step);
   KeptMeta metaOf(const Candidate &candidate, uint8_t copy,
                   const Step &step) const;
   /// Frees pieces of the organisation that are worth less than the new one;
   /// without any the new one is not written.
-  void replaceOwn(const StoreAnswer &answer, Step &step);
+  void replaceOwnPieces(const StoreAnswer &answer, Step &step);
   void freeVictims(std::span<const SampledPiece> victims, Step &step);
   void onWrite(const StoreAnswer &answer, Step &step);
-  void advance(WriteStep write, Step &step);
-  void endWrite(Step &step);
-  CallId call(Asked asked, StoreHandle store, StoreRequest request, Step &step);
+  void performWriteStep(WriteStep write, Step &step);
+  void finishWrite(Step &step);
+  CallId callStore(CallPurpose purpose, StoreHandle store, StoreRequest request,
+                   Step &step);
   void record(Step &step, EventKind kind, const std::string &subject,
               std::array<int64_t, Event::MaxScores> scores) const;
 
@@ -109,21 +120,21 @@
   StoreTable &Stores;
   CallNumbers &Numbers;
   std::function<std::string()> EngineVersion;
-  SightingTable Sights;
+  SightingTable RecentSightings;
   ReturnModel Returns;
   KeepPolicy Policy;
   std::deque<Job> Jobs; ///< The first one is worked on.
   bool IsBusy = false;
-  std::map<std::string, KeptUsage> Usage;
+  std::map<std::string, OrganisationUsage> Usage;
   std::map<StoreHandle, StoreStatus> Status;
   std::optional<TimePoint> StatusAt;
-  std::unordered_map<CallId, Asked> Calls;
+  std::unordered_map<CallId, CallPurpose> Calls;
   CallId ExportCall = 0;
-  std::shared_ptr<const std::string> Bytes; ///< Of the piece on its way.
-  std::vector<StoreHandle> Targets;         ///< It is still to be written to.
-  uint8_t Copy = 0;
+  std::shared_ptr<const std::string> PieceBytes; ///< Of the piece on its way.
+  std::vector<StoreHandle> RemainingStores; ///< It is still to be written to.
+  uint8_t CopyIndex = 0;
   bool IsOverQuota = false; ///< Only in place of the organisation's own pieces.
-  std::optional<Writing> Current;
+  std::optional<PieceWrite> CurrentWrite;
 };
 
 } // namespace daisytack::serve
--- a/src/serve/agent_export_write.cpp
+++ b/src/serve/agent_export_write.cpp
@@ -40,80 +40,82 @@
 
 } // namespace
 
-void ExportFlow::nextTarget(Step &step) {
+void ExportFlow::writeToNextStore(Step &step) {
   Job &job = Jobs.front();
-  while (!Targets.empty()) {
-    StoreHandle store = Targets.front();
-    Targets.erase(Targets.begin());
+  while (!RemainingStores.empty()) {
+    StoreHandle store = RemainingStores.front();
+    RemainingStores.erase(RemainingStores.begin());
     Error reason;
     uint64_t transfer = Numbers.next();
-    if (!Stores.link(store).add({transfer, TransferKind::Export, Bytes->size(),
+    if (!Stores.link(store).add({transfer, TransferKind::Export,
+                                 PieceBytes->size(),
                                  step.Now + Settings.ExportDeadline},
                                 step.Now, reason))
       continue;
-    const Candidate &candidate = job.Candidates[job.At];
-    KeptMeta meta = metaOf(candidate, Copy++, step);
+    const Candidate &candidate = job.Candidates[job.NextCandidate];
+    KeptMeta meta = metaOf(candidate, CopyIndex++, step);
     auto chooser = [this, meta, wall = step.Wall](
                        std::span<const SampledPiece> sample, uint64_t bytes) {
       return Policy.chooseVictims(sample, bytes, meta, wall);
     };
-    Current.emplace(Writing{
-        CommittedWrite(job.Wish.Pieces[candidate.Index], *Bytes, chooser),
-        store, transfer, false, 0, meta});
+    CurrentWrite.emplace(
+        PieceWrite{CommittedWrite(job.Params.Pieces[candidate.Index],
+                                  *PieceBytes, chooser),
+                   store, transfer, false, 0, meta});
     return;
   }
-  Bytes.reset();
-  ++job.At;
-  nextPiece(step);
+  PieceBytes.reset();
+  ++job.NextCandidate;
+  exportNextPiece(step);
 }
 
 KeptMeta ExportFlow::metaOf(const Candidate &candidate, uint8_t copy,
                             const Step &step) const {
-  const ExportWish &wish = Jobs.front().Wish;
+  const ExportParams &params = Jobs.front().Params;
   KeptMeta out;
-  out.Organisation = wish.Organisation;
+  out.Organisation = params.Organisation;
   out.Index = candidate.Index;
   out.Tokens = PieceTokens;
   out.Sightings = candidate.Before.Count + 1;
   out.Copy = copy;
   out.KeptAt = step.Wall;
-  out.ExpiresAt = step.Wall + wish.KeepFor;
+  out.ExpiresAt = step.Wall + params.KeepFor;
   return out;
 }
 
 void ExportFlow::startTransfer(StoreHandle store, uint64_t transfer,
                                Step &step) {
-  if (!Current || Current->Transfer != transfer)
+  if (!CurrentWrite || CurrentWrite->Transfer != transfer)
     return Stores.link(store).cancel(transfer);
-  Current->InFlight = true;
+  CurrentWrite->InFlight = true;
   if (IsOverQuota)
-    Current->Call =
-        call(Asked::Replace, store, SamplePieces{Settings.SampleSize}, step);
+    CurrentWrite->Call = callStore(CallPurpose::Replace, store,
+                                   SamplePieces{Settings.SampleSize}, step);
   else
-    advance(Current->Write.step(), step);
+    performWriteStep(CurrentWrite->Write.step(), step);
 }
 
-void ExportFlow::replaceOwn(const StoreAnswer &answer, Step &step) {
+void ExportFlow::replaceOwnPieces(const StoreAnswer &answer, Step &step) {
   std::vector<SampledPiece> sample = sampleOf(answer);
   std::vector<SampledPiece> victims =
-      Policy.chooseVictims(sample, Bytes->size(), Current->Meta, step.Wall,
-                           Current->Meta.Organisation);
+      Policy.chooseVictims(sample, PieceBytes->size(), CurrentWrite->Meta,
+                           step.Wall, CurrentWrite->Meta.Organisation);
   if (victims.empty())
-    return endWrite(step);
+    return finishWrite(step);
   freeVictims(victims, step);
-  KeptUsage &usage = Usage[Current->Meta.Organisation];
+  OrganisationUsage &usage = Usage[CurrentWrite->Meta.Organisation];
   for (const SampledPiece &it : victims) {
     usage.Bytes -= std::min(usage.Bytes, it.Length);
     usage.Pieces -= std::min<uint64_t>(usage.Pieces, 1);
   }
-  advance(Current->Write.step(), step);
+  performWriteStep(CurrentWrite->Write.step(), step);
 }
 
 void ExportFlow::freeVictims(std::span<const SampledPiece> victims,
                              Step &step) {
   for (const SampledPiece &it : victims) {
-    call(Asked::Nothing, Current->Store, FreePiece{it.Key, it.Generation},
-         step);
+    callStore(CallPurpose::Free, CurrentWrite->Store,
+              FreePiece{it.Key, it.Generation}, step);
     auto meta = decodeMeta(it.Meta);
     record(step, EventKind::PieceEvicted, meta ? meta->Organisation : "",
            {static_cast<int64_t>(it.Length)});
@@ -121,24 +123,24 @@
 }
 
 void ExportFlow::onWrite(const StoreAnswer &answer, Step &step) {
-  CommittedWrite &write = Current->Write;
+  CommittedWrite &write = CurrentWrite->Write;
   const auto *generation = std::get_if<StoreGeneration>(&answer.Result);
   switch (write.step()) {
   case WriteStep::Create:
-    return advance(write.onCreated(generation ? generation->Generation : 0),
-                   step);
+    return performWriteStep(
+        write.onCreated(generation ? generation->Generation : 0), step);
   case WriteStep::Put:
-    return advance(write.onPut(putAnswer(answer)), step);
+    return performWriteStep(write.onPut(putAnswer(answer)), step);
   case WriteStep::Commit:
-    return advance(write.onCommit(commitAnswer(answer)), step);
+    return performWriteStep(write.onCommit(commitAnswer(answer)), step);
   case WriteStep::ReadGeneration: {
     std::optional<uint64_t> visible;
     if (generation)
       visible = generation->Generation;
-    return advance(write.onGeneration(visible), step);
+    return performWriteStep(write.onGeneration(visible), step);
   }
   case WriteStep::Sample:
-    return advance(write.onSample(sampleOf(answer)), step);
+    return performWriteStep(write.onSample(sampleOf(answer)), step);
   case WriteStep::Evict:
   case WriteStep::Free:
   case WriteStep::Done:
@@ -146,11 +148,12 @@
   }
 }
 
-void ExportFlow::advance(WriteStep next, Step &step) {
-  CommittedWrite &write = Current->Write;
-  StoreHandle store = Current->Store;
+void ExportFlow::performWriteStep(WriteStep next, Step &step) {
+  CommittedWrite &write = CurrentWrite->Write;
+  StoreHandle store = CurrentWrite->Store;
   auto ask = [&](StoreRequest request) {
-    Current->Call = call(Asked::Write, store, std::move(request), step);
+    CurrentWrite->Call =
+        callStore(CallPurpose::Write, store, std::move(request), step);
   };
   switch (next) {
   case WriteStep::Create:
@@ -161,36 +164,37 @@
   case WriteStep::Commit:
     return ask(CommitPiece{write.key(), write.generation(),
                            write.frame().size(), hexDigest(write.checksum()),
-                           encodeMeta(Current->Meta)});
+                           encodeMeta(CurrentWrite->Meta)});
   case WriteStep::ReadGeneration:
     return ask(ReadGeneration{write.key()});
   case WriteStep::Sample:
     return ask(SamplePieces{Settings.SampleSize});
   case WriteStep::Evict:
     freeVictims(write.victims(), step);
-    return advance(write.onEvicted(), step);
+    return performWriteStep(write.onEvicted(), step);
   case WriteStep::Free:
-    call(Asked::Nothing, store, FreePiece{write.key(), write.generation()},
-         step);
-    return advance(write.onFreed(), step);
+    callStore(CallPurpose::Free, store,
+              FreePiece{write.key(), write.generation()}, step);
+    return performWriteStep(write.onFreed(), step);
   case WriteStep::Done:
-    return endWrite(step);
+    return finishWrite(step);
   }
 }
 
-void ExportFlow::endWrite(Step &step) {
-  uint64_t bytes = Current->Write.frame().size();
-  Stores.link(Current->Store).finish(Current->Transfer, bytes, step.Now);
-  if (Current->Write.result() == WriteResult::Committed) {
-    KeptUsage &usage = Usage[Jobs.front().Wish.Organisation];
+void ExportFlow::finishWrite(Step &step) {
+  uint64_t bytes = CurrentWrite->Write.frame().size();
+  Stores.link(CurrentWrite->Store)
+      .finish(CurrentWrite->Transfer, bytes, step.Now);
+  if (CurrentWrite->Write.result() == WriteResult::Committed) {
+    OrganisationUsage &usage = Usage[Jobs.front().Params.Organisation];
     usage.Bytes += bytes;
     ++usage.Pieces;
-    record(step, EventKind::PieceExported, Jobs.front().Wish.Organisation,
-           {Current->Meta.Index, static_cast<int64_t>(bytes),
-            Current->Store.Index, Current->Meta.Copy});
+    record(step, EventKind::PieceExported, Jobs.front().Params.Organisation,
+           {CurrentWrite->Meta.Index, static_cast<int64_t>(bytes),
+            CurrentWrite->Store.Index, CurrentWrite->Meta.Copy});
   }
-  Current.reset();
-  nextTarget(step);
+  CurrentWrite.reset();
+  writeToNextStore(step);
 }
 
 } // namespace daisytack::serve
--- a/src/serve/agent_fetch.cpp
+++ b/src/serve/agent_fetch.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double Micros = 1e6;
+constexpr double MicrosPerSecond = 1e6;
 
 } // namespace
 
@@ -18,7 +18,7 @@
       Hooks(std::move(hooks)) {}
 
 bool FetchFlow::isInEngine(const PieceKey &piece) const {
-  return View.presenceProbability(piece) >= Settings.Bet;
+  return View.presenceProbability(piece) >= Settings.MinPresence;
 }
 
 uint32_t FetchFlow::presentPieces(std::span<const PieceKey> pieces) const {
@@ -28,30 +28,30 @@
   return n;
 }
 
-void FetchFlow::begin(FetchWish wish, Step &step) {
-  RequestId id = wish.Id;
+void FetchFlow::begin(FetchParams params, Step &step) {
+  RequestId id = params.Id;
   Job &job = Jobs[id];
-  job.Wish = std::move(wish);
-  job.Present = presentPieces(job.Wish.Pieces);
-  job.Reused = job.Present;
-  job.Hits.resize(job.Wish.Pieces.size());
-  if (job.Present < job.Wish.Pieces.size())
+  job.Params = std::move(params);
+  job.PresentPieces = presentPieces(job.Params.Pieces);
+  job.ReusablePieces = job.PresentPieces;
+  job.Hits.resize(job.Params.Pieces.size());
+  if (job.PresentPieces < job.Params.Pieces.size())
     lookUp(job, step);
-  if (job.Lookups == 0)
-    settle(id, step);
+  if (job.PendingLookups == 0)
+    finishJob(id, step);
 }
 
 void FetchFlow::lookUp(Job &job, Step &step) {
   std::map<StoreHandle, std::vector<PieceKey>> keys;
-  const auto &pieces = job.Wish.Pieces;
-  for (size_t i = job.Present; i < pieces.size(); ++i)
+  const auto &pieces = job.Params.Pieces;
+  for (size_t i = job.PresentPieces; i < pieces.size(); ++i)
     for (StoreHandle store :
          Stores.storesOf(pieces, i, MaxStoreCopies, step.Now))
       keys[store].push_back(pieces[i]);
   for (auto &[store, wanted] : keys) {
     CallId call = Numbers.next();
-    LookupCalls[call] = job.Wish.Id;
-    ++job.Lookups;
+    LookupCalls[call] = job.Params.Id;
+    ++job.PendingLookups;
     step.Out.push_back(CallStore{call, store, LookupPieces{std::move(wanted)},
                                  Stores.settings().LookupTimeout});
   }
@@ -69,7 +69,7 @@
     return false;
   PieceKey key = it->second;
   ReadCalls.erase(it);
-  if (auto fetch = Pieces.find(key); fetch != Pieces.end())
+  if (auto fetch = ActiveFetches.find(key); fetch != ActiveFetches.end())
     onRead(fetch->second, answer, step);
   return true;
 }
@@ -85,14 +85,15 @@
   Job &job = it->second;
   if (const auto *found = std::get_if<StoreFound>(&answer.Result))
     for (const FoundPiece &piece : found->Pieces)
-      takeHit(job, answer.Store, piece);
-  if (--job.Lookups == 0)
-    plan(job, step);
+      recordHit(job, answer.Store, piece);
+  if (--job.PendingLookups == 0)
+    planFetches(job, step);
 }
 
 /// The memory tier is preferred among copies.
-void FetchFlow::takeHit(Job &job, StoreHandle store, const FoundPiece &found) {
-  const auto &pieces = job.Wish.Pieces;
+void FetchFlow::recordHit(Job &job, StoreHandle store,
+                          const FoundPiece &found) {
+  const auto &pieces = job.Params.Pieces;
   auto at = std::find(pieces.begin(), pieces.end(), found.Key);
   if (at == pieces.end())
     return;
@@ -101,74 +102,74 @@
     hit = Hit{store, {found.Key, found.Generation, found.Length}, found.OnDisk};
 }
 
-void FetchFlow::plan(Job &job, Step &step) {
-  const FetchWish &wish = job.Wish;
-  std::vector<PieceState> states(wish.Pieces.size());
+void FetchFlow::planFetches(Job &job, Step &step) {
+  const FetchParams &params = job.Params;
+  std::vector<PieceState> states(params.Pieces.size());
   for (size_t i = 0; i < states.size(); ++i) {
-    states[i].InEngine = isInEngine(wish.Pieces[i]);
+    states[i].InEngine = isInEngine(params.Pieces[i]);
     if (const auto &hit = job.Hits[i])
       states[i].Stored = StoredPiece{
           hit->Found.Generation, hit->Found.Length,
           hit->OnDisk ? StoreTier::Disk : StoreTier::Memory, hit->Store.Index};
   }
   std::vector<LinkState> links =
-      Stores.linkStates(wish.ExpectedStart, step.Now);
+      Stores.linkStates(params.ExpectedStart, step.Now);
   PlanInput input;
   input.Pieces = states;
   input.Links = links;
-  input.PromptTokens = wish.PromptTokens;
-  input.QueueWait = std::max(Duration(0), wish.ExpectedStart - step.Now);
+  input.PromptTokens = params.PromptTokens;
+  input.QueueWait = std::max(Duration(0), params.ExpectedStart - step.Now);
   input.PrefillTokensPerSecond = Hooks.PrefillRate();
-  input.FirstTokenLimit = wish.FirstTokenLimit - step.Now;
+  input.FirstTokenLimit = params.FirstTokenLimit - step.Now;
   FetchPlan plan = planFetch(input, Settings.Weights);
-  record(step, EventKind::ContextPlanned, wish,
-         {static_cast<int64_t>(plan.RecomputeCost * Micros),
-          static_cast<int64_t>(plan.Cost * Micros),
+  record(step, EventKind::ContextPlanned, params,
+         {static_cast<int64_t>(plan.RecomputeCost * MicrosPerSecond),
+          static_cast<int64_t>(plan.Cost * MicrosPerSecond),
           static_cast<int64_t>(plan.Fetch.size()),
-          static_cast<int64_t>(wish.Pieces.size())});
+          static_cast<int64_t>(params.Pieces.size())});
   startFetches(job, plan, step);
 }
 
 void FetchFlow::startFetches(Job &job, const FetchPlan &plan, Step &step) {
-  RequestId id = job.Wish.Id;
-  job.Reused = plan.ReusedPieces;
+  RequestId id = job.Params.Id;
+  job.ReusablePieces = plan.ReusedPieces;
   job.Missing.insert(plan.Fetch.begin(), plan.Fetch.end());
-  job.LookAt = step.Now + std::max(plan.FetchTime, Settings.LeastWait);
+  job.RecheckAt = step.Now + std::max(plan.FetchTime, Settings.MinRecheckDelay);
   job.IsFetching = !plan.Fetch.empty();
   if (job.IsFetching) {
-    record(step, EventKind::FetchStarted, job.Wish,
+    record(step, EventKind::FetchStarted, job.Params,
            {static_cast<int64_t>(plan.Fetch.size()),
             static_cast<int64_t>(plan.Bytes), plan.FetchTime.count()});
-    News.push_back({id, false, step.Now + plan.FetchTime,
-                    plan.ReusedPieces * PieceTokens});
+    Updates.push_back({id, false, step.Now + plan.FetchTime,
+                       plan.ReusedPieces * PieceTokens});
   }
   for (uint32_t index : plan.Fetch)
     if (job.Missing.contains(index))
-      joinFetch(job, index, step);
-  settleIfDone(id, step);
+      startOrJoinFetch(job, index, step);
+  finishJobIfDone(id, step);
 }
 
-void FetchFlow::joinFetch(Job &job, uint32_t index, Step &step) {
-  const PieceKey &key = job.Wish.Pieces[index];
-  if (auto it = Pieces.find(key); it != Pieces.end()) {
-    it->second.Waiters.push_back(job.Wish.Id);
+void FetchFlow::startOrJoinFetch(Job &job, uint32_t index, Step &step) {
+  const PieceKey &key = job.Params.Pieces[index];
+  if (auto it = ActiveFetches.find(key); it != ActiveFetches.end()) {
+    it->second.Waiters.push_back(job.Params.Id);
     return;
   }
   const Hit &hit = *job.Hits[index];
-  PieceFetch fetch(VerifiedRead(key, job.Wish.Version), hit.Store);
+  PieceFetch fetch(VerifiedRead(key, job.Params.Version), hit.Store);
   fetch.Index = index;
-  fetch.KeepFor = job.Wish.KeepFor;
-  fetch.Organisation = job.Wish.Organisation;
-  fetch.Waiters.push_back(job.Wish.Id);
+  fetch.KeepFor = job.Params.KeepFor;
+  fetch.Organisation = job.Params.Organisation;
+  fetch.Waiters.push_back(job.Params.Id);
   fetch.Transfer = Numbers.next();
   Error reason;
   if (fetch.Read.onLookup(hit.Found) != ReadStep::FetchBytes ||
       !Stores.link(hit.Store).add({fetch.Transfer, TransferKind::Fetch,
-                                   hit.Found.Length, job.Wish.ExpectedStart},
+                                   hit.Found.Length, job.Params.ExpectedStart},
                                   step.Now, reason))
-    return loseTail(job, index, step);
+    return dropFromIndex(job, index, step);
   Transfers[fetch.Transfer] = key;
-  Pieces.emplace(key, std::move(fetch));
+  ActiveFetches.emplace(key, std::move(fetch));
 }
 
 void FetchFlow::startTransfer(StoreHandle store, uint64_t transfer,
@@ -176,7 +177,7 @@
   auto it = Transfers.find(transfer);
   if (it == Transfers.end())
     return Stores.link(store).cancel(transfer);
-  PieceFetch &fetch = Pieces.at(it->second);
+  PieceFetch &fetch = ActiveFetches.at(it->second);
   fetch.InFlight = true;
   callStore(fetch, ReadPiece{fetch.Read.key()}, step);
 }
@@ -192,31 +193,31 @@
   if (const auto *error = std::get_if<Error>(&answer.Result)) {
     if (isStoreFailure(*error))
       Stores.onFailed(fetch.Store, step.Now);
-    return next(fetch, fetch.Read.onFailure(), step);
+    return handleReadStep(fetch, fetch.Read.onFailure(), step);
   }
   if (auto *bytes = std::get_if<StoreBytes>(&answer.Result)) {
-    leaveLink(fetch, bytes->Bytes.size(), step.Now);
+    releaseLink(fetch, bytes->Bytes.size(), step.Now);
     if (!mayUse(fetch, *bytes, step))
-      return next(fetch, fetch.Read.onFailure(), step);
+      return handleReadStep(fetch, fetch.Read.onFailure(), step);
     ReadStep read = fetch.Read.onHeader(
         {bytes->Generation, bytes->Length, bytes->Checksum});
     if (read == ReadStep::FetchBytes)
       read = fetch.Read.onBytes(std::move(bytes->Bytes));
-    return next(fetch, read, step);
+    return handleReadStep(fetch, read, step);
   }
   if (const auto *now = std::get_if<StoreGeneration>(&answer.Result))
-    return next(fetch,
-                fetch.Read.onGeneration(now->Generation, Hooks.EngineVersion()),
-                step);
-  next(fetch, fetch.Read.onFailure(), step);
+    return handleReadStep(
+        fetch, fetch.Read.onGeneration(now->Generation, Hooks.EngineVersion()),
+        step);
+  handleReadStep(fetch, fetch.Read.onFailure(), step);
 }
 
-void FetchFlow::next(PieceFetch &fetch, ReadStep read, Step &step) {
+void FetchFlow::handleReadStep(PieceFetch &fetch, ReadStep read, Step &step) {
   if (read == ReadStep::CheckGeneration)
     return callStore(fetch, ReadGeneration{fetch.Read.key()}, step);
   if (read == ReadStep::Import) {
     CallId call = Numbers.next();
-    Imports[call] = fetch.Read.key();
+    ImportCalls[call] = fetch.Read.key();
     step.Out.push_back(
         ImportPiece{call, fetch.Read.key(),
                     std::make_shared<const std::string>(fetch.Read.payload())});
@@ -232,24 +233,24 @@
 }
 
 bool FetchFlow::onImport(const PieceImport &answer, Step &step) {
-  auto it = Imports.find(answer.Call);
-  if (it == Imports.end())
+  auto it = ImportCalls.find(answer.Call);
+  if (it == ImportCalls.end())
     return false;
   PieceKey key = it->second;
-  Imports.erase(it);
+  ImportCalls.erase(it);
   finishFetch(key, !answer.Why, step);
   return true;
 }
 
 void FetchFlow::finishFetch(PieceKey key, bool imported, Step &step) {
-  auto it = Pieces.find(key);
-  if (it == Pieces.end())
+  auto it = ActiveFetches.find(key);
+  if (it == ActiveFetches.end())
     return;
-  leaveLink(it->second, 0, step.Now);
+  releaseLink(it->second, 0, step.Now);
   std::vector<RequestId> waiters = std::move(it->second.Waiters);
   uint32_t index = it->second.Index;
   ReadCalls.erase(it->second.Call);
-  Pieces.erase(it);
+  ActiveFetches.erase(it);
   for (const RequestId &id : waiters) {
     auto job = Jobs.find(id);
     if (job == Jobs.end())
@@ -257,8 +258,8 @@
     if (imported)
       job->second.Missing.erase(index);
     else
-      loseTail(job->second, index, step);
-    settleIfDone(id, step);
+      dropFromIndex(job->second, index, step);
+    finishJobIfDone(id, step);
   }
 }
 
--- a/src/serve/agent_fetch.h
+++ b/src/serve/agent_fetch.h
@@ -17,12 +17,13 @@
 
 struct FetchSettings {
   PlanWeights Weights = firstTokenWeights();
-  double Bet = 0.9; ///< Chance of being in the engine that is relied on.
-  Duration LeastWait{10'000}; ///< Between two looks at a late fetch.
+  double MinPresence =
+      0.9; ///< Chance of being in the engine that is relied on.
+  Duration MinRecheckDelay{10'000}; ///< Between two looks at a late fetch.
 };
 
 /// What a waiting request wants.
-struct FetchWish {
+struct FetchParams {
   RequestId Id;
   Attempt Try = 0;
   std::string Organisation;
@@ -35,9 +36,9 @@
 };
 
 /// Something that the core wants to know of a request's context.
-struct FetchNews {
+struct FetchUpdate {
   RequestId Id;
-  bool Settled = false; ///< Nothing more will be imported for it.
+  bool IsFinal = false; ///< Nothing more will be imported for it.
   TimePoint Ready;      ///< When not settled: the fetch is expected to be over.
   uint32_t ReusedTokens = 0; ///< That the engine will not have to prefill.
 };
@@ -59,7 +60,7 @@
   /// Leading pieces that the engine is believed to have.
   uint32_t presentPieces(std::span<const PieceKey> pieces) const;
 
-  void begin(FetchWish wish, Step &step);
+  void begin(FetchParams params, Step &step);
   /// The request no longer waits.
   void abandon(const RequestId &id, Step &step);
   /// False when the request has no fetch, or it is over.
@@ -71,9 +72,9 @@
   bool onImport(const PieceImport &answer, Step &step);
   void onTimer(Step &step);
   std::optional<TimePoint> nextTimer() const;
-  std::vector<FetchNews> takeNews();
+  std::vector<FetchUpdate> takeUpdates();
   /// Pieces on their way into the engine.
-  size_t importing() const { return Imports.size(); }
+  size_t importing() const { return ImportCalls.size(); }
 
 private:
   struct Hit {
@@ -82,14 +83,14 @@
     bool OnDisk = false;
   };
   struct Job {
-    FetchWish Wish;
-    uint32_t Present = 0;
+    FetchParams Params;
+    uint32_t PresentPieces = 0;
     std::vector<std::optional<Hit>> Hits;
-    uint32_t Lookups = 0;       ///< Not answered yet.
-    std::set<uint32_t> Missing; ///< Indices on their way.
-    uint32_t Reused = 0;        ///< Pieces, if all goes well.
+    uint32_t PendingLookups = 0; ///< Not answered yet.
+    std::set<uint32_t> Missing;  ///< Indices on their way.
+    uint32_t ReusablePieces = 0; ///< Pieces, if all goes well.
     bool IsFetching = false;
-    TimePoint LookAt = TimePoint::max(); ///< When it counts as late.
+    TimePoint RecheckAt = TimePoint::max(); ///< When it counts as late.
   };
   struct PieceFetch {
     PieceFetch(VerifiedRead read, StoreHandle store)
@@ -105,7 +106,7 @@
     std::string Organisation;
     std::vector<RequestId> Waiters;
   };
-  using Fetches = std::unordered_map<PieceKey, PieceFetch>;
+  using FetchMap = std::unordered_map<PieceKey, PieceFetch>;
 
   bool isInEngine(const PieceKey &piece) const;
   /// A fetch is later than planned: wait on, or run with what is there.
@@ -113,22 +114,22 @@
   Duration remainingTime(const Job &job, TimePoint now) const;
   void lookUp(Job &job, Step &step);
   void onLookup(const RequestId &id, const StoreAnswer &answer, Step &step);
-  void takeHit(Job &job, StoreHandle store, const FoundPiece &found);
-  void plan(Job &job, Step &step);
+  void recordHit(Job &job, StoreHandle store, const FoundPiece &found);
+  void planFetches(Job &job, Step &step);
   void startFetches(Job &job, const FetchPlan &plan, Step &step);
-  void joinFetch(Job &job, uint32_t index, Step &step);
+  void startOrJoinFetch(Job &job, uint32_t index, Step &step);
   void onRead(PieceFetch &fetch, StoreAnswer &answer, Step &step);
-  void next(PieceFetch &fetch, ReadStep read, Step &step);
+  void handleReadStep(PieceFetch &fetch, ReadStep read, Step &step);
   void callStore(PieceFetch &fetch, StoreRequest request, Step &step);
   bool mayUse(const PieceFetch &fetch, const StoreBytes &bytes,
               const Step &step) const;
-  void leaveLink(PieceFetch &fetch, uint64_t bytes, TimePoint now);
+  void releaseLink(PieceFetch &fetch, uint64_t bytes, TimePoint now);
   void finishFetch(PieceKey key, bool imported, Step &step);
-  void loseTail(Job &job, uint32_t index, Step &step);
+  void dropFromIndex(Job &job, uint32_t index, Step &step);
   void dropWaiter(const RequestId &id, const PieceKey &key, Step &step);
-  void settle(const RequestId &id, Step &step);
-  void settleIfDone(const RequestId &id, Step &step);
-  void record(Step &step, EventKind kind, const FetchWish &wish,
+  void finishJob(const RequestId &id, Step &step);
+  void finishJobIfDone(const RequestId &id, Step &step);
+  void record(Step &step, EventKind kind, const FetchParams &params,
               std::array<int64_t, Event::MaxScores> scores = {}) const;
 
   FetchSettings Settings;
@@ -137,12 +138,12 @@
   CallNumbers &Numbers;
   FetchHooks Hooks;
   std::map<RequestId, Job> Jobs;
-  Fetches Pieces;
+  FetchMap ActiveFetches;
   std::unordered_map<CallId, RequestId> LookupCalls;
   std::unordered_map<CallId, PieceKey> ReadCalls;
-  std::unordered_map<CallId, PieceKey> Imports;
+  std::unordered_map<CallId, PieceKey> ImportCalls;
   std::unordered_map<uint64_t, PieceKey> Transfers;
-  std::vector<FetchNews> News;
+  std::vector<FetchUpdate> Updates;
 };
 
 } // namespace daisytack::serve
--- a/src/serve/agent_fetch_end.cpp
+++ b/src/serve/agent_fetch_end.cpp
@@ -21,7 +21,7 @@
          step.Wall - meta->KeptAt < fetch.KeepFor;
 }
 
-void FetchFlow::leaveLink(PieceFetch &fetch, uint64_t bytes, TimePoint now) {
+void FetchFlow::releaseLink(PieceFetch &fetch, uint64_t bytes, TimePoint now) {
   if (fetch.Transfer == 0)
     return;
   if (fetch.InFlight)
@@ -34,18 +34,18 @@
 
 /// A prefix is reused up to its first missing piece: those behind it are of no
 /// use to this request any more.
-void FetchFlow::loseTail(Job &job, uint32_t index, Step &step) {
-  job.Reused = std::min(job.Reused, index);
+void FetchFlow::dropFromIndex(Job &job, uint32_t index, Step &step) {
+  job.ReusablePieces = std::min(job.ReusablePieces, index);
   std::vector<uint32_t> lost(job.Missing.lower_bound(index), job.Missing.end());
   job.Missing.erase(job.Missing.lower_bound(index), job.Missing.end());
   for (uint32_t it : lost)
-    dropWaiter(job.Wish.Id, job.Wish.Pieces[it], step);
+    dropWaiter(job.Params.Id, job.Params.Pieces[it], step);
 }
 
 void FetchFlow::dropWaiter(const RequestId &id, const PieceKey &key,
                            Step &step) {
-  auto it = Pieces.find(key);
-  if (it == Pieces.end())
+  auto it = ActiveFetches.find(key);
+  if (it == ActiveFetches.end())
     return;
   PieceFetch &fetch = it->second;
   std::erase(fetch.Waiters, id);
@@ -54,40 +54,42 @@
     return;
   if (ReadCalls.erase(fetch.Call) != 0)
     step.Out.push_back(StopStoreCall{fetch.Call});
-  leaveLink(fetch, 0, step.Now);
-  Pieces.erase(it);
+  releaseLink(fetch, 0, step.Now);
+  ActiveFetches.erase(it);
 }
 
 void FetchFlow::abandon(const RequestId &id, Step &step) {
   auto it = Jobs.find(id);
   if (it == Jobs.end())
     return;
-  loseTail(it->second, 0, step);
+  dropFromIndex(it->second, 0, step);
   Jobs.erase(it);
 }
 
-void FetchFlow::settle(const RequestId &id, Step &step) {
+void FetchFlow::finishJob(const RequestId &id, Step &step) {
   auto it = Jobs.find(id);
   if (it == Jobs.end())
     return;
   const Job &job = it->second;
-  News.push_back({id, true, step.Now, job.Reused * PieceTokens});
+  Updates.push_back({id, true, step.Now, job.ReusablePieces * PieceTokens});
   if (job.IsFetching)
-    record(step, EventKind::FetchFinished, job.Wish,
-           {job.Reused, static_cast<int64_t>(job.Wish.Pieces.size())});
+    record(
+        step, EventKind::FetchFinished, job.Params,
+        {job.ReusablePieces, static_cast<int64_t>(job.Params.Pieces.size())});
   Jobs.erase(it);
 }
 
-void FetchFlow::settleIfDone(const RequestId &id, Step &step) {
+void FetchFlow::finishJobIfDone(const RequestId &id, Step &step) {
   auto it = Jobs.find(id);
-  if (it != Jobs.end() && it->second.Lookups == 0 && it->second.Missing.empty())
-    settle(id, step);
+  if (it != Jobs.end() && it->second.PendingLookups == 0 &&
+      it->second.Missing.empty())
+    finishJob(id, step);
 }
 
 void FetchFlow::onTimer(Step &step) {
   std::vector<RequestId> late;
   for (const auto &[id, job] : Jobs)
-    if (job.LookAt <= step.Now)
+    if (job.RecheckAt <= step.Now)
       late.push_back(id);
   for (const RequestId &id : late)
     if (auto it = Jobs.find(id); it != Jobs.end())
@@ -95,32 +97,34 @@
 }
 
 void FetchFlow::onLate(Job &job, Step &step) {
-  const FetchWish &wish = job.Wish;
-  uint32_t first = job.Missing.empty() ? job.Reused : *job.Missing.begin();
+  const FetchParams &params = job.Params;
+  uint32_t first =
+      job.Missing.empty() ? job.ReusablePieces : *job.Missing.begin();
   LateFetch late;
   late.Remaining = remainingTime(job, step.Now);
-  late.QueueWait = std::max(Duration(0), wish.ExpectedStart - step.Now);
-  late.TokensAtStake = (job.Reused - first) * PieceTokens;
+  late.QueueWait = std::max(Duration(0), params.ExpectedStart - step.Now);
+  late.TokensAtStake = (job.ReusablePieces - first) * PieceTokens;
   late.PrefillTokensPerSecond = Hooks.PrefillRate();
-  late.Limit = wish.FirstTokenLimit - step.Now;
+  late.Limit = params.FirstTokenLimit - step.Now;
   if (isWorthWaiting(late, Settings.Weights)) {
-    job.LookAt = step.Now + std::max(late.Remaining, Settings.LeastWait);
+    job.RecheckAt =
+        step.Now + std::max(late.Remaining, Settings.MinRecheckDelay);
     return;
   }
-  loseTail(job, first, step);
-  settle(RequestId(wish.Id), step);
+  dropFromIndex(job, first, step);
+  finishJob(RequestId(params.Id), step);
 }
 
 /// By the rate that the links can expect now.
 Duration FetchFlow::remainingTime(const Job &job, TimePoint now) const {
   Duration out{0};
   for (uint32_t index : job.Missing) {
-    auto it = Pieces.find(job.Wish.Pieces[index]);
-    if (it == Pieces.end())
+    auto it = ActiveFetches.find(job.Params.Pieces[index]);
+    if (it == ActiveFetches.end())
       continue;
     const LinkScheduler &link = Stores.link(it->second.Store);
     double bytes =
-        static_cast<double>(link.backlogBefore(job.Wish.ExpectedStart));
+        static_cast<double>(link.backlogBefore(job.Params.ExpectedStart));
     double seconds = bytes / std::max(1.0, link.bytesPerSecond(now));
     out = std::max(
         out, Duration(static_cast<int64_t>(seconds * Duration(1s).count())));
@@ -131,22 +135,24 @@
 std::optional<TimePoint> FetchFlow::nextTimer() const {
   TimePoint out = TimePoint::max();
   for (const auto &[id, job] : Jobs)
-    out = std::min(out, job.LookAt);
+    out = std::min(out, job.RecheckAt);
   if (out == TimePoint::max())
     return std::nullopt;
   return out;
 }
 
-std::vector<FetchNews> FetchFlow::takeNews() { return std::exchange(News, {}); }
+std::vector<FetchUpdate> FetchFlow::takeUpdates() {
+  return std::exchange(Updates, {});
+}
 
-void FetchFlow::record(Step &step, EventKind kind, const FetchWish &wish,
+void FetchFlow::record(Step &step, EventKind kind, const FetchParams &params,
                        std::array<int64_t, Event::MaxScores> scores) const {
   Event event;
   event.Kind = kind;
-  event.Request = wish.Id;
-  event.Try = wish.Try;
+  event.Request = params.Id;
+  event.Try = params.Try;
   event.Scores = scores;
-  event.Subject = wish.Organisation;
+  event.Subject = params.Organisation;
   step.Out.push_back(RecordEvent{std::move(event)});
 }
 
--- a/src/serve/agent_impl.h
+++ b/src/serve/agent_impl.h
@@ -104,7 +104,7 @@
   void keepContext(const Run &run, const RunDone &done, Step &step);
   /// Applies what fetches have come to, and starts what the links permit.
   void settleContext(Step &step);
-  void onFetchNews(const FetchNews &news, Step &step);
+  void onFetchNews(const FetchUpdate &news, Step &step);
   void startTransfers(Step &step);
 
   // Weight versions.
--- a/src/serve/agent_runs.cpp
+++ b/src/serve/agent_runs.cpp
@@ -231,7 +231,7 @@
 
 /// Only finished answers go, the oldest first: a running one may still be read.
 void AgentCore::Impl::boundHeldBytes() {
-  while (HeldBytes > Settings.MaxHeldBytes && !FinishedOrder.empty()) {
+  while (HeldBytes > Settings.MaxTotalAnswerBytes && !FinishedOrder.empty()) {
     RequestId id = FinishedOrder.front();
     FinishedOrder.pop_front();
     Run *run = Runs.find(id);
--- a/tests/serve_agent/agent_context_test.cpp
+++ b/tests/serve_agent/agent_context_test.cpp
@@ -40,7 +40,7 @@
   AgentRig rig(withStores());
   FakePlatform platform(rig);
   for (uint8_t i = 1; i <= Pieces; ++i)
-    platform.keep({i % 2U}, keyOf(i));
+    platform.storePiece({i % 2U}, keyOf(i));
   rig.offer(longOffer(1));
   EXPECT_TRUE(rig.Started.empty());
   platform.answerAll();
@@ -48,48 +48,49 @@
   ASSERT_EQ(platform.Imported.size(), Pieces);
   for (const auto &[key, bytes] : platform.Imported)
     EXPECT_EQ(bytes, payloadOf(key));
-  EXPECT_EQ(rig.events(EventKind::ContextPlanned), 1U);
-  EXPECT_EQ(rig.events(EventKind::FetchFinished), 1U);
+  EXPECT_EQ(rig.eventCount(EventKind::ContextPlanned), 1U);
+  EXPECT_EQ(rig.eventCount(EventKind::FetchFinished), 1U);
 }
 
 TEST(AgentContext, TwoPromptsShareOneFetch) {
   AgentRig rig(withStores());
   FakePlatform platform(rig);
   for (uint8_t i = 1; i <= Pieces; ++i)
-    platform.keep({0}, keyOf(i));
+    platform.storePiece({0}, keyOf(i));
   rig.offer(longOffer(1));
   rig.offer(longOffer(2));
   platform.answerAll();
   EXPECT_EQ(rig.Started.size(), 2U);
-  EXPECT_EQ(platform.Asked["read"], Pieces);
+  EXPECT_EQ(platform.CallCounts["read"], Pieces);
 }
 
-TEST(AgentContext, FaultyPieceIsNeverImportedAndTheRunGoesOn) {
+TEST(AgentContext, FaultyPieceIsNotImportedAndTheRunStarts) {
   for (StoreFault fault :
-       {StoreFault::Silent, StoreFault::Torn, StoreFault::Corrupt,
-        StoreFault::MisKeyed, StoreFault::FreedBetween,
-        StoreFault::ReusedBetween, StoreFault::Expired, StoreFault::Foreign}) {
+       {StoreFault::Unreachable, StoreFault::Truncated, StoreFault::BitFlip,
+        StoreFault::WrongKey, StoreFault::FreedAfterRead,
+        StoreFault::ReplacedAfterLookup, StoreFault::Expired,
+        StoreFault::OtherOrganisation}) {
     AgentRig rig(withStores());
     FakePlatform platform(rig);
     platform.Fault = fault;
     for (uint8_t i = 1; i <= Pieces; ++i)
-      platform.keep({0}, keyOf(i));
+      platform.storePiece({0}, keyOf(i));
     rig.offer(longOffer(1));
     platform.answerAll();
     EXPECT_EQ(rig.Started.size(), 1U) << static_cast<int>(fault);
     EXPECT_TRUE(platform.Imported.empty()) << static_cast<int>(fault);
-    size_t rejected = fault == StoreFault::Silent ? 0 : 1;
-    EXPECT_GE(rig.events(EventKind::PieceRejected), rejected)
+    size_t rejected = fault == StoreFault::Unreachable ? 0 : 1;
+    EXPECT_GE(rig.eventCount(EventKind::PieceRejected), rejected)
         << static_cast<int>(fault);
   }
 }
 
-TEST(AgentContext, SwapBetweenReadAndImportRejectsThePiece) {
+TEST(AgentContext, WeightSwapBetweenReadAndImportRejectsThePiece) {
   AgentRig rig(withStores());
   FakePlatform platform(rig);
-  platform.keep({0}, keyOf(1));
+  platform.storePiece({0}, keyOf(1));
   rig.offer(longOffer(1));
-  while (platform.Asked["read"] == 0)
+  while (platform.CallCounts["read"] == 0)
     ASSERT_TRUE(platform.answerOne());
   EngineStatus next = engineStatus();
   next.Version = "v2";
@@ -100,15 +101,15 @@
   EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).Kind, ErrorKind::NotReady);
 }
 
-TEST(AgentContext, SlowFetchIsGivenUp) {
+TEST(AgentContext, SlowFetchIsAbandoned) {
   AgentRig rig(withStores());
   FakePlatform platform(rig);
   for (uint8_t i = 1; i <= Pieces; ++i)
-    platform.keep({0}, keyOf(i));
+    platform.storePiece({0}, keyOf(i));
   rig.offer(longOffer(1));
-  while (platform.Asked["read"] == 0)
+  while (platform.CallCounts["read"] == 0)
     ASSERT_TRUE(platform.answerOne());
-  rig.pass(Duration(2'000'000));
+  rig.advance(Duration(2'000'000));
   EXPECT_EQ(rig.Started.size(), 1U);
   platform.answerAll();
   EXPECT_EQ(rig.Started.size(), 1U);
@@ -117,9 +118,9 @@
 TEST(AgentContext, CancelledRequestStopsItsFetches) {
   AgentRig rig(withStores());
   FakePlatform platform(rig);
-  platform.keep({0}, keyOf(1));
+  platform.storePiece({0}, keyOf(1));
   rig.offer(longOffer(1));
-  while (platform.Asked["read"] == 0)
+  while (platform.CallCounts["read"] == 0)
     ASSERT_TRUE(platform.answerOne());
   rig.apply(LinkMessage{LinkA, wire::Cancel{{7, 1}, 1}});
   platform.answerAll();
@@ -128,7 +129,7 @@
   EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).Kind, ErrorKind::Cancelled);
 }
 
-TEST(AgentContext, ExportFollowsSecondSightOrClass) {
+TEST(AgentContext, ExportFollowsTheKeepRule) {
   struct Case {
     KeepRule Rule;
     size_t AfterFirst;
@@ -152,7 +153,7 @@
   }
 }
 
-TEST(AgentContext, WhatWasExportedComesBack) {
+TEST(AgentContext, ExportedPiecesAreFetchedAgain) {
   AgentRig rig(withStores());
   FakePlatform platform(rig);
   rig.offer(longOffer(1, KeepRule::Always));
@@ -170,7 +171,7 @@
 TEST(AgentContext, QuotaAndFullStoresAreRespected) {
   AgentRig rig(withStores());
   FakePlatform platform(rig);
-  platform.Used = 1 << 20;
+  platform.UsedBytes = 1 << 20;
   rig.offer(longOffer(1, KeepRule::Always));
   platform.answerAll();
   finish(rig, 0);
@@ -185,34 +186,34 @@
   finish(second, 0);
   full.answerAll();
   EXPECT_EQ(full.Pieces.size(), 0U);
-  EXPECT_GE(full.Asked["free"], Pieces);
+  EXPECT_GE(full.CallCounts["free"], Pieces);
 }
 
-TEST(AgentContext, OverQuotaAPieceReplacesOnlyItsOrganisationsOwn) {
-  for (StoreFault fault : {StoreFault::Foreign, StoreFault::None}) {
+TEST(AgentContext, PieceOverQuotaReplacesOnlyPiecesOfItsOrganisation) {
+  for (StoreFault fault : {StoreFault::OtherOrganisation, StoreFault::None}) {
     AgentRig rig(withStores());
     FakePlatform platform(rig);
-    platform.Used = 1 << 20;
+    platform.UsedBytes = 1 << 20;
     platform.Fault = fault;
     for (uint32_t store : {0U, 1U})
       for (uint8_t i = 50; i < 54; ++i)
-        platform.keep({store}, keyOf(i), Duration(1));
+        platform.storePiece({store}, keyOf(i), Duration(1));
     rig.Now += Duration(10);
     rig.offer(longOffer(1, KeepRule::Always));
     platform.answerAll();
     finish(rig, 0);
     platform.answerAll();
     bool own = fault == StoreFault::None;
-    EXPECT_EQ(platform.Asked["free"] > 0, own);
-    EXPECT_EQ(rig.events(EventKind::PieceExported) > 0, own);
+    EXPECT_EQ(platform.CallCounts["free"] > 0, own);
+    EXPECT_EQ(rig.eventCount(EventKind::PieceExported) > 0, own);
   }
 }
 
-TEST(AgentContext, EngineEventsSpareTheFetch) {
+TEST(AgentContext, PiecesInTheEngineAreNotFetched) {
   AgentRig rig(withStores());
   FakePlatform platform(rig);
   for (uint8_t i = 1; i <= Pieces; ++i)
-    platform.keep({0}, keyOf(i));
+    platform.storePiece({0}, keyOf(i));
   CacheEvents events;
   events.From = 1;
   events.Next = 1 + Pieces;
@@ -221,15 +222,15 @@
   rig.apply(events);
   rig.offer(longOffer(1));
   EXPECT_EQ(rig.Started.size(), 1U);
-  EXPECT_EQ(platform.Asked["lookup"], 0U);
+  EXPECT_EQ(platform.CallCounts["lookup"], 0U);
   CacheEvents gap;
   gap.From = 1 + Pieces;
   gap.Next = 20;
   rig.apply(gap);
-  EXPECT_EQ(rig.events(EventKind::CacheGap), 1U);
+  EXPECT_EQ(rig.eventCount(EventKind::CacheGap), 1U);
   rig.offer(longOffer(2));
   platform.answerAll();
-  EXPECT_GT(platform.Asked["lookup"], 0U);
+  EXPECT_GT(platform.CallCounts["lookup"], 0U);
 }
 
 } // namespace
--- a/tests/serve_agent/agent_core_test.cpp
+++ b/tests/serve_agent/agent_core_test.cpp
@@ -15,7 +15,7 @@
     EXPECT_FALSE(parseRunToken(bad)) << bad;
 }
 
-TEST(AgentCore, AcceptedAnswerArrivesWhole) {
+TEST(AgentCore, AcceptedAnswerIsDeliveredComplete) {
   AgentRig rig;
   rig.offer(offerOf(1));
   ASSERT_EQ(rig.Started.size(), 1U);
@@ -36,7 +36,7 @@
   ErrorKind Want;
 };
 
-TEST(AgentCore, RefusalsAreTypedAndNotRun) {
+TEST(AgentCore, RefusalsHaveAnErrorKindAndNotRun) {
   const RefusalCase cases[] = {
       {"model", [](AgentRig &, wire::Offer &o) { o.Model = "other"; },
        ErrorKind::UnknownModel},
@@ -88,7 +88,7 @@
   EXPECT_EQ(rig.Cancelled.size(), 1U);
 }
 
-TEST(AgentCore, RepeatedChunkIsDroppedAndMissingOneLosesTheAttempt) {
+TEST(AgentCore, RepeatedChunkIsDroppedAndMissingChunkFailsTheAttempt) {
   AgentRig rig;
   rig.offer(offerOf(1));
   RunToken run = rig.Started[0].Run;
@@ -101,7 +101,7 @@
   EXPECT_EQ(rig.lastTo<wire::Finished>(LinkA).Kind, ErrorKind::ServerFailed);
 }
 
-TEST(AgentCore, FailureIsNotRunOnlyWhenTheServerDidNothing) {
+TEST(AgentCore, FailureIsNotRunOnlyWhenTheBackendServerReportsIt) {
   for (Outcome ran : {Outcome::NotRun, Outcome::MayHaveRun}) {
     AgentRig rig;
     rig.offer(offerOf(1));
@@ -113,7 +113,7 @@
   }
 }
 
-TEST(AgentCore, LostEntryResumesOnAnotherLinkForItsOrganisationOnly) {
+TEST(AgentCore, AnswerResumesOnAnotherLinkForItsOrganisationOnly) {
   AgentRig rig;
   rig.offer(offerOf(1));
   RunToken run = rig.Started[0].Run;
@@ -130,30 +130,30 @@
   EXPECT_EQ(rig.lastTo<wire::Finished>(LinkB).Chunks, 3U);
 }
 
-TEST(AgentCore, FinishedAnswerIsKeptForTheWindow) {
+TEST(AgentCore, FinishedAnswerIsKeptForTheResumeWindow) {
   AgentRig rig;
   rig.offer(offerOf(1));
   RunToken run = rig.Started[0].Run;
   rig.apply(LinkClosed{LinkA});
   rig.text(run, "whole");
   rig.done(run);
-  rig.pass(Duration(5'000'000));
+  rig.advance(Duration(5'000'000));
   rig.apply(LinkMessage{LinkB, wire::Resume{run.Id, 1, "riga-buyers", 0}});
   EXPECT_EQ(rig.textTo(LinkB), "whole");
-  rig.pass(Duration(11'000'000));
+  rig.advance(Duration(11'000'000));
   rig.apply(LinkMessage{LinkB, wire::Resume{run.Id, 1, "riga-buyers", 0}});
   EXPECT_EQ(rig.lastTo<wire::Refused>(LinkB).Kind, ErrorKind::AnswerLost);
 }
 
-TEST(AgentCore, RunWithoutReaderStopsAfterTheWindow) {
+TEST(AgentCore, RunWithoutReaderIsCancelledAfterTheResumeWindow) {
   AgentRig rig;
   rig.offer(offerOf(1));
   rig.apply(LinkClosed{LinkA});
-  rig.pass(Duration(11'000'000));
+  rig.advance(Duration(11'000'000));
   EXPECT_EQ(rig.Cancelled.size(), 1U);
 }
 
-TEST(AgentCore, RepeatJoinsAndOtherBodyIsRefused) {
+TEST(AgentCore, RetryJoinsTheRunAndAnotherBodyIsRefused) {
   AgentRig rig;
   rig.offer(offerOf(1));
   RunToken run = rig.Started[0].Run;
@@ -182,7 +182,7 @@
   EXPECT_EQ(rig.sentTo<wire::Finished>(LinkA).size(), 1U);
 }
 
-TEST(AgentCore, RepeatOfAnOfferThatWasHandedBackIsRefused) {
+TEST(AgentCore, RepeatOfARefusedOfferIsNotRun) {
   AgentRig rig;
   rig.offer(offerOf(1));
   rig.apply(RunFailed{
@@ -193,7 +193,7 @@
   EXPECT_EQ(rig.Started.size(), 2U);
 }
 
-TEST(AgentCore, DrainFinishesWhatWasAccepted) {
+TEST(AgentCore, DrainFinishesAcceptedRequests) {
   AgentRig rig;
   for (uint64_t i = 1; i <= 3; ++i)
     rig.offer(offerOf(i));
@@ -207,7 +207,7 @@
   EXPECT_TRUE(rig.Core.isDrained());
 }
 
-TEST(AgentCore, SwapWhileWaitingHandsTheRequestBack) {
+TEST(AgentCore, WeightSwapRefusesWaitingRequests) {
   AgentRig rig;
   for (uint64_t i = 1; i <= 3; ++i)
     rig.offer(offerOf(i));
@@ -220,20 +220,20 @@
   EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).Ran, Outcome::NotRun);
 }
 
-TEST(AgentCore, PictureShowsRunningWaitingAndRefused) {
+TEST(AgentCore, SnapshotShowsRunningWaitingAndRefused) {
   AgentRig rig;
   for (uint64_t i = 1; i <= 3; ++i)
     rig.offer(offerOf(i));
   wire::Offer bad = offerOf(4);
   bad.Model = "other";
   rig.offer(bad);
-  rig.pass(Duration(100'000));
-  auto picture = rig.Core.snapshot().load();
-  EXPECT_EQ(picture->Runs.size(), 3U);
-  EXPECT_EQ(picture->Load.Running, 2U);
-  EXPECT_EQ(picture->Load.Waiting, 1U);
-  ASSERT_EQ(picture->Refusals.size(), 1U);
-  EXPECT_EQ(picture->Refusals[0].Kind, ErrorKind::UnknownModel);
+  rig.advance(Duration(100'000));
+  auto snapshot = rig.Core.snapshot().load();
+  EXPECT_EQ(snapshot->Runs.size(), 3U);
+  EXPECT_EQ(snapshot->Load.Running, 2U);
+  EXPECT_EQ(snapshot->Load.Waiting, 1U);
+  ASSERT_EQ(snapshot->Refusals.size(), 1U);
+  EXPECT_EQ(snapshot->Refusals[0].Kind, ErrorKind::UnknownModel);
 }
 
 } // namespace
--- a/tests/serve_agent/agent_decisions_test.cpp
+++ b/tests/serve_agent/agent_decisions_test.cpp
@@ -29,7 +29,7 @@
   return out;
 }
 
-TEST(AgentDecisions, AcceptsOnlyWhatFitsItsDeadline) {
+TEST(AgentDecisions, AcceptsOnlyRequestsThatMeetTheirDeadline) {
   AgentRig rig(oneSlot());
   rig.offer(offerWith(1, 5, 1'000));
   EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).Kind, ErrorKind::DeadlineTooShort);
@@ -45,7 +45,7 @@
   EXPECT_GT(refused.Load.WaitMicros, 0U);
 }
 
-TEST(AgentDecisions, ReserveForARerunIsKeptFree) {
+TEST(AgentDecisions, ReserveForARerunShortensTheDeadline) {
   AgentRig rig(oneSlot());
   wire::Offer offer = offerWith(1, 5, 4'000);
   offer.ReserveMicros = 2'500'000;
@@ -53,7 +53,7 @@
   EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).Kind, ErrorKind::DeadlineTooShort);
 }
 
-TEST(AgentDecisions, PriorityThenDeadlineDecidesWhoIsNext) {
+TEST(AgentDecisions, RunsStartByPriorityThenDeadline) {
   AgentRig rig(oneSlot());
   rig.offer(offerWith(1, 5, 60'000, 1));
   rig.offer(offerWith(2, 5, 50'000, 1));
@@ -83,7 +83,7 @@
   rig.offer(offerWith(2, 8, 4'000));
   EXPECT_EQ(startOrder(rig), (std::vector<uint64_t>{1, 2}));
   ASSERT_EQ(rig.Suspended.size(), 1U);
-  EXPECT_EQ(rig.events(EventKind::RunPreempted), 1U);
+  EXPECT_EQ(rig.eventCount(EventKind::RunPreempted), 1U);
   rig.done(rig.Started[1].Run);
   ASSERT_EQ(rig.Resumed.size(), 1U);
   EXPECT_EQ(rig.Resumed[0], rig.Started[0].Run);
@@ -91,7 +91,7 @@
   EXPECT_EQ(rig.sentTo<wire::Finished>(LinkA).size(), 2U);
 }
 
-TEST(AgentDecisions, RunThatWouldMissIsHandedBackInTime) {
+TEST(AgentDecisions, RunThatWouldMissItsDeadlineIsRefusedEarly) {
   AgentRig rig(oneSlot());
   rig.offer(offerWith(1, 5, 60'000, 100));
   wire::Offer second = offerWith(2, 5, 9'000, 100);
@@ -99,7 +99,7 @@
   rig.offer(second);
   EXPECT_EQ(rig.sentTo<wire::Accepted>(LinkA).size(), 2U);
   rig.text(rig.Started[0].Run, "slow");
-  rig.pass(Duration(4'000'000));
+  rig.advance(Duration(4'000'000));
   auto refused = rig.lastTo<wire::Refused>(LinkA);
   EXPECT_EQ(refused.Id.Lo, 2U);
   EXPECT_EQ(refused.Ran, Outcome::NotRun);
@@ -107,13 +107,13 @@
   EXPECT_EQ(rig.Started.size(), 1U);
 }
 
-TEST(AgentDecisions, LoadIsLearnedFromWhatRunsTook) {
+TEST(AgentDecisions, PrefillRateIsLearnedFromFinishedRuns) {
   AgentRig rig(oneSlot());
   uint32_t before = rig.Core.loadReport(rig.Now).PrefillTokensPerSecond;
   for (uint64_t i = 1; i < 30; ++i) {
     wire::Offer offer = offerWith(i, 5, 60'000, 1);
     rig.offer(offer);
-    rig.pass(Duration(500'000));
+    rig.advance(Duration(500'000));
     rig.text(rig.Started.back().Run, "x");
     rig.done(rig.Started.back().Run);
   }
@@ -179,7 +179,7 @@
   EXPECT_EQ(rig.Started.size(), 2U);
 }
 
-TEST(AgentTickets, BrokenCallIsNeverRunAgain) {
+TEST(AgentTickets, FailedCallIsNeverRunAgain) {
   AgentRig rig(serviceSettings());
   std::string ticket = ticketFrom(rig);
   rig.offer(callOf(1, ticket));
@@ -190,7 +190,7 @@
   EXPECT_EQ(rig.lastTo<wire::Finished>(LinkA).Ran, Outcome::MayHaveRun);
 }
 
-TEST(AgentTickets, CancelledWhileWaitingMayBePresentedAgain) {
+TEST(AgentTickets, TicketOfACallCancelledWhileWaitingCanBePresentedAgain) {
   AgentSettings settings = serviceSettings();
   settings.Queue.Slots = 1;
   AgentRig rig(settings);
--- a/tests/serve_agent/agent_rig.h
+++ b/tests/serve_agent/agent_rig.h
@@ -52,7 +52,7 @@
 class AgentRig {
 public:
   explicit AgentRig(AgentSettings settings = modelSettings())
-      : Core(std::move(settings), [this] { return ++Draws; }) {
+      : Core(std::move(settings), [this] { return ++LastRandom; }) {
     apply(engineStatus());
     apply(LinkOpened{LinkA});
     apply(LinkOpened{LinkB});
@@ -60,7 +60,7 @@
 
   void apply(AgentInput input) {
     for (AgentAction &action : Core.apply(std::move(input), Now))
-      take(std::move(action));
+      recordAction(std::move(action));
   }
   void offer(wire::Offer offer, LinkHandle link = LinkA) {
     apply(LinkMessage{link, std::move(offer)});
@@ -77,7 +77,7 @@
     apply(out);
   }
   /// Lets time pass, firing every timer on the way.
-  void pass(Duration d) {
+  void advance(Duration d) {
     TimePoint end = Now + d;
     for (auto next = Core.nextTimer(); next && *next <= end;
          next = Core.nextTimer()) {
@@ -105,24 +105,24 @@
       out += chunk.Text;
     return out;
   }
-  size_t events(EventKind kind) const {
+  size_t eventCount(EventKind kind) const {
     auto it = Events.find(kind);
     return it == Events.end() ? 0 : it->second;
   }
 
   TimePoint Now{Duration(1'000'000)};
-  uint64_t Draws = 0;
+  uint64_t LastRandom = 0;
   AgentCore Core;
   std::vector<SendMessage> Sent;
   std::vector<StartRun> Started;
   std::vector<RunToken> Cancelled;
   std::vector<RunToken> Suspended;
   std::vector<RunToken> Resumed;
-  std::vector<AgentAction> Others;
+  std::vector<AgentAction> OtherActions;
   std::map<EventKind, size_t> Events;
 
 private:
-  void take(AgentAction action) {
+  void recordAction(AgentAction action) {
     if (auto *sent = std::get_if<SendMessage>(&action))
       Sent.push_back(std::move(*sent));
     else if (auto *start = std::get_if<StartRun>(&action))
@@ -136,7 +136,7 @@
     else if (auto *event = std::get_if<RecordEvent>(&action))
       ++Events[event->What.Kind];
     else
-      Others.push_back(std::move(action));
+      OtherActions.push_back(std::move(action));
   }
 };
 
--- a/tests/serve_agent/agent_schedules_test.cpp
+++ b/tests/serve_agent/agent_schedules_test.cpp
@@ -23,7 +23,7 @@
   return out;
 }
 
-std::string markOf(const RequestId &id) {
+std::string chunkTextOf(const RequestId &id) {
   return "<" + std::to_string(id.Lo) + ">";
 }
 
@@ -32,14 +32,14 @@
 public:
   Schedule() : Rig(settings()), Platform(Rig) {
     for (uint8_t i = 1; i <= 3; ++i)
-      Platform.keep({i % 2U}, keyOf(i));
+      Platform.storePiece({i % 2U}, keyOf(i));
     Links = {LinkA, LinkB};
   }
 
   void apply(uint32_t draw) {
-    uint32_t what = draw % 16;
-    Arg = draw / 16;
-    switch (what) {
+    uint32_t action = draw % 16;
+    Draw = draw / 16;
+    switch (action) {
     case 0:
     case 1:
     case 2:
@@ -58,22 +58,22 @@
     case 9:
       return fail();
     case 10:
-      return foreign();
+      return answerOfOtherRun();
     case 11:
       return answer();
     case 12:
       return status();
     case 13:
-      return pass(Duration((Arg % 4000) * 1000));
+      return pass(Duration((Draw % 4000) * 1000));
     case 14:
       return stop();
     default:
-      return Arg % 8 == 0 ? drain() : answer();
+      return Draw % 8 == 0 ? drain() : answer();
     }
   }
 
   /// Lets everything come to its end.
-  void end() {
+  void finishAll() {
     Platform.Fault = StoreFault::None;
     for (int i = 0; i < 40; ++i) {
       Platform.answerAll();
@@ -81,13 +81,13 @@
       for (const RunToken &run : std::set<RunToken>(AtServer))
         finishRun(run);
     }
-    watch();
+    checkOutputs();
   }
 
-  void check() {
+  void checkFinals() {
     for (const auto &[attempt, state] : Attempts) {
       auto link = std::get<0>(attempt);
-      RC_ASSERT(state.Finals <= state.Asked);
+      RC_ASSERT(state.Finals <= state.Requests);
       if (state.Accepted > 0 && Links.contains(LinkHandle{link}))
         RC_ASSERT(state.Finals > 0);
     }
@@ -97,7 +97,7 @@
 
 private:
   struct AttemptState {
-    int Asked = 0; ///< Offers and resumes.
+    int Requests = 0; ///< Offers and resumes.
     int Accepted = 0;
     int Finals = 0;
     std::optional<uint32_t> NextIndex;
@@ -110,39 +110,39 @@
 
   LinkHandle link() const {
     auto it = Links.begin();
-    std::advance(it, Arg % Links.size());
+    std::advance(it, Draw % Links.size());
     return *it;
   }
-  uint64_t id() const { return 1 + (Arg / 2) % Ids; }
-  Attempt number() const { return 1 + (Arg / 16) % 3; }
+  uint64_t id() const { return 1 + (Draw / 2) % Ids; }
+  Attempt number() const { return 1 + (Draw / 16) % 3; }
 
   void offer() {
     wire::Offer out = offerOf(id(), number());
-    out.Priority = static_cast<uint8_t>(Arg / 64 % 10);
-    out.RemainingMicros = 1'000 * (500 + Arg / 7 % 20'000);
+    out.Priority = static_cast<uint8_t>(Draw / 64 % 10);
+    out.RemainingMicros = 1'000 * (500 + Draw / 7 % 20'000);
     out.Pieces = {keyOf(1), keyOf(2), keyOf(3)};
     out.PromptTokens = 3 * PieceTokens + 10;
     out.KeepMicros = 3'600'000'000;
     out.KeptQuota = 1 << 20;
     out.Keep = static_cast<uint8_t>(KeepRule::Always);
-    if (Arg / 5 % 11 == 0)
+    if (Draw / 5 % 11 == 0)
       out.Body = "{\"other\":1}";
-    if (Arg / 3 % 13 == 0)
+    if (Draw / 3 % 13 == 0)
       out.Organisation = "dakar-notices";
-    ++attempt(link(), out.Id, out.Try).Asked;
+    ++attempt(link(), out.Id, out.Try).Requests;
     Rig.offer(out, link());
-    watch();
+    checkOutputs();
   }
   void cancel() {
     Rig.apply(LinkMessage{link(), wire::Cancel{{7, id()}, number()}});
-    watch();
+    checkOutputs();
   }
   void resume() {
-    ++attempt(link(), {7, id()}, number()).Asked;
+    ++attempt(link(), {7, id()}, number()).Requests;
     attempt(link(), {7, id()}, number()).NextIndex.reset();
     Rig.apply(LinkMessage{
-        link(), wire::Resume{{7, id()}, number(), "riga-buyers", Arg % 3}});
-    watch();
+        link(), wire::Resume{{7, id()}, number(), "riga-buyers", Draw % 3}});
+    checkOutputs();
   }
   void replaceLink() {
     LinkHandle old = link();
@@ -151,33 +151,33 @@
     LinkHandle fresh{++LastLink};
     Links.insert(fresh);
     Rig.apply(LinkOpened{fresh});
-    watch();
+    checkOutputs();
   }
   std::optional<RunToken> running() const {
     if (AtServer.empty())
       return std::nullopt;
     auto it = AtServer.begin();
-    std::advance(it, Arg % AtServer.size());
+    std::advance(it, Draw % AtServer.size());
     return *it;
   }
   /// Some start that has ended: its answers come late.
-  std::optional<RunToken> stale() const {
+  std::optional<RunToken> anyStarted() const {
     if (Rig.Started.empty())
       return std::nullopt;
-    return Rig.Started[Arg % Rig.Started.size()].Run;
+    return Rig.Started[Draw % Rig.Started.size()].Run;
   }
   void text() {
-    auto run = Arg % 5 == 0 ? stale() : running();
+    auto run = Draw % 5 == 0 ? anyStarted() : running();
     if (!run)
       return;
     uint32_t &sequence = Sequences[*run];
-    bool repeat = sequence > 0 && Arg % 7 == 0;
+    bool repeat = sequence > 0 && Draw % 7 == 0;
     uint32_t n = repeat ? sequence - 1 : sequence++;
-    Rig.apply(RunText{*run, *run, n, 1, markOf(run->Id)});
-    watch();
+    Rig.apply(RunText{*run, *run, n, 1, chunkTextOf(run->Id)});
+    checkOutputs();
   }
   void done() {
-    if (auto run = Arg % 5 == 0 ? stale() : running())
+    if (auto run = Draw % 5 == 0 ? anyStarted() : running())
       finishRun(*run);
   }
   void finishRun(const RunToken &run) {
@@ -187,69 +187,69 @@
     out.Answer = run;
     out.PromptTokens = 100;
     Rig.apply(out);
-    watch();
+    checkOutputs();
   }
   void fail() {
-    auto run = Arg % 5 == 0 ? stale() : running();
+    auto run = Draw % 5 == 0 ? anyStarted() : running();
     if (!run)
       return;
     AtServer.erase(*run);
-    bool nothing = Sequences[*run] == 0 && Arg % 2 == 0;
+    bool notRun = Sequences[*run] == 0 && Draw % 2 == 0;
     Rig.apply(RunFailed{*run,
                         {ErrorKind::ServerLost, "broke"},
-                        nothing ? Outcome::NotRun : Outcome::MayHaveRun});
-    watch();
+                        notRun ? Outcome::NotRun : Outcome::MayHaveRun});
+    checkOutputs();
   }
-  void foreign() {
+  void answerOfOtherRun() {
     auto run = running();
     if (!run)
       return;
     RunToken other = *run;
     other.Id.Lo += 100;
     Rig.apply(RunText{*run, other, std::nullopt, 1, "<foreign>"});
-    watch();
+    checkOutputs();
   }
   void answer() {
     constexpr std::array<StoreFault, 8> Faults{
-        StoreFault::None,         StoreFault::None,
-        StoreFault::Silent,       StoreFault::Torn,
-        StoreFault::FreedBetween, StoreFault::ReusedBetween,
-        StoreFault::MisKeyed,     StoreFault::Full};
-    Platform.Fault = Faults[Arg % Faults.size()];
-    for (uint32_t i = 0; i <= Arg / 8 % 4; ++i)
+        StoreFault::None,           StoreFault::None,
+        StoreFault::Unreachable,    StoreFault::Truncated,
+        StoreFault::FreedAfterRead, StoreFault::ReplacedAfterLookup,
+        StoreFault::WrongKey,       StoreFault::Full};
+    Platform.Fault = Faults[Draw % Faults.size()];
+    for (uint32_t i = 0; i <= Draw / 8 % 4; ++i)
       Platform.answerOne();
-    watch();
+    checkOutputs();
   }
   void status() {
     EngineStatus out = engineStatus();
-    if (Arg % 6 == 0)
+    if (Draw % 6 == 0)
       out.Version = "v2";
-    if (Arg % 5 == 0)
-      out.Started = Arg;
-    if (Arg % 7 == 0)
+    if (Draw % 5 == 0)
+      out.Started = Draw;
+    if (Draw % 7 == 0)
       Rig.apply(EngineSilent{{ErrorKind::ServerLost, "silent"}});
     else
       Rig.apply(out);
-    watch();
+    checkOutputs();
   }
   void pass(Duration d) {
-    Rig.pass(d);
-    watch();
+    Rig.advance(d);
+    checkOutputs();
   }
   void stop() {
-    if (Arg % 4 == 0)
+    if (Draw % 4 == 0)
       Rig.apply(StopRequested{RequestId{7, id()}, ""});
-    watch();
+    checkOutputs();
   }
   void drain() {
     Rig.apply(DrainRequested{});
-    watch();
+    checkOutputs();
   }
 
   /// Looks at everything that came out since the last look.
-  void watch() {
-    for (; SeenStarted < Rig.Started.size(); ++SeenStarted)
-      RC_ASSERT(AtServer.insert(Rig.Started[SeenStarted].Run).second);
+  void checkOutputs() {
+    for (; CheckedStarted < Rig.Started.size(); ++CheckedStarted)
+      RC_ASSERT(AtServer.insert(Rig.Started[CheckedStarted].Run).second);
     for (const RunToken &run : std::exchange(Rig.Cancelled, {}))
       AtServer.erase(run);
     std::set<RunToken> active = AtServer;
@@ -260,17 +260,17 @@
     std::erase_if(active,
                   [&](const RunToken &run) { return Suspended.contains(run); });
     RC_ASSERT(active.size() <= Slots);
-    for (; SeenSent < Rig.Sent.size(); ++SeenSent)
-      see(Rig.Sent[SeenSent]);
+    for (; CheckedSent < Rig.Sent.size(); ++CheckedSent)
+      checkMessage(Rig.Sent[CheckedSent]);
   }
-  void see(const SendMessage &sent) {
+  void checkMessage(const SendMessage &sent) {
     if (const auto *accepted = std::get_if<wire::Accepted>(&sent.Body)) {
       AttemptState &state = attempt(sent.Link, accepted->Id, accepted->Try);
       ++state.Accepted;
       state.NextIndex.reset();
     } else if (const auto *chunk = std::get_if<wire::Chunk>(&sent.Body)) {
       AttemptState &state = attempt(sent.Link, chunk->Id, chunk->Try);
-      RC_ASSERT(chunk->Text == markOf(chunk->Id));
+      RC_ASSERT(chunk->Text == chunkTextOf(chunk->Id));
       RC_ASSERT(!state.NextIndex || *state.NextIndex == chunk->Index);
       state.NextIndex = chunk->Index + 1;
     } else if (const auto *refused = std::get_if<wire::Refused>(&sent.Body)) {
@@ -282,15 +282,15 @@
 
   AgentRig Rig;
   FakePlatform Platform;
-  uint32_t Arg = 0;
+  uint32_t Draw = 0;
   std::set<LinkHandle> Links;
   uint32_t LastLink = 10;
   std::set<RunToken> AtServer;
   std::set<RunToken> Suspended;
   std::map<RunToken, uint32_t> Sequences;
   std::map<AttemptKey, AttemptState> Attempts;
-  size_t SeenStarted = 0;
-  size_t SeenSent = 0;
+  size_t CheckedStarted = 0;
+  size_t CheckedSent = 0;
 };
 
 void checkSchedules(size_t length) {
@@ -300,14 +300,14 @@
     Schedule schedule;
     for (uint32_t it : draws)
       schedule.apply(it);
-    schedule.end();
-    schedule.check();
+    schedule.finishAll();
+    schedule.checkFinals();
   }));
 }
 
-TEST(AgentSchedules, ShortOnes) { checkSchedules(12); }
-TEST(AgentSchedules, MiddlingOnes) { checkSchedules(60); }
-TEST(AgentSchedules, LongOnes) { checkSchedules(400); }
+TEST(AgentSchedules, Short) { checkSchedules(12); }
+TEST(AgentSchedules, Medium) { checkSchedules(60); }
+TEST(AgentSchedules, Long) { checkSchedules(400); }
 
 } // namespace
 } // namespace daisytack::serve::test
--- a/tests/serve_agent/agent_serial_test.cpp
+++ b/tests/serve_agent/agent_serial_test.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST(AgentSerial, NextPrefillStartsAtTheFirstTokenOfTheLast) {
+TEST(AgentSerialPrefill, NextPrefillStartsAfterTheFirstTokenOfThePreviousRun) {
   AgentRig rig(serialSettings());
   rig.offer(offerOf(1));
   rig.offer(offerOf(2));
@@ -37,7 +37,7 @@
   EXPECT_EQ(rig.Started.size(), 3U);
 }
 
-TEST(AgentSerial, ARunWithoutAnyTokenLetsTheNextStart) {
+TEST(AgentSerialPrefill, FailedRunWithoutTokensLetsTheNextStart) {
   AgentRig rig(serialSettings());
   rig.offer(offerOf(1));
   rig.offer(offerOf(2));
@@ -48,13 +48,13 @@
   EXPECT_EQ(rig.Started.size(), 2U);
 }
 
-TEST(AgentSerial, AFetchDoesNotHoldUpOthers) {
+TEST(AgentSerialPrefill, FetchDoesNotDelayOtherRequests) {
   AgentRig rig(serialSettings());
   FakePlatform platform(rig);
   for (uint8_t i = 1; i <= 4; ++i)
-    platform.keep({0}, keyOf(i));
+    platform.storePiece({0}, keyOf(i));
   rig.offer(longOffer(1, 4));
-  while (platform.Asked["read"] == 0)
+  while (platform.CallCounts["read"] == 0)
     ASSERT_TRUE(platform.answerOne());
   rig.offer(offerOf(2));
   ASSERT_EQ(rig.Started.size(), 1U);
@@ -66,14 +66,14 @@
   EXPECT_EQ(rig.Started[1].Run.Id, (RequestId{7, 1}));
 }
 
-TEST(AgentSerial, SilentStoresDoNotHoldARunForever) {
+TEST(AgentSerialPrefill, UnreachableStoresDoNotBlockARun) {
   AgentRig rig(serialSettings());
   FakePlatform platform(rig);
-  platform.Fault = StoreFault::Silent;
-  platform.keep({0}, keyOf(1));
+  platform.Fault = StoreFault::Unreachable;
+  platform.storePiece({0}, keyOf(1));
   rig.offer(longOffer(1, 1));
   platform.answerAll();
-  rig.pass(Duration(3'000'000));
+  rig.advance(Duration(3'000'000));
   EXPECT_EQ(rig.Started.size(), 1U);
 }
 
--- a/tests/serve_agent/agent_swap_test.cpp
+++ b/tests/serve_agent/agent_swap_test.cpp
@@ -15,7 +15,7 @@
 }
 
 /// Gives every load slot that is asked for.
-struct SlotGiver {
+struct SlotGranter {
   using Answer = decltype(swap::SlotResult::What);
 
   Answer operator()(const edge::KvRange & /*call*/) const {
@@ -41,7 +41,7 @@
   std::vector<SendOrder> out;
   for (bool any = true; any;) {
     any = false;
-    for (AgentAction &it : std::exchange(rig.Others, {})) {
+    for (AgentAction &it : std::exchange(rig.OtherActions, {})) {
       if (auto *order = std::get_if<SendOrder>(&it))
         out.push_back(*order);
       auto *call = std::get_if<CallSlot>(&it);
@@ -49,7 +49,7 @@
         continue;
       any = true;
       rig.apply(SlotAnswer{
-          {call->Call.Number, std::visit(SlotGiver(), call->Call.What)}});
+          {call->Call.Number, std::visit(SlotGranter(), call->Call.What)}});
     }
   }
   return out;
@@ -65,7 +65,7 @@
   return out;
 }
 
-TEST(AgentSwap, RunsFinishBeforeTheLoadAndNewOnesSeeTheNewVersion) {
+TEST(AgentSwap, RunsFinishBeforeTheLoadAndLaterRunsUseTheNewVersion) {
   AgentRig rig;
   rig.offer(offerOf(1));
   rig.apply(desired("v2"));
@@ -120,10 +120,10 @@
   ASSERT_EQ(orders.size(), 1U);
   rig.apply(OrderAnswer{
       orders[0].Call + 1, {ErrorKind::Conflict, "another call"}, 1'000});
-  EXPECT_EQ(rig.events(EventKind::OrderRefused), 0U);
+  EXPECT_EQ(rig.eventCount(EventKind::OrderRefused), 0U);
   rig.apply(
       OrderAnswer{orders[0].Call, {ErrorKind::Conflict, "fenced"}, 1'000});
-  EXPECT_EQ(rig.events(EventKind::OrderRefused), 1U);
+  EXPECT_EQ(rig.eventCount(EventKind::OrderRefused), 1U);
 }
 
 } // namespace
--- a/tests/serve_agent/fake_platform.h
+++ b/tests/serve_agent/fake_platform.h
@@ -25,14 +25,14 @@
 /// What goes wrong with the pieces of a store.
 enum class StoreFault : uint8_t {
   None,
-  Silent,        ///< Calls fail without an answer.
-  Torn,          ///< Bytes are cut.
-  Corrupt,       ///< One byte is flipped.
-  MisKeyed,      ///< Bytes of another piece.
-  FreedBetween,  ///< Freed after the bytes were read.
-  ReusedBetween, ///< Another generation was committed after the lookup.
-  Expired,       ///< Kept for longer than its policy allows.
-  Foreign,       ///< Kept by another organisation.
+  Unreachable,         ///< Calls fail without an answer.
+  Truncated,           ///< Bytes are cut.
+  BitFlip,             ///< One byte is flipped.
+  WrongKey,            ///< Bytes of another piece.
+  FreedAfterRead,      ///< Freed after the bytes were read.
+  ReplacedAfterLookup, ///< Another generation was committed after the lookup.
+  Expired,             ///< Kept for longer than its policy allows.
+  OtherOrganisation,   ///< Kept by another organisation.
   Full,
 };
 
@@ -49,11 +49,11 @@
   explicit FakePlatform(AgentRig &rig) : Rig(rig) {}
 
   /// Puts a committed piece into the store.
-  void keep(StoreHandle store, const PieceKey &key,
-            Duration keepFor = std::chrono::hours(24)) {
+  void storePiece(StoreHandle store, const PieceKey &key,
+                  Duration keepFor = std::chrono::hours(24)) {
     KeptMeta meta;
-    meta.Organisation =
-        Fault == StoreFault::Foreign ? "dakar-notices" : "riga-buyers";
+    meta.Organisation = Fault == StoreFault::OtherOrganisation ? "dakar-notices"
+                                                               : "riga-buyers";
     meta.KeptAt = WallTime(Duration(0));
     meta.ExpiresAt = Fault == StoreFault::Expired ? WallTime(Duration(0))
                                                   : WallTime(keepFor);
@@ -67,7 +67,7 @@
       ;
   }
   bool answerOne() {
-    std::vector<AgentAction> actions = std::exchange(Rig.Others, {});
+    std::vector<AgentAction> actions = std::exchange(Rig.OtherActions, {});
     for (AgentAction &it : actions)
       Calls.push_back(std::move(it));
     if (Calls.empty())
@@ -81,26 +81,26 @@
   StoreFault Fault = StoreFault::None;
   std::map<std::pair<uint32_t, PieceKey>, Piece> Pieces;
   std::map<PieceKey, std::string> Imported;
-  std::map<std::string, size_t> Asked;
+  std::map<std::string, size_t> CallCounts;
 
 private:
   void answer(const AgentAction &action) {
     if (const auto *call = std::get_if<CallStore>(&action)) {
       StoreResult result = std::visit(
-          [&](const auto &ask) { return on(call->Store.Index, ask); },
+          [&](const auto &request) { return on(call->Store.Index, request); },
           call->Request);
-      if (Fault == StoreFault::Silent)
+      if (Fault == StoreFault::Unreachable)
         result = Error{ErrorKind::ServerLost, "silent"};
       Rig.apply(StoreAnswer{call->Call, call->Store, std::move(result)});
     } else if (const auto *import = std::get_if<ImportPiece>(&action)) {
       Imported[import->Key] = *import->Bytes;
       Rig.apply(PieceImport{import->Call, {}});
-    } else if (const auto *ask = std::get_if<ExportPiece>(&action)) {
-      ++Asked["export"];
-      Rig.apply(
-          PieceExport{ask->Call,
-                      std::make_shared<const std::string>(payloadOf(ask->Key)),
-                      {}});
+    } else if (const auto *request = std::get_if<ExportPiece>(&action)) {
+      ++CallCounts["export"];
+      Rig.apply(PieceExport{
+          request->Call,
+          std::make_shared<const std::string>(payloadOf(request->Key)),
+          {}});
     }
   }
 
@@ -109,64 +109,65 @@
     return it == Pieces.end() || !it->second.Committed ? nullptr : &it->second;
   }
 
-  StoreResult on(uint32_t store, const LookupPieces &ask) {
-    ++Asked["lookup"];
+  StoreResult on(uint32_t store, const LookupPieces &request) {
+    ++CallCounts["lookup"];
     StoreFound out;
-    for (const PieceKey &key : ask.Keys)
+    for (const PieceKey &key : request.Keys)
       if (Piece *piece = find(store, key))
         out.Pieces.push_back(
             {key, piece->Generation, piece->Frame.size(), false, ""});
     return out;
   }
-  StoreResult on(uint32_t store, const ReadPiece &ask) {
-    ++Asked["read"];
-    Piece *piece = find(store, ask.Key);
+  StoreResult on(uint32_t store, const ReadPiece &request) {
+    ++CallCounts["read"];
+    Piece *piece = find(store, request.Key);
     if (!piece)
       return Error{ErrorKind::NotFound, ""};
-    if (Fault == StoreFault::ReusedBetween)
+    if (Fault == StoreFault::ReplacedAfterLookup)
       piece->Generation = 6;
     StoreBytes out{piece->Generation, piece->Frame.size(), sha256(piece->Frame),
                    piece->Meta, piece->Frame};
-    if (Fault == StoreFault::Torn)
+    if (Fault == StoreFault::Truncated)
       out.Bytes.pop_back();
-    if (Fault == StoreFault::Corrupt)
+    if (Fault == StoreFault::BitFlip)
       out.Bytes.back() ^= 1;
-    if (Fault == StoreFault::MisKeyed) {
+    if (Fault == StoreFault::WrongKey) {
       out.Bytes =
           encodePieceFrame(keyOf(99), piece->Generation, payloadOf(keyOf(99)));
       out.Checksum = sha256(out.Bytes);
     }
     return out;
   }
-  StoreResult on(uint32_t store, const ReadGeneration &ask) {
-    if (Fault == StoreFault::FreedBetween)
+  StoreResult on(uint32_t store, const ReadGeneration &request) {
+    if (Fault == StoreFault::FreedAfterRead)
       return StoreGeneration{0};
-    Piece *piece = find(store, ask.Key);
+    Piece *piece = find(store, request.Key);
     return StoreGeneration{piece ? piece->Generation : 0};
   }
-  StoreResult on(uint32_t /*store*/, const BeginPiece & /*ask*/) {
+  StoreResult on(uint32_t /*store*/, const BeginPiece & /*request*/) {
     return StoreGeneration{++LastGeneration};
   }
-  StoreResult on(uint32_t store, const WritePiece &ask) {
+  StoreResult on(uint32_t store, const WritePiece &request) {
     if (Fault == StoreFault::Full)
       return Error{ErrorKind::RecordFull, ""};
-    Pieces[{store, ask.Key}] = {ask.Generation, *ask.Bytes, "", false};
+    Pieces[{store, request.Key}] = {request.Generation, *request.Bytes, "",
+                                    false};
     return StoreDone{};
   }
-  StoreResult on(uint32_t store, const CommitPiece &ask) {
-    Piece &piece = Pieces[{store, ask.Key}];
-    if (hexDigest(sha256(piece.Frame)) != ask.Checksum)
+  StoreResult on(uint32_t store, const CommitPiece &request) {
+    Piece &piece = Pieces[{store, request.Key}];
+    if (hexDigest(sha256(piece.Frame)) != request.Checksum)
       return Error{ErrorKind::ServerFailed, "checksum"};
-    piece.Meta = ask.Meta;
+    piece.Meta = request.Meta;
     piece.Committed = true;
     return StoreDone{};
   }
-  StoreResult on(uint32_t store, const FreePiece &ask) {
-    ++Asked["free"];
-    Pieces.erase({store, ask.Key});
+  StoreResult on(uint32_t store, const FreePiece &request) {
+    ++CallCounts["free"];
+    Pieces.erase({store, request.Key});
     return StoreDone{};
   }
-  StoreResult on(uint32_t store, const SamplePieces & /*ask*/) {
+  StoreResult on(uint32_t store, const SamplePieces & /*request*/) {
     StoreFound out;
     for (const auto &[at, piece] : Pieces)
       if (at.first == store && piece.Committed)
@@ -174,10 +175,10 @@
                               false, piece.Meta});
     return out;
   }
-  StoreResult on(uint32_t /*store*/, const AskUsage & /*ask*/) {
-    return StoreUsage{Used, 1};
+  StoreResult on(uint32_t /*store*/, const AskUsage & /*request*/) {
+    return StoreUsage{UsedBytes, 1};
   }
-  StoreResult on(uint32_t /*store*/, const AskStatus & /*ask*/) {
+  StoreResult on(uint32_t /*store*/, const AskStatus & /*request*/) {
     return StoreStatus{0, 1000, 0, 1000, 0};
   }
 
@@ -186,7 +187,7 @@
   uint64_t LastGeneration = 10;
 
 public:
-  uint64_t Used = 0;
+  uint64_t UsedBytes = 0;
 };
 
 } // namespace daisytack::serve::test
--- a/tools/agent/agent_options.cpp
+++ b/tools/agent/agent_options.cpp
@@ -35,7 +35,7 @@
       settings.duration("agent.resume_window", 10s, 0s, 10min);
   out.Core.MaxAnswerBytes =
       settings.bytes("agent.max_answer_bytes", 4U << 20, 1024, 1U << 30);
-  out.Core.MaxHeldBytes =
+  out.Core.MaxTotalAnswerBytes =
       settings.bytes("agent.max_held_bytes", 64U << 20, 1024, 1ULL << 34);
 }
 
@@ -44,7 +44,7 @@
       settings.duration("engine.status_period", 500ms, 10ms, 1min);
   out.Core.CacheEventPeriod =
       settings.duration("engine.cache_event_period", 200ms, 10ms, 1min);
-  out.Core.SilenceLimit =
+  out.Core.EngineTimeout =
       settings.duration("engine.silence_limit", 3s, 100ms, 10min);
 }
 
