--- a/src/edge/engine.h
+++ b/src/edge/engine.h
@@ -22,9 +22,9 @@
   /// Not answered.
   std::function<void(const serve::RunToken &)> Suspend;
   std::function<void(const serve::RunToken &)> Resume;
-  /// Answered by EngineStatus or EngineSilent.
+  /// Answered by EngineStatus or EngineUnresponsive.
   std::function<void()> PollStatus;
-  /// Answered by CacheEvents or EngineSilent.
+  /// Answered by CacheEvents or EngineUnresponsive.
   std::function<void(serve::PollCacheEvents)> PollCacheEvents;
   std::function<void(serve::ExportPiece)> Export;
   std::function<void(serve::ImportPiece)> Import;
--- a/src/edge/engine_http.cpp
+++ b/src/edge/engine_http.cpp
@@ -245,10 +245,10 @@
           [parse](const Error &error,
                   const net::HttpResponse &response) -> serve::AgentInput {
             if (error)
-              return serve::EngineSilent{error};
+              return serve::EngineUnresponsive{error};
             auto parsed = parse(response.Body);
             if (!parsed)
-              return serve::EngineSilent{
+              return serve::EngineUnresponsive{
                   {ErrorKind::ProtocolError, "engine: unreadable answer"}};
             return std::move(*parsed);
           });
--- a/src/edge/store.h
+++ b/src/edge/store.h
@@ -11,7 +11,7 @@
 /// the sink that the adapter was made with.
 struct Stores {
   std::function<void(serve::CallStore)> Call;
-  std::function<void(serve::StopStoreCall)> Stop;
+  std::function<void(serve::CancelStoreCall)> Stop;
 };
 
 /// docs/PROTOCOL.md, "Store of kept context". The client must outlive the
--- a/src/edge/store_codec.cpp
+++ b/src/edge/store_codec.cpp
@@ -84,12 +84,12 @@
   out.Query = "count=" + std::to_string(ask.Count);
   return out;
 }
-net::HttpRequest make(const serve::AskUsage &ask) {
+net::HttpRequest make(const serve::ReadUsage &ask) {
   net::HttpRequest out = request("GET", "/usage");
   out.Query = "meta_prefix=" + escapeQuery(ask.MetaPrefix);
   return out;
 }
-net::HttpRequest make(const serve::AskStatus & /*ask*/) {
+net::HttpRequest make(const serve::ReadStatus & /*ask*/) {
   return request("GET", "/status");
 }
 
@@ -172,14 +172,14 @@
     out.Bytes = std::move(Response.Body);
     return out;
   }
-  serve::StoreResult operator()(const serve::AskUsage & /*ask*/) const {
+  serve::StoreResult operator()(const serve::ReadUsage & /*ask*/) const {
     auto object = parseObject(Response.Body);
     if (!object)
       return unreadable();
     return serve::StoreUsage{countOf(*object, "bytes"),
                              countOf(*object, "pieces")};
   }
-  serve::StoreResult operator()(const serve::AskStatus & /*ask*/) const {
+  serve::StoreResult operator()(const serve::ReadStatus & /*ask*/) const {
     auto object = parseObject(Response.Body);
     if (!object)
       return unreadable();
--- a/src/edge/store_http.cpp
+++ b/src/edge/store_http.cpp
@@ -40,7 +40,7 @@
       slot->second = running;
   }
 
-  void stop(const serve::StopStoreCall &stop) {
+  void stop(const serve::CancelStoreCall &stop) {
     net::HttpCall running;
     {
       Table::accessor slot;
@@ -67,7 +67,7 @@
   auto self = std::make_shared<HttpStores>(client, std::move(addresses),
                                            std::move(sink));
   return {[self](const serve::CallStore &call) { self->call(call); },
-          [self](const serve::StopStoreCall &stop) { self->stop(stop); }};
+          [self](const serve::CancelStoreCall &stop) { self->stop(stop); }};
 }
 
 } // namespace daisytack::edge
--- a/src/serve/agent_context.cpp
+++ b/src/serve/agent_context.cpp
@@ -7,28 +7,29 @@
 namespace daisytack::serve {
 
 void AgentCore::Impl::on(const EngineStatus &input, Step &step) {
-  Dirty = Dirty || !EngineSeen || input != Engine;
+  Dirty = Dirty || !EngineSeenAt || input != Engine;
   if (Engine.Started != 0 && input.Started != Engine.Started)
-    View.reset(FirstCacheEvent, true);
+    CacheView.reset(FirstCacheEvent, true);
   Engine = input;
-  EngineSeen = step.Now;
+  EngineSeenAt = step.Now;
   startWaiting(step);
 }
 
-void AgentCore::Impl::on(const EngineSilent &input, Step &step) {
-  if (!EngineSeen || step.Now - *EngineSeen < Settings.SilenceLimit)
+void AgentCore::Impl::on(const EngineUnresponsive &input, Step &step) {
+  if (!EngineSeenAt || step.Now - *EngineSeenAt < Settings.SilenceLimit)
     return;
-  EngineSeen.reset();
+  EngineSeenAt.reset();
   Dirty = true;
-  handBackWaiting({ErrorKind::ServerLost, input.Why.Detail}, step);
+  failWaiting({ErrorKind::ServerLost, input.Why.Detail}, step);
 }
 
 void AgentCore::Impl::on(const CacheEvents &input, Step &step) {
-  if (input.From != View.nextSequence() || View.apply(input.Events, input.Next))
+  if (input.From != CacheView.nextSequence() ||
+      CacheView.apply(input.Events, input.Next))
     return;
   Event event;
   event.Kind = EventKind::CacheGap;
-  event.Scores = {static_cast<int64_t>(View.gaps())};
+  event.Scores = {static_cast<int64_t>(CacheView.gaps())};
   event.Subject = Settings.Instance;
   step.Out.push_back(RecordEvent{std::move(event)});
 }
@@ -78,12 +79,12 @@
     return;
   size_t n =
       std::min<size_t>(done.CachedTokens / PieceTokens, offer.Pieces.size());
-  View.markPresent(std::span(offer.Pieces).first(n));
+  CacheView.markPresent(std::span(offer.Pieces).first(n));
   if (n > 0)
     Hits[offer.Organisation] += n;
   if (n < offer.Pieces.size() && done.CachedTokens < done.PromptTokens &&
       Fetch.presentPieces(offer.Pieces) > n)
-    View.markAbsent(offer.Pieces[n]);
+    CacheView.markAbsent(offer.Pieces[n]);
   ExportWish wish;
   wish.Id = offer.Id;
   wish.Organisation = offer.Organisation;
@@ -95,18 +96,18 @@
   Exports.begin(std::move(wish), step);
 }
 
-void AgentCore::Impl::settleContext(Step &step) {
+void AgentCore::Impl::processFetches(Step &step) {
   for (;;) {
     std::vector<FetchNews> news = Fetch.takeNews();
     for (const FetchNews &it : news)
-      onFetchNews(it, step);
+      onFetchUpdate(it, step);
     startTransfers(step);
     if (news.empty())
       return;
   }
 }
 
-void AgentCore::Impl::onFetchNews(const FetchNews &news, Step &step) {
+void AgentCore::Impl::onFetchUpdate(const FetchNews &news, Step &step) {
   Run *run = Runs.find(news.Id);
   if (!run || run->State != RunState::Waiting)
     return;
@@ -118,7 +119,7 @@
   if (!news.Settled)
     return;
   if (run->HasSlot)
-    useSlot(*run, step);
+    onSlotAcquired(*run, step);
   else
     startWaiting(step);
 }
--- a/src/serve/agent_core.cpp
+++ b/src/serve/agent_core.cpp
@@ -58,21 +58,21 @@
     : Settings(std::move(settings)), Random(std::move(random)),
       Queue(Settings.Queue), Predictor(Settings.Predictor),
       Tickets(ledgerInit(Settings, Random), Random, sink()),
-      View(Settings.MaxCachedPieces), Stores(Settings.Stores),
-      Fetch(Settings.Fetch, Stores, View, Numbers,
+      CacheView(Settings.MaxCachedPieces), Stores(Settings.Stores),
+      Fetch(Settings.Fetch, Stores, CacheView, CallIds,
             {[this] { return std::max(1.0, double(Predictor.prefillRate())); },
              [this] { return trustedVersion(); }}),
-      Exports(Settings.Export, Stores, Numbers,
+      Exports(Settings.Export, Stores, CallIds,
               [this] { return trustedVersion(); }),
       Swap(convergeInit(Settings), Random, sink()),
-      Picture(std::make_shared<const AgentSnapshot>()) {
-  View.reset(FirstCacheEvent, true);
+      Snapshot(std::make_shared<const AgentSnapshot>()) {
+  CacheView.reset(FirstCacheEvent, true);
 }
 
 EventSink AgentCore::Impl::sink() {
   return [this](Event event) {
-    if (Out)
-      Out->push_back(RecordEvent{std::move(event)});
+    if (CurrentActions)
+      CurrentActions->push_back(RecordEvent{std::move(event)});
   };
 }
 
@@ -91,12 +91,12 @@
   if (auto *timer = std::get_if<TimerFired>(&input))
     Self->WallOffset = timer->Wall.time_since_epoch() - now.time_since_epoch();
   Step step{now, WallTime(now.time_since_epoch() + Self->WallOffset), out};
-  Self->Latest = now;
-  Self->Out = &out;
+  Self->LastStepAt = now;
+  Self->CurrentActions = &out;
   std::visit([&](auto &in) { Self->on(in, step); }, input);
-  Self->settleContext(step);
+  Self->processFetches(step);
   Self->converge(step);
-  Self->Out = nullptr;
+  Self->CurrentActions = nullptr;
   Self->publish(now);
 }
 
@@ -108,7 +108,7 @@
 wire::LoadReport AgentCore::loadReport(TimePoint now) const {
   return Self->loadReport(now);
 }
-const Rcu<AgentSnapshot> &AgentCore::snapshot() const { return Self->Picture; }
+const Rcu<AgentSnapshot> &AgentCore::snapshot() const { return Self->Snapshot; }
 
 void AgentCore::Impl::on(const StopRequested &input, Step &step) {
   std::vector<RequestId> ids;
@@ -143,22 +143,22 @@
 
 void AgentCore::Impl::on(const TimerFired & /*input*/, Step &step) {
   for (const RequestId &id : Runs.due(step.Now))
-    wakeRun(id, step);
-  forgetClosed(step.Now);
+    onRunTimer(id, step);
+  expireClosedAttempts(step.Now);
   Fetch.onTimer(step);
   tick(step);
 }
 
-void AgentCore::Impl::wakeRun(const RequestId &id, Step &step) {
+void AgentCore::Impl::onRunTimer(const RequestId &id, Step &step) {
   Run *run = Runs.find(id);
   if (!run)
     return;
-  bool abandoned = run->KeptUntil && *run->KeptUntil <= step.Now;
+  bool abandoned = run->RetainUntil && *run->RetainUntil <= step.Now;
   if (run->isFinished()) {
     if (abandoned) {
       HeldBytes -= run->Answer.bytes();
       Runs.erase(id);
-      forgetFinished();
+      pruneFinishedOrder();
     }
     return;
   }
@@ -176,7 +176,7 @@
 void AgentCore::Impl::tick(Step &step) {
   if (!Settings.IsService && NextCacheEvents <= step.Now) {
     NextCacheEvents = step.Now + Settings.CacheEventPeriod;
-    step.Out.push_back(PollCacheEvents{View.nextSequence()});
+    step.Out.push_back(PollCacheEvents{CacheView.nextSequence()});
   }
   if (NextTick > step.Now)
     return;
@@ -184,16 +184,16 @@
   if (!Settings.IsService)
     step.Out.push_back(PollStatus{});
   observeRunning(step.Now);
-  saveRunsAtRisk(step);
+  handleRunsAtRisk(step);
 }
 
-bool AgentCore::Impl::wantsTicks() const {
+bool AgentCore::Impl::needsTick() const {
   return !Settings.IsService || Queue.running() + Queue.waiting() > 0;
 }
 
 std::optional<TimePoint> AgentCore::Impl::nextTimer() const {
   std::optional<TimePoint> out = Runs.nextWake();
-  if (wantsTicks())
+  if (needsTick())
     earliest(out, NextTick);
   if (!Settings.IsService)
     earliest(out, NextCacheEvents);
@@ -201,13 +201,14 @@
     earliest(out, *at);
   if (auto at = Swap.nextTimer())
     earliest(out, *at);
-  if (auto at = Stores.nextTransferAt(Latest))
+  if (auto at = Stores.nextTransferAt(LastStepAt))
     earliest(out, *at);
   if (Dirty)
-    earliest(out, NextPicture);
+    earliest(out, NextSnapshot);
   if (!ClosedOrder.empty())
-    if (auto it = Closed.find(ClosedOrder.front()); it != Closed.end())
-      earliest(out, it->second.Until);
+    if (auto it = ClosedAttempts.find(ClosedOrder.front());
+        it != ClosedAttempts.end())
+      earliest(out, it->second.ExpiresAt);
   return out;
 }
 
@@ -215,17 +216,17 @@
   if (!Draining)
     return false;
   return std::all_of(Runs.all().begin(), Runs.all().end(), [](const auto &it) {
-    return it.second->isFinished() && !it.second->Answered.empty();
+    return it.second->isFinished() && !it.second->NotifiedReaders.empty();
   });
 }
 
 bool AgentCore::Impl::isReachable() const {
-  return Settings.IsService || EngineSeen.has_value();
+  return Settings.IsService || EngineSeenAt.has_value();
 }
 
 bool AgentCore::Impl::isStatusFresh(TimePoint now) const {
   return Settings.IsService ||
-         (EngineSeen && now - *EngineSeen < Settings.SilenceLimit);
+         (EngineSeenAt && now - *EngineSeenAt < Settings.SilenceLimit);
 }
 
 bool AgentCore::Impl::isReady() const {
@@ -249,7 +250,7 @@
 }
 
 std::shared_ptr<const AgentSnapshot>
-AgentCore::Impl::picture(TimePoint now) const {
+AgentCore::Impl::makeSnapshot(TimePoint now) const {
   auto out = std::make_shared<AgentSnapshot>();
   out->At = now;
   out->Draining = isLeaving();
@@ -264,16 +265,16 @@
       out->Runs.begin(), out->Runs.end(),
       [](const RunView &a, const RunView &b) { return a.Arrived < b.Arrived; });
   for (const auto &[name, usage] : Exports.usage())
-    out->Kept.push_back({name, usage.Pieces, usage.Bytes, hitsOf(name)});
+    out->KeptContext.push_back({name, usage.Pieces, usage.Bytes, hitsOf(name)});
   out->Refusals.assign(Refusals.begin(), Refusals.end());
   return out;
 }
 
 void AgentCore::Impl::publish(TimePoint now) {
-  if (!Dirty || now < NextPicture)
+  if (!Dirty || now < NextSnapshot)
     return;
-  Picture.publish(picture(now));
-  NextPicture = now + Settings.SnapshotPeriod;
+  Snapshot.publish(makeSnapshot(now));
+  NextSnapshot = now + Settings.SnapshotPeriod;
   Dirty = false;
 }
 
--- a/src/serve/agent_export.cpp
+++ b/src/serve/agent_export.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 ExportFlow::ExportFlow(ExportSettings settings, StoreTable &stores,
-                       CallNumbers &numbers,
+                       CallIdSource &numbers,
                        std::function<std::string()> engineVersion)
     : Settings(settings), Stores(stores), Numbers(numbers),
       EngineVersion(std::move(engineVersion)), Sights(settings.Sightings),
@@ -71,7 +71,7 @@
   }
   job.Sum.At = step.Now;
   for (uint32_t i = 0; i < Stores.size(); ++i) {
-    call(Asked::Usage, {i}, AskUsage{metaPrefix(job.Wish.Organisation)}, step);
+    call(Asked::Usage, {i}, ReadUsage{metaPrefix(job.Wish.Organisation)}, step);
     ++job.Pending;
   }
 }
@@ -81,7 +81,7 @@
     return;
   StatusAt = step.Now;
   for (uint32_t i = 0; i < Stores.size(); ++i) {
-    call(Asked::Status, {i}, AskStatus{}, step);
+    call(Asked::Status, {i}, ReadStatus{}, step);
     ++Jobs.front().Pending;
   }
 }
--- a/src/serve/agent_export.h
+++ b/src/serve/agent_export.h
@@ -45,7 +45,7 @@
 /// Not thread-safe.
 class ExportFlow {
 public:
-  ExportFlow(ExportSettings settings, StoreTable &stores, CallNumbers &numbers,
+  ExportFlow(ExportSettings settings, StoreTable &stores, CallIdSource &numbers,
              std::function<std::string()> engineVersion);
 
   void begin(ExportWish wish, Step &step);
@@ -107,7 +107,7 @@
 
   ExportSettings Settings;
   StoreTable &Stores;
-  CallNumbers &Numbers;
+  CallIdSource &Numbers;
   std::function<std::string()> EngineVersion;
   SightingTable Sights;
   ReturnModel Returns;
--- a/src/serve/agent_fetch.cpp
+++ b/src/serve/agent_fetch.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 FetchFlow::FetchFlow(FetchSettings settings, StoreTable &stores,
-                     const EngineView &view, CallNumbers &numbers,
+                     const EngineView &view, CallIdSource &numbers,
                      FetchHooks hooks)
     : Settings(settings), Stores(stores), View(view), Numbers(numbers),
       Hooks(std::move(hooks)) {}
--- a/src/serve/agent_fetch.h
+++ b/src/serve/agent_fetch.h
@@ -54,7 +54,7 @@
 class FetchFlow {
 public:
   FetchFlow(FetchSettings settings, StoreTable &stores, const EngineView &view,
-            CallNumbers &numbers, FetchHooks hooks);
+            CallIdSource &numbers, FetchHooks hooks);
 
   /// Leading pieces that the engine is believed to have.
   uint32_t presentPieces(std::span<const PieceKey> pieces) const;
@@ -134,7 +134,7 @@
   FetchSettings Settings;
   StoreTable &Stores;
   const EngineView &View;
-  CallNumbers &Numbers;
+  CallIdSource &Numbers;
   FetchHooks Hooks;
   std::map<RequestId, Job> Jobs;
   Fetches Pieces;
--- a/src/serve/agent_fetch_end.cpp
+++ b/src/serve/agent_fetch_end.cpp
@@ -53,7 +53,7 @@
   if (!fetch.Waiters.empty() || isImporting)
     return;
   if (ReadCalls.erase(fetch.Call) != 0)
-    step.Out.push_back(StopStoreCall{fetch.Call});
+    step.Out.push_back(CancelStoreCall{fetch.Call});
   leaveLink(fetch, 0, step.Now);
   Pieces.erase(it);
 }
--- a/src/serve/agent_impl.h
+++ b/src/serve/agent_impl.h
@@ -18,7 +18,7 @@
 /// not taken for a new one.
 struct ClosedAttempt {
   Attempt Try = 0;
-  TimePoint Until;
+  TimePoint ExpiresAt;
 };
 
 /// Sequence of an engine's first cache event after its start.
@@ -37,7 +37,7 @@
   void on(const RunDone &input, Step &step);
   void on(const RunFailed &input, Step &step);
   void on(const EngineStatus &input, Step &step);
-  void on(const EngineSilent &input, Step &step);
+  void on(const EngineUnresponsive &input, Step &step);
   void on(const CacheEvents &input, Step &step);
   void on(const PieceExport &input, Step &step);
   void on(const PieceImport &input, Step &step);
@@ -52,7 +52,7 @@
   // What entries say.
   void onOffer(LinkHandle link, const wire::Offer &offer, Step &step);
   void onCancel(LinkHandle link, const wire::Cancel &cancel, Step &step);
-  void sendLeft(const Run &run, const Reader &reader, Step &step);
+  void confirmCancel(const Run &run, const Reader &reader, Step &step);
   void onResume(LinkHandle link, const wire::Resume &resume, Step &step);
   void onTicketRequest(LinkHandle link, const wire::TicketRequest &request,
                        Step &step);
@@ -64,11 +64,11 @@
   /// Why the offer can't be taken, whatever the load; Kind None when it can.
   /// The offer as this server may run it: pieces keyed under a version that it
   /// does not run are left out, so that nothing kept is read or written for it.
-  wire::Offer withOwnPieces(wire::Offer offer) const;
-  Error judgeOffer(const wire::Offer &offer, Step &step) const;
-  Error judgeRepeat(const Run &run, const wire::Offer &offer) const;
+  wire::Offer withUsablePieces(wire::Offer offer) const;
+  Error checkOffer(const wire::Offer &offer, Step &step) const;
+  Error checkRepeatedOffer(const Run &run, const wire::Offer &offer) const;
   /// Predicts, and preempts lower priority where only that makes it fit.
-  AcceptanceDecision judgeLoad(const RunRequest &request, Step &step);
+  AcceptanceDecision decideByLoad(const RunRequest &request, Step &step);
   void accept(LinkHandle link, std::unique_ptr<Run> run,
               const RunRequest &request, const AcceptanceDecision &decision,
               Step &step);
@@ -79,22 +79,22 @@
   void sendAccepted(const Run &run, const Reader &reader, Step &step);
   /// Chunks from the index on, and the final message when there is one.
   void replay(Run &run, const Reader &reader, uint32_t from, Step &step);
-  void close(const RequestId &id, Attempt attempt, TimePoint now);
+  void rememberClosed(const RequestId &id, Attempt attempt, TimePoint now);
   bool isClosed(const wire::Offer &offer, TimePoint now) const;
-  void forgetClosed(TimePoint now);
-  void forgetOldestClosed();
+  void expireClosedAttempts(TimePoint now);
+  void removeOldestClosedAttempt();
 
   // Queue.
   RunRequest queueRequest(const Run &run, TimePoint now) const;
   uint32_t tokensToPrefill(const wire::Offer &offer) const;
   void startWaiting(Step &step);
   /// The run has its slot: start it as soon as its context is there.
-  void useSlot(Run &run, Step &step);
+  void onSlotAcquired(Run &run, Step &step);
   void suspend(Run &run, Step &step);
   void resume(Run &run, Step &step);
   /// Moves accepted runs that would miss their deadline here.
-  void saveRunsAtRisk(Step &step);
-  bool saveRunAtRisk(const RunRequest &risk, Step &step);
+  void handleRunsAtRisk(Step &step);
+  bool handleRunAtRisk(const RunRequest &risk, Step &step);
   /// Learns from runs that take longer than predicted.
   void observeRunning(TimePoint now);
   void observeFinished(const Run &run, const RunDone &done, TimePoint now);
@@ -103,46 +103,46 @@
   void fetchContext(Run &run, const AcceptanceDecision &decision, Step &step);
   void keepContext(const Run &run, const RunDone &done, Step &step);
   /// Applies what fetches have come to, and starts what the links permit.
-  void settleContext(Step &step);
-  void onFetchNews(const FetchNews &news, Step &step);
+  void processFetches(Step &step);
+  void onFetchUpdate(const FetchNews &news, Step &step);
   void startTransfers(Step &step);
 
   // Weight versions.
   swap::SwapView swapView() const;
   void converge(Step &step);
-  void perform(swap::SwapActions actions, Step &step);
-  void order(const swap::LoadOrder &load, Step &step);
+  void performSwapActions(swap::SwapActions actions, Step &step);
+  void sendOrder(const swap::LoadOrder &load, Step &step);
   /// The version that the engine surely runs; empty when that is unknown.
   std::string trustedVersion() const;
 
   // Runs.
-  bool isOvertaken(const Run &run) const;
+  bool hasOutdatedVersion(const Run &run) const;
   void start(Run &run, Step &step);
   /// The unfinished run that an input of the backend server is for; nothing
   /// when it is late.
-  Run *current(const RunToken &token);
+  Run *findActive(const RunToken &token);
   /// True when the answer names its own run; else the attempt is lost.
-  bool isOwnAnswer(Run &run, const RunToken &answer, Step &step);
-  void lose(Run &run, const Error &why, Step &step);
+  bool checkAnswerToken(Run &run, const RunToken &answer, Step &step);
+  void loseAttempt(Run &run, const Error &why, Step &step);
   /// Ends the run and tells its readers; the backend server is told nothing.
   void finish(Run &run, wire::Finished final, Step &step);
   /// Ends a run that the backend server never saw: Refused after Accepted.
-  void handBack(Run &run, const Error &why, Step &step);
+  void refuseAccepted(Run &run, const Error &why, Step &step);
   void fail(Run &run, const Error &why, Step &step);
   void stopAtServer(Run &run, Step &step);
   void sendFinal(Run &run, const Reader &reader, Step &step);
-  void leaveServer(Run &run, Step &step);
-  void keepForReaders(Run &run, TimePoint now);
-  void handBackWaiting(const Error &why, Step &step);
-  void settleTicket(const Run &run, const wire::Finished &final, Step &step);
-  void boundHeldBytes();
-  void forgetFinished();
+  void releaseQueueEntry(Run &run, Step &step);
+  void updateRetention(Run &run, TimePoint now);
+  void failWaiting(const Error &why, Step &step);
+  void finishTicket(const Run &run, const wire::Finished &final, Step &step);
+  void evictFinishedAnswers();
+  void pruneFinishedOrder();
 
   // Pictures and timers.
-  void wakeRun(const RequestId &id, Step &step);
+  void onRunTimer(const RequestId &id, Step &step);
   void tick(Step &step);
   /// Sets or clears the time of the next tick.
-  bool wantsTicks() const;
+  bool needsTick() const;
   void publish(TimePoint now);
   std::optional<TimePoint> nextTimer() const;
   bool isDrained() const;
@@ -155,7 +155,7 @@
   wire::LoadReport loadReport(TimePoint now) const;
   /// Pieces of the organisation that were reused.
   uint64_t hitsOf(const std::string &organisation) const;
-  std::shared_ptr<const AgentSnapshot> picture(TimePoint now) const;
+  std::shared_ptr<const AgentSnapshot> makeSnapshot(TimePoint now) const;
   void record(Step &step, EventKind kind, const Run &run,
               ErrorKind reason = ErrorKind::None,
               std::array<int64_t, Event::MaxScores> scores = {});
@@ -166,37 +166,37 @@
   RunTable Runs;
   RunQueue Queue;
   ServerPredictor Predictor;
-  AgentActions *Out =
+  AgentActions *CurrentActions =
       nullptr; ///< Of the present step, for the ledger's events.
   TicketLedger Tickets;
-  uint32_t Starts = 0;
-  CallNumbers Numbers;
-  EngineView View;
+  uint32_t StartCount = 0;
+  CallIdSource CallIds;
+  EngineView CacheView;
   StoreTable Stores;
   FetchFlow Fetch;
   ExportFlow Exports;
   std::unordered_map<std::string, uint64_t> Hits; ///< By organisation.
   swap::Converge Swap;
-  swap::SwapView SwapSeen; ///< By Swap, last.
-  CallId OrderCall = 0;    ///< The one whose answer counts.
-  Duration WallOffset{0};  ///< Wall clock less monotonic clock.
-  TimePoint Latest;        ///< Of the present or last step.
+  swap::SwapView LastSwapView; ///< By Swap, last.
+  CallId LatestOrderCall = 0;  ///< The one whose answer counts.
+  Duration WallOffset{0};      ///< Wall clock less monotonic clock.
+  TimePoint LastStepAt;        ///< Of the present or last step.
   size_t HeldBytes = 0;
   std::deque<RequestId> FinishedOrder; ///< Oldest first; some are gone.
-  std::unordered_map<RequestId, ClosedAttempt> Closed;
+  std::unordered_map<RequestId, ClosedAttempt> ClosedAttempts;
   std::deque<RequestId> ClosedOrder; ///< Oldest first.
   std::deque<RefusalView> Refusals;
 
   AgentConfig Config;
   bool Draining = false;
   EngineStatus Engine;
-  std::optional<TimePoint> EngineSeen;
+  std::optional<TimePoint> EngineSeenAt;
   TimePoint NextTick;
   TimePoint NextCacheEvents;
 
   bool Dirty = true;
-  TimePoint NextPicture;
-  Rcu<AgentSnapshot> Picture;
+  TimePoint NextSnapshot;
+  Rcu<AgentSnapshot> Snapshot;
 };
 
 } // namespace daisytack::serve
--- a/src/serve/agent_links.cpp
+++ b/src/serve/agent_links.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr size_t MaxClosed = 4096;
+constexpr size_t MaxClosedAttempts = 4096;
 
 } // namespace
 
@@ -23,18 +23,19 @@
     onCancel(input.Link, *cancel, step);
   else if (const auto *resume = std::get_if<wire::Resume>(&input.Body))
     onResume(input.Link, *resume, step);
-  else if (const auto *ask = std::get_if<wire::TicketRequest>(&input.Body))
-    onTicketRequest(input.Link, *ask, step);
+  else if (const auto *ticketRequest =
+               std::get_if<wire::TicketRequest>(&input.Body))
+    onTicketRequest(input.Link, *ticketRequest, step);
 }
 
 void AgentCore::Impl::on(const LinkClosed &input, Step &step) {
-  for (const RequestId &id : Runs.readBy(input.Link)) {
+  for (const RequestId &id : Runs.requestsReadBy(input.Link)) {
     Run &run = *Runs.find(id);
     std::vector<Reader> readers = run.Readers;
     for (const Reader &reader : readers)
       if (reader.Link == input.Link)
         Runs.removeReader(run, reader);
-    keepForReaders(run, step.Now);
+    updateRetention(run, step.Now);
   }
   Dirty = true;
 }
@@ -42,7 +43,7 @@
 void AgentCore::Impl::join(Run &run, LinkHandle link, const wire::Offer &offer,
                            Step &step) {
   Reader reader{link, offer.Try};
-  if (run.wasAnswered(reader) || !Runs.addReader(run, reader))
+  if (run.wasNotified(reader) || !Runs.addReader(run, reader))
     return;
   sendAccepted(run, reader, step);
   replay(run, reader, offer.GeneratedChunks, step);
@@ -72,7 +73,7 @@
     out.Load = loadReport(step.Now);
     send(step, reader.Link, std::move(out));
     Runs.removeReader(run, reader);
-    return keepForReaders(run, step.Now);
+    return updateRetention(run, step.Now);
   }
   for (uint32_t i = from; i < end; ++i) {
     AnswerBuffer::View view = run.Answer.at(i);
@@ -84,19 +85,19 @@
     sendFinal(run, Reader(reader), step);
     Runs.removeReader(run, reader);
   }
-  keepForReaders(run, step.Now);
+  updateRetention(run, step.Now);
 }
 
 void AgentCore::Impl::onCancel(LinkHandle link, const wire::Cancel &cancel,
                                Step &step) {
   Run *run = Runs.find(cancel.Id);
   if (!run)
-    return close(cancel.Id, cancel.Try, step.Now);
+    return rememberClosed(cancel.Id, cancel.Try, step.Now);
   Reader reader{link, cancel.Try};
   if (!Runs.removeReader(*run, reader) || run->isFinished())
     return;
   if (!run->Readers.empty())
-    return sendLeft(*run, reader, step);
+    return confirmCancel(*run, reader, step);
   stopAtServer(*run, step);
   record(step, EventKind::RunCancelled, *run, ErrorKind::Cancelled);
   Runs.addReader(*run, reader);
@@ -104,8 +105,8 @@
 }
 
 /// One of several readers left; the run goes on for the others.
-void AgentCore::Impl::sendLeft(const Run &run, const Reader &reader,
-                               Step &step) {
+void AgentCore::Impl::confirmCancel(const Run &run, const Reader &reader,
+                                    Step &step) {
   wire::Finished out;
   out.Id = run.Token.Id;
   out.Try = reader.Try;
@@ -156,31 +157,31 @@
   send(step, link, std::move(out));
 }
 
-void AgentCore::Impl::close(const RequestId &id, Attempt attempt,
-                            TimePoint now) {
-  Closed[id] = {attempt, now + Settings.ResumeWindow};
+void AgentCore::Impl::rememberClosed(const RequestId &id, Attempt attempt,
+                                     TimePoint now) {
+  ClosedAttempts[id] = {attempt, now + Settings.ResumeWindow};
   ClosedOrder.push_back(id);
-  if (ClosedOrder.size() > MaxClosed)
-    forgetOldestClosed();
+  if (ClosedOrder.size() > MaxClosedAttempts)
+    removeOldestClosedAttempt();
 }
 
 bool AgentCore::Impl::isClosed(const wire::Offer &offer, TimePoint now) const {
-  auto it = Closed.find(offer.Id);
-  return it != Closed.end() && it->second.Try >= offer.Try &&
-         it->second.Until > now;
+  auto it = ClosedAttempts.find(offer.Id);
+  return it != ClosedAttempts.end() && it->second.Try >= offer.Try &&
+         it->second.ExpiresAt > now;
 }
 
-void AgentCore::Impl::forgetOldestClosed() {
-  Closed.erase(ClosedOrder.front());
+void AgentCore::Impl::removeOldestClosedAttempt() {
+  ClosedAttempts.erase(ClosedOrder.front());
   ClosedOrder.pop_front();
 }
 
-void AgentCore::Impl::forgetClosed(TimePoint now) {
+void AgentCore::Impl::expireClosedAttempts(TimePoint now) {
   while (!ClosedOrder.empty()) {
-    auto it = Closed.find(ClosedOrder.front());
-    if (it != Closed.end() && it->second.Until > now)
+    auto it = ClosedAttempts.find(ClosedOrder.front());
+    if (it != ClosedAttempts.end() && it->second.ExpiresAt > now)
       return;
-    forgetOldestClosed();
+    removeOldestClosedAttempt();
   }
 }
 
--- a/src/serve/agent_messages.h
+++ b/src/serve/agent_messages.h
@@ -109,7 +109,7 @@
 };
 
 /// The engine did not answer a poll of its status or cache events.
-struct EngineSilent {
+struct EngineUnresponsive {
   Error Why;
 };
 
@@ -226,7 +226,7 @@
 
 using AgentInput =
     std::variant<LinkOpened, LinkMessage, LinkClosed, RunText, RunDone,
-                 RunFailed, EngineStatus, EngineSilent, CacheEvents,
+                 RunFailed, EngineStatus, EngineUnresponsive, CacheEvents,
                  PieceExport, PieceImport, OrderAnswer, SlotAnswer, StoreAnswer,
                  AgentConfig, StopRequested, DrainRequested, TimerFired>;
 
@@ -316,14 +316,15 @@
 struct SamplePieces {
   uint32_t Count = 0;
 };
-struct AskUsage {
+struct ReadUsage {
   std::string MetaPrefix;
 };
-struct AskStatus {};
+struct ReadStatus {};
 
-using StoreRequest = std::variant<LookupPieces, ReadPiece, ReadGeneration,
-                                  BeginPiece, WritePiece, CommitPiece,
-                                  FreePiece, SamplePieces, AskUsage, AskStatus>;
+using StoreRequest =
+    std::variant<LookupPieces, ReadPiece, ReadGeneration, BeginPiece,
+                 WritePiece, CommitPiece, FreePiece, SamplePieces, ReadUsage,
+                 ReadStatus>;
 
 /// Answered by exactly one StoreAnswer with the same Call.
 struct CallStore {
@@ -334,7 +335,7 @@
 };
 
 /// Breaks a running call off; it is answered with Cancelled.
-struct StopStoreCall {
+struct CancelStoreCall {
   CallId Call = 0;
 };
 
@@ -345,7 +346,7 @@
 using AgentAction =
     std::variant<SendMessage, StartRun, CancelRun, SuspendRun, ResumeRun,
                  PollStatus, PollCacheEvents, ExportPiece, ImportPiece,
-                 SendOrder, CallSlot, CallStore, StopStoreCall, RecordEvent>;
+                 SendOrder, CallSlot, CallStore, CancelStoreCall, RecordEvent>;
 
 using AgentActions = std::vector<AgentAction>;
 
--- a/src/serve/agent_offers.cpp
+++ b/src/serve/agent_offers.cpp
@@ -11,24 +11,24 @@
 namespace {
 
 constexpr size_t MaxRefusalsShown = 256;
-constexpr uint64_t LongestMicros = 365ULL * 24 * 3600 * 1'000'000;
-constexpr Duration NotReadyRetry{1'000'000};
+constexpr uint64_t MaxRemainingMicros = 365ULL * 24 * 3600 * 1'000'000;
+constexpr Duration NotReadyRetryAfter{1'000'000};
 
 /// Tells a repeat of a request from another one under the same id. Both come
 /// from one organisation, so that a forged collision would harm its maker only.
-uint64_t hashOfBody(const wire::Offer &offer) {
+uint64_t hashRequest(const wire::Offer &offer) {
   return hashName(offer.Body) ^ mix64(hashName(offer.Call.Target)) ^
          mix64(hashName(offer.Call.Method) + 1);
 }
 
-std::string describe(const AcceptanceDecision &decision) {
+std::string describePrediction(const AcceptanceDecision &decision) {
   return "predicted wait " + daisytack::toString(decision.Wait) +
          ", completion " + daisytack::toString(decision.Completion) +
          ", slack " + daisytack::toString(decision.Slack);
 }
 
-Duration remaining(const wire::Offer &offer) {
-  return Duration(std::min(offer.RemainingMicros, LongestMicros));
+Duration remainingTime(const wire::Offer &offer) {
+  return Duration(std::min(offer.RemainingMicros, MaxRemainingMicros));
 }
 
 } // namespace
@@ -39,12 +39,12 @@
     return onTicketOffer(link, offer, step);
   Run *run = Runs.find(offer.Id);
   if (run) {
-    Error why = judgeRepeat(*run, offer);
+    Error why = checkRepeatedOffer(*run, offer);
     if (why)
       return refuse(link, offer, why, Outcome::NotRun, step);
     if (!run->Final || run->Final->Kind == ErrorKind::None)
       return join(*run, link, offer, step);
-    if (run->wasAnswered({link, offer.Try}))
+    if (run->wasNotified({link, offer.Try}))
       return;
     HeldBytes -= run->Answer.bytes();
     Runs.erase(offer.Id);
@@ -79,25 +79,25 @@
 
 bool AgentCore::Impl::decideOffer(LinkHandle link, const wire::Offer &offer,
                                   std::optional<TicketKey> ticket, Step &step) {
-  Error why = judgeOffer(offer, step);
+  Error why = checkOffer(offer, step);
   if (why) {
     refuse(link, offer, why, Outcome::NotRun, step);
     return false;
   }
   auto run = std::make_unique<Run>(
-      std::make_shared<const wire::Offer>(withOwnPieces(offer)),
+      std::make_shared<const wire::Offer>(withUsablePieces(offer)),
       Settings.MaxAnswerBytes);
   run->Ticket = ticket;
-  run->BodyHash = hashOfBody(offer);
+  run->RequestHash = hashRequest(offer);
   run->Arrived = step.Now;
-  run->Deadline = step.Now + remaining(offer);
+  run->Deadline = step.Now + remainingTime(offer);
   run->Version = version();
   run->ExpectedPrefill = tokensToPrefill(*run->Request);
   RunRequest request = queueRequest(*run, step.Now);
-  AcceptanceDecision decision = judgeLoad(request, step);
+  AcceptanceDecision decision = decideByLoad(request, step);
   if (!decision.accepted()) {
     Queue.recordRefused(request, step.Now);
-    decision.Reason.Detail = describe(decision);
+    decision.Reason.Detail = describePrediction(decision);
     refuse(link, offer, decision.Reason, Outcome::NotRun, step,
            decision.scores());
     return false;
@@ -106,47 +106,48 @@
   return true;
 }
 
-wire::Offer AgentCore::Impl::withOwnPieces(wire::Offer offer) const {
+wire::Offer AgentCore::Impl::withUsablePieces(wire::Offer offer) const {
   if (offer.Version != version())
     offer.Pieces.clear();
   return offer;
 }
 
-Error AgentCore::Impl::judgeRepeat(const Run &run,
-                                   const wire::Offer &offer) const {
+Error AgentCore::Impl::checkRepeatedOffer(const Run &run,
+                                          const wire::Offer &offer) const {
   if (run.Organisation != offer.Organisation)
     return {ErrorKind::Forbidden, "request id of another organisation"};
-  if (run.BodyHash != hashOfBody(offer))
+  if (run.RequestHash != hashRequest(offer))
     return {ErrorKind::KeyReused, "same request id with another body"};
   return {};
 }
 
-Error AgentCore::Impl::judgeOffer(const wire::Offer &offer, Step &step) const {
+Error AgentCore::Impl::checkOffer(const wire::Offer &offer, Step &step) const {
   if (Runs.find(offer.Id))
     return {ErrorKind::KeyReused, "the request is known under another ticket"};
-  bool isCall = !offer.Call.Method.empty();
-  if (isCall != Settings.IsService ||
-      (!isCall && offer.Model != Settings.Serves))
-    return {isCall ? ErrorKind::UnknownService : ErrorKind::UnknownModel,
+  bool isServiceCall = !offer.Call.Method.empty();
+  if (isServiceCall != Settings.IsService ||
+      (!isServiceCall && offer.Model != Settings.Serves))
+    return {isServiceCall ? ErrorKind::UnknownService : ErrorKind::UnknownModel,
             "this agent serves " + Settings.Serves};
   if (isLeaving())
     return {ErrorKind::Draining, "the server is leaving"};
   if (!isStatusFresh(step.Now))
-    return {ErrorKind::NotReady, "the engine does not answer", NotReadyRetry};
+    return {ErrorKind::NotReady, "the engine does not answer",
+            NotReadyRetryAfter};
   if (Swap.holdsNewWork())
     return {ErrorKind::NotReady, "the server changes its version",
-            NotReadyRetry};
+            NotReadyRetryAfter};
   if (isClosed(offer, step.Now))
     return {ErrorKind::Cancelled, "the attempt is over"};
   if (offer.RemainingMicros <= offer.ReserveMicros)
     return {ErrorKind::DeadlineTooShort, "no time is left"};
   if (Queue.waiting() >= Settings.MaxWaiting)
-    return {ErrorKind::Overloaded, "the queue is full", NotReadyRetry};
+    return {ErrorKind::Overloaded, "the queue is full", NotReadyRetryAfter};
   return {};
 }
 
-AcceptanceDecision AgentCore::Impl::judgeLoad(const RunRequest &request,
-                                              Step &step) {
+AcceptanceDecision AgentCore::Impl::decideByLoad(const RunRequest &request,
+                                                 Step &step) {
   AcceptanceDecision out = decideAcceptance(
       Queue, Settings.Queue, Settings.Acceptance, request, step.Now);
   // While other servers may still take it at once, nothing is suspended for it.
@@ -156,20 +157,21 @@
   auto victim = Queue.preemptionVictim(request, step.Now);
   if (!victim)
     return out;
-  RunQueue without = Queue;
-  without.suspend(victim->Id, victim->Try, step.Now);
-  AcceptanceDecision better = decideAcceptance(
-      without, Settings.Queue, Settings.Acceptance, request, step.Now);
-  if (!better.accepted())
+  RunQueue queueWithoutVictim = Queue;
+  queueWithoutVictim.suspend(victim->Id, victim->Try, step.Now);
+  AcceptanceDecision decisionWithoutVictim =
+      decideAcceptance(queueWithoutVictim, Settings.Queue, Settings.Acceptance,
+                       request, step.Now);
+  if (!decisionWithoutVictim.accepted())
     return out;
   suspend(*Runs.find(victim->Id), step);
-  return better;
+  return decisionWithoutVictim;
 }
 
-void AgentCore::Impl::accept(LinkHandle link, std::unique_ptr<Run> made,
+void AgentCore::Impl::accept(LinkHandle link, std::unique_ptr<Run> newRun,
                              const RunRequest &request,
                              const AcceptanceDecision &decision, Step &step) {
-  Run &run = Runs.insert(std::move(made));
+  Run &run = Runs.insert(std::move(newRun));
   run.PredictedFirstToken = decision.FirstToken;
   run.PredictedCompletion = decision.Completion;
   Reader reader{link, run.Token.Try};
@@ -198,7 +200,7 @@
   send(step, link, std::move(out));
   // A copy of this offer that comes late must not run after all.
   if (ran == Outcome::NotRun && !Runs.find(offer.Id))
-    close(offer.Id, offer.Try, step.Now);
+    rememberClosed(offer.Id, offer.Try, step.Now);
   Refusals.push_back({offer.Id, offer.Try, offer.Organisation, offer.Class,
                       why.Kind, ran, step.Now});
   if (Refusals.size() > MaxRefusalsShown)
--- a/src/serve/agent_queue.cpp
+++ b/src/serve/agent_queue.cpp
@@ -47,18 +47,18 @@
     if (run.State == RunState::Suspended)
       resume(run, step);
     else
-      useSlot(run, step);
+      onSlotAcquired(run, step);
   }
 }
 
-void AgentCore::Impl::useSlot(Run &run, Step &step) {
+void AgentCore::Impl::onSlotAcquired(Run &run, Step &step) {
   // A process that was paused must not act on what it knew before.
   if (!isStatusFresh(step.Now))
-    handBack(run, {ErrorKind::NotReady, "the engine's state is not known"},
-             step);
-  else if (isOvertaken(run))
-    handBack(run, {ErrorKind::NotReady, "the server changed its version"},
-             step);
+    refuseAccepted(
+        run, {ErrorKind::NotReady, "the engine's state is not known"}, step);
+  else if (hasOutdatedVersion(run))
+    refuseAccepted(run, {ErrorKind::NotReady, "the server changed its version"},
+                   step);
   else if (!Fetch.isPending(run.Token.Id))
     start(run, step);
 }
@@ -83,16 +83,16 @@
   Dirty = true;
 }
 
-void AgentCore::Impl::saveRunsAtRisk(Step &step) {
+void AgentCore::Impl::handleRunsAtRisk(Step &step) {
   for (int i = 0; i < MaxMovesPerTick; ++i) {
     auto risk = Queue.firstAtRisk(step.Now);
-    if (!risk || !saveRunAtRisk(*risk, step))
+    if (!risk || !handleRunAtRisk(*risk, step))
       return;
   }
 }
 
 /// False when nothing better can be done than to leave it where it is.
-bool AgentCore::Impl::saveRunAtRisk(const RunRequest &risk, Step &step) {
+bool AgentCore::Impl::handleRunAtRisk(const RunRequest &risk, Step &step) {
   if (auto victim = Queue.preemptionVictim(risk, step.Now)) {
     suspend(*Runs.find(victim->Id), step);
     startWaiting(step);
--- a/src/serve/agent_run.cpp
+++ b/src/serve/agent_run.cpp
@@ -18,8 +18,9 @@
   return "unknown";
 }
 
-bool Run::wasAnswered(const Reader &reader) const {
-  return std::find(Answered.begin(), Answered.end(), reader) != Answered.end();
+bool Run::wasNotified(const Reader &reader) const {
+  return std::find(NotifiedReaders.begin(), NotifiedReaders.end(), reader) !=
+         NotifiedReaders.end();
 }
 
 Run *RunTable::find(const RequestId &id) {
@@ -62,11 +63,11 @@
   if (it == readers.end())
     return false;
   readers.erase(it);
-  bool reads =
+  bool stillReads =
       std::any_of(readers.begin(), readers.end(),
                   [&](const Reader &r) { return r.Link == reader.Link; });
   auto link = ByLink.find(reader.Link.Index);
-  if (!reads && link != ByLink.end()) {
+  if (!stillReads && link != ByLink.end()) {
     link->second.erase(run.Token.Id);
     if (link->second.empty())
       ByLink.erase(link);
@@ -79,7 +80,7 @@
     removeReader(run, Reader(run.Readers.back()));
 }
 
-std::vector<RequestId> RunTable::readBy(LinkHandle link) const {
+std::vector<RequestId> RunTable::requestsReadBy(LinkHandle link) const {
   auto it = ByLink.find(link.Index);
   if (it == ByLink.end())
     return {};
@@ -89,21 +90,21 @@
 }
 
 void RunTable::unschedule(Run &run) {
-  if (run.Wake)
-    Timers.erase({*run.Wake, run.Token.Id});
-  run.Wake.reset();
+  if (run.WakeAt)
+    Timers.erase({*run.WakeAt, run.Token.Id});
+  run.WakeAt.reset();
 }
 
 void RunTable::schedule(Run &run) {
-  std::optional<TimePoint> wake = run.KeptUntil;
+  std::optional<TimePoint> wake = run.RetainUntil;
   if (!run.isFinished() && (!wake || run.Deadline < *wake))
     wake = run.Deadline;
-  if (wake == run.Wake)
+  if (wake == run.WakeAt)
     return;
   unschedule(run);
   if (wake)
     Timers.insert({*wake, run.Token.Id});
-  run.Wake = wake;
+  run.WakeAt = wake;
 }
 
 std::optional<TimePoint> RunTable::nextWake() const {
--- a/src/serve/agent_run.h
+++ b/src/serve/agent_run.h
@@ -34,7 +34,7 @@
   RunToken Token;
   std::string Organisation;
   std::string Version; ///< Weight version that it runs on.
-  uint64_t BodyHash = 0;
+  uint64_t RequestHash = 0;
   RunState State = RunState::Waiting;
   /// Holds a slot of the queue; a run that does may still wait for its context.
   bool HasSlot = false;
@@ -45,25 +45,25 @@
   uint32_t ExpectedPrefill = 0; ///< Tokens that the engine has to prefill.
   /// Some start may have reached the backend server.
   bool MayHaveRun = false;
-  bool RanEarlier = false; ///< MayHaveRun before the present start.
+  bool MayHaveRunBefore = false; ///< MayHaveRun before the present start.
   /// Readers that got the final message.
-  std::vector<Reader> Answered;
+  std::vector<Reader> NotifiedReaders;
   TimePoint Arrived;
   TimePoint Deadline;
   TimePoint Started;
   bool WasSuspended = false; ///< Its times teach nothing.
   std::optional<TimePoint> FirstToken;
   /// Until when it is kept without a reader.
-  std::optional<TimePoint> KeptUntil;
+  std::optional<TimePoint> RetainUntil;
   /// Place in RunTable's timers.
-  std::optional<TimePoint> Wake;
+  std::optional<TimePoint> WakeAt;
   uint32_t NextSequence = 0; ///< Of the server's stream.
   std::vector<Reader> Readers;
   AnswerBuffer Answer;
   std::optional<wire::Finished> Final;
 
   bool isFinished() const { return State == RunState::Finished; }
-  bool wasAnswered(const Reader &reader) const;
+  bool wasNotified(const Reader &reader) const;
 };
 
 /// All runs by request, with their timers and the connections that read them.
@@ -80,7 +80,7 @@
   bool removeReader(Run &run, const Reader &reader);
   void clearReaders(Run &run);
   /// Requests that the connection reads.
-  std::vector<RequestId> readBy(LinkHandle link) const;
+  std::vector<RequestId> requestsReadBy(LinkHandle link) const;
 
   /// Sets when the run wants the timer: its deadline while unfinished, the end
   /// of its resume window while nobody reads.
--- a/src/serve/agent_runs.cpp
+++ b/src/serve/agent_runs.cpp
@@ -14,15 +14,15 @@
 
 /// A swap took place while the run waited: its pieces belong to the other
 /// version.
-bool AgentCore::Impl::isOvertaken(const Run &run) const {
+bool AgentCore::Impl::hasOutdatedVersion(const Run &run) const {
   return !Settings.IsService && run.Version != version();
 }
 
 void AgentCore::Impl::start(Run &run, Step &step) {
   run.State = RunState::Running;
-  run.Token.Start = ++Starts;
+  run.Token.Start = ++StartCount;
   run.Started = step.Now;
-  run.RanEarlier = run.MayHaveRun;
+  run.MayHaveRunBefore = run.MayHaveRun;
   run.MayHaveRun = true;
   run.NextSequence = 0;
   Dirty = true;
@@ -36,40 +36,41 @@
          {(step.Now - run.Arrived).count()});
 }
 
-Run *AgentCore::Impl::current(const RunToken &token) {
+Run *AgentCore::Impl::findActive(const RunToken &token) {
   Run *run = Runs.find(token.Id);
   if (!run || run->isFinished() || run->Token != token)
     return nullptr;
   return run;
 }
 
-bool AgentCore::Impl::isOwnAnswer(Run &run, const RunToken &answer,
-                                  Step &step) {
+bool AgentCore::Impl::checkAnswerToken(Run &run, const RunToken &answer,
+                                       Step &step) {
   if (answer == run.Token)
     return true;
-  lose(run, {ErrorKind::ServerFailed, "the server answered another request"},
-       step);
+  loseAttempt(run,
+              {ErrorKind::ServerFailed, "the server answered another request"},
+              step);
   return false;
 }
 
-void AgentCore::Impl::lose(Run &run, const Error &why, Step &step) {
+void AgentCore::Impl::loseAttempt(Run &run, const Error &why, Step &step) {
   record(step, EventKind::AttemptLost, run, why.Kind);
   stopAtServer(run, step);
   fail(run, why, step);
 }
 
 void AgentCore::Impl::on(const RunText &input, Step &step) {
-  Run *run = current(input.Run);
-  if (!run || !isOwnAnswer(*run, input.Answer, step))
+  Run *run = findActive(input.Run);
+  if (!run || !checkAnswerToken(*run, input.Answer, step))
     return;
   if (input.Sequence) {
     if (*input.Sequence < run->NextSequence)
       return;
     if (*input.Sequence > run->NextSequence)
-      return lose(*run,
-                  {ErrorKind::ServerFailed, "a part of the answer is "
-                                            "missing"},
-                  step);
+      return loseAttempt(*run,
+                         {ErrorKind::ServerFailed, "a part of the answer is "
+                                                   "missing"},
+                         step);
   }
   ++run->NextSequence;
   if (!run->FirstToken) {
@@ -86,12 +87,12 @@
     send(step, reader.Link,
          wire::Chunk{run->Token.Id, reader.Try, index, input.Tokens,
                      input.Text});
-  boundHeldBytes();
+  evictFinishedAnswers();
 }
 
 void AgentCore::Impl::on(const RunDone &input, Step &step) {
-  Run *run = current(input.Run);
-  if (!run || !isOwnAnswer(*run, input.Answer, step))
+  Run *run = findActive(input.Run);
+  if (!run || !checkAnswerToken(*run, input.Answer, step))
     return;
   wire::Finished out;
   out.Ran = Outcome::Completed;
@@ -108,18 +109,18 @@
 }
 
 void AgentCore::Impl::on(const RunFailed &input, Step &step) {
-  Run *run = current(input.Run);
+  Run *run = findActive(input.Run);
   if (!run)
     return;
   if (input.Ran == Outcome::NotRun && run->NextSequence == 0)
-    run->MayHaveRun = run->RanEarlier;
+    run->MayHaveRun = run->MayHaveRunBefore;
   record(step, EventKind::AttemptLost, *run, input.Why.Kind);
   fail(*run, input.Why, step);
 }
 
 void AgentCore::Impl::fail(Run &run, const Error &why, Step &step) {
   if (!run.MayHaveRun)
-    return handBack(run, why, step);
+    return refuseAccepted(run, why, step);
   wire::Finished out;
   out.Ran = Outcome::MayHaveRun;
   out.Kind = why.Kind;
@@ -129,7 +130,7 @@
 }
 
 void AgentCore::Impl::finish(Run &run, wire::Finished final, Step &step) {
-  leaveServer(run, step);
+  releaseQueueEntry(run, step);
   final.Id = run.Token.Id;
   final.Chunks = run.Answer.nextIndex();
   if (run.FirstToken)
@@ -138,21 +139,21 @@
          {(step.Now - run.Arrived).count(), final.PromptTokens,
           final.RecomputedTokens, final.GeneratedTokens});
   run.State = RunState::Finished;
-  settleTicket(run, final, step);
+  finishTicket(run, final, step);
   run.Final = std::move(final);
   run.Request.reset();
   for (const Reader &reader : run.Readers)
     sendFinal(run, reader, step);
   Runs.clearReaders(run);
   FinishedOrder.push_back(run.Token.Id);
-  run.KeptUntil = step.Now + Settings.ResumeWindow;
+  run.RetainUntil = step.Now + Settings.ResumeWindow;
   Runs.schedule(run);
   Dirty = true;
   startWaiting(step);
 }
 
-void AgentCore::Impl::handBack(Run &run, const Error &why, Step &step) {
-  leaveServer(run, step);
+void AgentCore::Impl::refuseAccepted(Run &run, const Error &why, Step &step) {
+  releaseQueueEntry(run, step);
   if (run.Ticket)
     Tickets.withdraw(*run.Ticket, step.Now);
   for (const Reader &reader : run.Readers) {
@@ -167,23 +168,24 @@
     send(step, reader.Link, std::move(out));
   }
   record(step, EventKind::OfferRefused, run, why.Kind);
-  close(run.Token.Id, run.Token.Try, step.Now);
+  rememberClosed(run.Token.Id, run.Token.Try, step.Now);
   HeldBytes -= run.Answer.bytes();
   Runs.erase(RequestId(run.Token.Id));
   Dirty = true;
   startWaiting(step);
 }
 
-void AgentCore::Impl::settleTicket(const Run &run, const wire::Finished &final,
+void AgentCore::Impl::finishTicket(const Run &run, const wire::Finished &final,
                                    Step &step) {
   if (!run.Ticket)
     return;
-  wire::Finished end = final;
-  end.Try = run.Token.Try;
-  Tickets.finish(*run.Ticket, {std::move(end), run.Answer.text()}, step.Now);
+  wire::Finished outcome = final;
+  outcome.Try = run.Token.Try;
+  Tickets.finish(*run.Ticket, {std::move(outcome), run.Answer.text()},
+                 step.Now);
 }
 
-void AgentCore::Impl::leaveServer(Run &run, Step &step) {
+void AgentCore::Impl::releaseQueueEntry(Run &run, Step &step) {
   Fetch.abandon(run.Token.Id, step);
   if (run.HasSlot)
     Queue.finish(run.Token.Id, run.Token.Try);
@@ -202,18 +204,18 @@
   out.Try = reader.Try;
   out.Load = loadReport(step.Now);
   send(step, reader.Link, std::move(out));
-  run.Answered.push_back(reader);
+  run.NotifiedReaders.push_back(reader);
 }
 
-void AgentCore::Impl::keepForReaders(Run &run, TimePoint now) {
+void AgentCore::Impl::updateRetention(Run &run, TimePoint now) {
   if (!run.Readers.empty())
-    run.KeptUntil.reset();
-  else if (!run.KeptUntil || run.isFinished())
-    run.KeptUntil = now + Settings.ResumeWindow;
+    run.RetainUntil.reset();
+  else if (!run.RetainUntil || run.isFinished())
+    run.RetainUntil = now + Settings.ResumeWindow;
   Runs.schedule(run);
 }
 
-void AgentCore::Impl::handBackWaiting(const Error &why, Step &step) {
+void AgentCore::Impl::failWaiting(const Error &why, Step &step) {
   std::vector<RequestId> waiting;
   for (const auto &[id, run] : Runs.all())
     if (run->State == RunState::Waiting)
@@ -224,13 +226,13 @@
 }
 
 /// Ids whose runs are gone need not be remembered.
-void AgentCore::Impl::forgetFinished() {
+void AgentCore::Impl::pruneFinishedOrder() {
   while (!FinishedOrder.empty() && !Runs.find(FinishedOrder.front()))
     FinishedOrder.pop_front();
 }
 
 /// Only finished answers go, the oldest first: a running one may still be read.
-void AgentCore::Impl::boundHeldBytes() {
+void AgentCore::Impl::evictFinishedAnswers() {
   while (HeldBytes > Settings.MaxHeldBytes && !FinishedOrder.empty()) {
     RequestId id = FinishedOrder.front();
     FinishedOrder.pop_front();
--- a/src/serve/agent_snapshot.h
+++ b/src/serve/agent_snapshot.h
@@ -49,12 +49,12 @@
 };
 
 /// Kept context of one organisation, as far as this agent knows it.
-struct KeptView {
+struct KeptContextView {
   std::string Organisation;
   uint64_t Pieces = 0;
   uint64_t Bytes = 0;
   uint64_t Hits = 0; ///< Pieces reused since the process started.
-  bool operator==(const KeptView &) const = default;
+  bool operator==(const KeptContextView &) const = default;
 };
 
 struct AgentSnapshot {
@@ -66,7 +66,7 @@
   swap::SwapState Swap = swap::SwapState::Unreachable;
   std::vector<RunView> Runs;         ///< Waiting, running and suspended.
   std::vector<RefusalView> Refusals; ///< The latest, oldest first.
-  std::vector<KeptView> Kept;
+  std::vector<KeptContextView> KeptContext;
 };
 
 } // namespace daisytack::serve
--- a/src/serve/agent_stores.h
+++ b/src/serve/agent_stores.h
@@ -23,7 +23,7 @@
 };
 
 /// Numbers calls and transfers.
-class CallNumbers {
+class CallIdSource {
 public:
   CallId next() { return ++Last; }
 
--- a/src/serve/agent_swap.cpp
+++ b/src/serve/agent_swap.cpp
@@ -14,14 +14,14 @@
 }
 
 void AgentCore::Impl::on(const SlotAnswer &input, Step &step) {
-  perform(Swap.on(input.Result, step.Now), step);
+  performSwapActions(Swap.on(input.Result, step.Now), step);
 }
 
 void AgentCore::Impl::on(const OrderAnswer &input, Step &step) {
-  if (input.Call != OrderCall || OrderCall == 0)
+  if (input.Call != LatestOrderCall || LatestOrderCall == 0)
     return;
-  OrderCall = 0;
-  perform(Swap.onOrder(input.Why, input.Fence, step.Now), step);
+  LatestOrderCall = 0;
+  performSwapActions(Swap.onOrder(input.Why, input.Fence, step.Now), step);
 }
 
 swap::SwapView AgentCore::Impl::swapView() const {
@@ -46,26 +46,27 @@
     return;
   swap::SwapView view = swapView();
   auto timer = Swap.nextTimer();
-  if (view == SwapSeen && (!timer || *timer > step.Now))
+  if (view == LastSwapView && (!timer || *timer > step.Now))
     return;
-  SwapSeen = view;
+  LastSwapView = view;
   swap::SwapState before = Swap.state();
-  perform(Swap.update(view, step.Now), step);
+  performSwapActions(Swap.update(view, step.Now), step);
   Dirty = Dirty || before != Swap.state();
 }
 
-void AgentCore::Impl::perform(swap::SwapActions actions, Step &step) {
+void AgentCore::Impl::performSwapActions(swap::SwapActions actions,
+                                         Step &step) {
   for (swap::SwapAction &it : actions) {
     if (auto *call = std::get_if<swap::SlotCall>(&it))
       step.Out.push_back(CallSlot{std::move(*call)});
     else
-      order(std::get<swap::LoadOrder>(it), step);
+      sendOrder(std::get<swap::LoadOrder>(it), step);
   }
 }
 
-void AgentCore::Impl::order(const swap::LoadOrder &load, Step &step) {
+void AgentCore::Impl::sendOrder(const swap::LoadOrder &load, Step &step) {
   SendOrder out;
-  out.Call = OrderCall = Numbers.next();
+  out.Call = LatestOrderCall = CallIds.next();
   out.Kind = load.What.Version == Engine.Version ? OrderKind::LoadAdapter
                                                  : OrderKind::LoadWeights;
   out.Version = load.What.Version;
--- a/tests/edge/store_test.cpp
+++ b/tests/edge/store_test.cpp
@@ -26,8 +26,8 @@
       {WritePiece{key(), 3, bytes}, "PUT /pieces/" + KeyText + "/3? xyz"},
       {FreePiece{key(), 3}, "DELETE /pieces/" + KeyText + "/3? "},
       {SamplePieces{8}, "GET /sample?count=8 "},
-      {AskUsage{"o:a b"}, "GET /usage?meta_prefix=o%3Aa%20b "},
-      {AskStatus{}, "GET /status? "},
+      {ReadUsage{"o:a b"}, "GET /usage?meta_prefix=o%3Aa%20b "},
+      {ReadStatus{}, "GET /status? "},
   };
   for (const Case &it : cases) {
     net::HttpRequest request = storeRequest(it.Request);
@@ -54,7 +54,7 @@
        ErrorKind::ProtocolError},
       {ReadPiece{key()}, {404, {}, ""}, ErrorKind::NotFound},
       {WritePiece{key(), 1, nullptr}, {507, {}, ""}, ErrorKind::RecordFull},
-      {AskStatus{}, {500, {}, ""}, ErrorKind::ServerFailed},
+      {ReadStatus{}, {500, {}, ""}, ErrorKind::ServerFailed},
   };
   for (const Case &it : cases) {
     StoreResult result = storeResult(it.Request, it.Response);
--- a/tests/matrix/agent_host.cpp
+++ b/tests/matrix/agent_host.cpp
@@ -192,7 +192,7 @@
   });
 }
 
-void AgentHost::on(const StopStoreCall &action) {
+void AgentHost::on(const CancelStoreCall &action) {
   On.After(Duration(0), [this, call = action.Call] {
     answerStore(call, Error{ErrorKind::Cancelled, "stopped"});
   });
--- a/tests/matrix/agent_host.h
+++ b/tests/matrix/agent_host.h
@@ -59,7 +59,7 @@
   void on(const serve::SendOrder &action);
   void on(const serve::CallSlot &action);
   void on(const serve::CallStore &action);
-  void on(const serve::StopStoreCall &action);
+  void on(const serve::CancelStoreCall &action);
   void on(const serve::RecordEvent &action);
   void answerStore(serve::CallId call, serve::StoreResult result);
   void tellSlot(uint64_t number, decltype(swap::SlotResult::What) result);
--- a/tests/matrix/engine.cpp
+++ b/tests/matrix/engine.cpp
@@ -157,7 +157,7 @@
 
 AgentInput Engine::status() const {
   if (Dead)
-    return EngineSilent{{ErrorKind::ServerLost, "no answer"}};
+    return EngineUnresponsive{{ErrorKind::ServerLost, "no answer"}};
   EngineStatus out;
   out.Model = "market";
   out.Version = Version;
@@ -174,7 +174,7 @@
 
 AgentInput Engine::cacheEvents(uint64_t from) const {
   if (Dead)
-    return EngineSilent{{ErrorKind::ServerLost, "no answer"}};
+    return EngineUnresponsive{{ErrorKind::ServerLost, "no answer"}};
   CacheEvents out;
   out.From = from;
   out.Next = Events.size();
--- a/tests/matrix/platform.cpp
+++ b/tests/matrix/platform.cpp
@@ -113,11 +113,12 @@
   return out;
 }
 
-StoreResult Platform::answer(FakeStore & /*store*/, const AskUsage & /*ask*/) {
+StoreResult Platform::answer(FakeStore & /*store*/, const ReadUsage & /*ask*/) {
   return StoreUsage{};
 }
 
-StoreResult Platform::answer(FakeStore & /*store*/, const AskStatus & /*ask*/) {
+StoreResult Platform::answer(FakeStore & /*store*/,
+                             const ReadStatus & /*ask*/) {
   StoreStatus out;
   out.MemoryTotal = out.DiskTotal = 1ULL << 30;
   out.LinkBytesPerSecond = 100U << 20;
--- a/tests/matrix/platform.h
+++ b/tests/matrix/platform.h
@@ -97,8 +97,8 @@
   serve::StoreResult answer(FakeStore &store, const serve::CommitPiece &ask);
   serve::StoreResult answer(FakeStore &store, const serve::FreePiece &ask);
   serve::StoreResult answer(FakeStore &store, const serve::SamplePieces &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::AskUsage &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::AskStatus &ask);
+  serve::StoreResult answer(FakeStore &store, const serve::ReadUsage &ask);
+  serve::StoreResult answer(FakeStore &store, const serve::ReadStatus &ask);
 
   EventQueue &Queue;
   uint64_t ListVersion = 0;
--- a/tests/serve_agent/agent_core_test.cpp
+++ b/tests/serve_agent/agent_core_test.cpp
@@ -56,7 +56,7 @@
       {"silent engine",
        [](AgentRig &rig, wire::Offer &) {
          rig.Now += Duration(5'000'000);
-         rig.apply(EngineSilent{});
+         rig.apply(EngineUnresponsive{});
        },
        ErrorKind::NotReady},
       {"cancelled before",
--- a/tests/serve_agent/agent_schedules_test.cpp
+++ b/tests/serve_agent/agent_schedules_test.cpp
@@ -227,7 +227,7 @@
     if (Arg % 5 == 0)
       out.Started = Arg;
     if (Arg % 7 == 0)
-      Rig.apply(EngineSilent{{ErrorKind::ServerLost, "silent"}});
+      Rig.apply(EngineUnresponsive{{ErrorKind::ServerLost, "silent"}});
     else
       Rig.apply(out);
     watch();
--- a/tests/serve_agent/fake_platform.h
+++ b/tests/serve_agent/fake_platform.h
@@ -174,10 +174,10 @@
                               false, piece.Meta});
     return out;
   }
-  StoreResult on(uint32_t /*store*/, const AskUsage & /*ask*/) {
+  StoreResult on(uint32_t /*store*/, const ReadUsage & /*ask*/) {
     return StoreUsage{Used, 1};
   }
-  StoreResult on(uint32_t /*store*/, const AskStatus & /*ask*/) {
+  StoreResult on(uint32_t /*store*/, const ReadStatus & /*ask*/) {
     return StoreStatus{0, 1000, 0, 1000, 0};
   }
 
--- a/tools/agent/agent_operators.cpp
+++ b/tools/agent/agent_operators.cpp
@@ -50,7 +50,7 @@
 std::vector<query::KeptRow> keptRows(const Picture &picture,
                                      const AgentOptions &options) {
   std::vector<query::KeptRow> out;
-  for (const serve::KeptView &it : picture->Kept) {
+  for (const serve::KeptContextView &it : picture->KeptContext) {
     query::KeptRow row;
     row.Organisation = it.Organisation;
     row.Class = std::string(1, '*');
--- a/tools/agent/agent_shell.cpp
+++ b/tools/agent/agent_shell.cpp
@@ -240,7 +240,7 @@
 void AgentShell::perform(const serve::CallStore &action) {
   Stores.Call(action);
 }
-void AgentShell::perform(const serve::StopStoreCall &action) {
+void AgentShell::perform(const serve::CancelStoreCall &action) {
   Stores.Stop(action);
 }
 void AgentShell::perform(serve::RecordEvent &action) {
--- a/tools/agent/agent_shell.h
+++ b/tools/agent/agent_shell.h
@@ -59,7 +59,7 @@
   void perform(const serve::SendOrder &action);
   void perform(const serve::CallSlot &action);
   void perform(const serve::CallStore &action);
-  void perform(const serve::StopStoreCall &action);
+  void perform(const serve::CancelStoreCall &action);
   void perform(serve::RecordEvent &action);
   void setTimer();
   void checkDrained();
