--- a/src/serve/agent_export.cpp
+++ b/src/serve/agent_export.cpp
@@ -15,7 +15,7 @@
 } // namespace
 
 ExportFlow::ExportFlow(ExportSettings settings, StoreTable &stores,
-                       CallNumbers &numbers,
+                       CallIdSource &numbers,
                        std::function<std::string()> engineVersion)
     : Settings(settings), Stores(stores), Numbers(numbers),
       EngineVersion(std::move(engineVersion)),
@@ -73,7 +73,7 @@
   job.ReportedUsage.ReportedAt = step.Now;
   for (uint32_t i = 0; i < Stores.size(); ++i) {
     callStore(CallPurpose::Usage, {i},
-              AskUsage{metaPrefix(job.Params.Organisation)}, step);
+              ReadUsage{metaPrefix(job.Params.Organisation)}, step);
     ++job.PendingCalls;
   }
 }
@@ -83,7 +83,7 @@
     return;
   StatusAt = step.Now;
   for (uint32_t i = 0; i < Stores.size(); ++i) {
-    callStore(CallPurpose::Status, {i}, AskStatus{}, step);
+    callStore(CallPurpose::Status, {i}, ReadStatus{}, step);
     ++Jobs.front().PendingCalls;
   }
 }
--- a/src/serve/agent_export.h
+++ b/src/serve/agent_export.h
@@ -46,7 +46,7 @@
 /// Not thread-safe.
 class ExportFlow {
 public:
-  ExportFlow(ExportSettings settings, StoreTable &stores, CallNumbers &numbers,
+  ExportFlow(ExportSettings settings, StoreTable &stores, CallIdSource &numbers,
              std::function<std::string()> engineVersion);
 
   void begin(ExportParams params, Step &step);
@@ -118,7 +118,7 @@
 
   ExportSettings Settings;
   StoreTable &Stores;
-  CallNumbers &Numbers;
+  CallIdSource &Numbers;
   std::function<std::string()> EngineVersion;
   SightingTable RecentSightings;
   ReturnModel Returns;
--- a/tests/serve_agent/agent_schedules_test.cpp
+++ b/tests/serve_agent/agent_schedules_test.cpp
@@ -227,7 +227,7 @@
     if (Draw % 5 == 0)
       out.Started = Draw;
     if (Draw % 7 == 0)
-      Rig.apply(EngineSilent{{ErrorKind::ServerLost, "silent"}});
+      Rig.apply(EngineUnresponsive{{ErrorKind::ServerLost, "silent"}});
     else
       Rig.apply(out);
     checkOutputs();
--- a/tests/serve_agent/fake_platform.h
+++ b/tests/serve_agent/fake_platform.h
@@ -175,10 +175,10 @@
                               false, piece.Meta});
     return out;
   }
-  StoreResult on(uint32_t /*store*/, const AskUsage & /*request*/) {
+  StoreResult on(uint32_t /*store*/, const ReadUsage & /*request*/) {
     return StoreUsage{UsedBytes, 1};
   }
-  StoreResult on(uint32_t /*store*/, const AskStatus & /*request*/) {
+  StoreResult on(uint32_t /*store*/, const ReadStatus & /*request*/) {
     return StoreStatus{0, 1000, 0, 1000, 0};
   }
 
