--- a/src/serve/agent_answer.cpp
+++ b/src/serve/agent_answer.cpp
@@ -23,8 +23,8 @@
   return Text.capacity() + Ends.capacity() * sizeof(ChunkEnd);
 }
 
-/// Drops down to half of the limit, so that its cost is spread over many
-/// appends; the newest chunk always stays.
+/// Drops chunks until at most half of MaxBytes remains, so that the cost of a
+/// drop is amortised over many appends. The newest chunk is never dropped.
 void AnswerBuffer::dropOldest() {
   size_t n = 0;
   while (n + 1 < Ends.size() && Text.size() - Ends[n].End > MaxBytes / 2)
--- a/src/serve/agent_answer.h
+++ b/src/serve/agent_answer.h
@@ -1,5 +1,5 @@
-/// The answer of one run as far as it is known, held so that a reader who lost
-/// its connection can have the rest.
+/// Buffer of the answer of one run, from which a reader that lost its
+/// connection can resume.
 #pragma once
 
 #include <cstddef>
@@ -10,11 +10,11 @@
 
 namespace daisytack::serve {
 
-/// Consecutive chunks in one string. When it grows beyond its bound the oldest
-/// chunks go.
+/// Stores consecutive chunks in one string. When the string exceeds its maximum
+/// size, the oldest chunks are dropped.
 class AnswerBuffer {
 public:
-  /// One chunk; Text is valid until the next append.
+  /// A view of one chunk; Text is valid until the next append.
   struct View {
     uint32_t Index = 0;
     uint32_t Tokens = 0;
@@ -24,27 +24,31 @@
   AnswerBuffer(uint32_t firstIndex, size_t maxBytes)
       : FirstIndex(firstIndex), MaxBytes(maxBytes) {}
 
-  /// Returns the index of the new chunk.
+  /// Appends a chunk and returns its index.
   uint32_t append(std::string_view text, uint32_t tokens);
 
-  /// Chunks from this index on can be had.
+  /// Index of the oldest chunk that was not dropped; equal to nextIndex() when
+  /// the buffer is empty.
   uint32_t firstIndex() const { return FirstIndex; }
-  /// Index that the next chunk will have.
+  /// Index that the next appended chunk will get.
   uint32_t nextIndex() const {
     return FirstIndex + static_cast<uint32_t>(Ends.size());
   }
+  /// Returns the chunk with an index in [firstIndex(), nextIndex()).
   View at(uint32_t index) const;
+  /// Size in bytes of the chunks that were not dropped.
   size_t bytes() const { return Text.size(); }
+  /// Number of tokens of all appended chunks, including dropped ones.
   uint32_t tokens() const { return Tokens; }
-  /// The text held: the whole answer when nothing was dropped and firstIndex
-  /// was 0.
+  /// Text of the chunks that were not dropped: the whole answer if firstIndex()
+  /// is 0.
   const std::string &text() const { return Text; }
-  /// Memory in use, in bytes.
+  /// Allocated memory in bytes.
   size_t footprint() const;
 
 private:
   struct ChunkEnd {
-    uint32_t End = 0; ///< Offset in Text behind the chunk.
+    uint32_t End = 0; ///< Offset in Text of the end of the chunk.
     uint32_t Tokens = 0;
   };
   void dropOldest();
--- a/src/serve/agent_context.cpp
+++ b/src/serve/agent_context.cpp
@@ -1,4 +1,4 @@
-/// AgentCore: the engine's state, its cache and the kept context.
+/// AgentCore: engine status, view of the engine's cache, and kept context.
 #include "serve/agent_impl.h"
 
 #include <algorithm>
@@ -65,7 +65,7 @@
   params.FirstTokenLimit =
       run.Deadline - Duration(offer.ReserveMicros) - decision.Decode;
   Fetch.begin(std::move(params), step);
-  // Others go first until the stores have answered.
+  // Until the stores have answered, requests whose context is ready go first.
   if (Fetch.isPending(offer.Id))
     Queue.setContextReady(offer.Id, offer.Try,
                           step.Now + Stores.settings().LookupTimeout);
@@ -97,25 +97,25 @@
 
 void AgentCore::Impl::settleContext(Step &step) {
   for (;;) {
-    std::vector<FetchUpdate> news = Fetch.takeUpdates();
-    for (const FetchUpdate &it : news)
+    std::vector<FetchUpdate> updates = Fetch.takeUpdates();
+    for (const FetchUpdate &it : updates)
       onFetchNews(it, step);
     startTransfers(step);
-    if (news.empty())
+    if (updates.empty())
       return;
   }
 }
 
-void AgentCore::Impl::onFetchNews(const FetchUpdate &news, Step &step) {
-  Run *run = Runs.find(news.Id);
+void AgentCore::Impl::onFetchNews(const FetchUpdate &update, Step &step) {
+  Run *run = Runs.find(update.Id);
   if (!run || run->State != RunState::Waiting)
     return;
   uint32_t tokens = run->Request->PromptTokens;
-  run->ExpectedPrefill = tokens - std::min(tokens, news.ReusedTokens);
-  Queue.setContextReady(news.Id, run->Token.Try, news.Ready);
-  Queue.setPrefill(news.Id, run->Token.Try,
+  run->ExpectedPrefill = tokens - std::min(tokens, update.ReusedTokens);
+  Queue.setContextReady(update.Id, run->Token.Try, update.Ready);
+  Queue.setPrefill(update.Id, run->Token.Try,
                    Predictor.prefill(run->ExpectedPrefill));
-  if (!news.IsFinal)
+  if (!update.IsFinal)
     return;
   if (run->HasSlot)
     useSlot(*run, step);
--- a/src/serve/agent_core.cpp
+++ b/src/serve/agent_core.cpp
@@ -15,7 +15,8 @@
     out = when;
 }
 
-/// The secret signs tickets of this process, which it alone has to read.
+/// The ticket secret is generated anew for each process, because only the
+/// process that issued a ticket verifies it.
 TicketLedgerInit ledgerInit(const AgentSettings &settings,
                             const RandomSource &random) {
   TicketLedgerInit out;
--- a/src/serve/agent_core.h
+++ b/src/serve/agent_core.h
@@ -1,6 +1,6 @@
-/// The agent's state machine: every decision that an agent takes, without a
-/// socket, clock or thread. Work arrives on many threads, and is applied here
-/// by one at a time; what follows from it is returned as actions.
+/// The agent's state machine. It takes all decisions of an agent and uses no
+/// socket, clock or thread. Inputs may come from many threads, but must be
+/// applied one at a time; the state machine returns the actions to perform.
 #pragma once
 
 #include "base/rcu.h"
@@ -18,36 +18,49 @@
 
 namespace daisytack::serve {
 
-/// Settings of an agent that its decisions use.
+/// Settings for the decisions of an agent.
 struct AgentSettings {
   std::string Instance;
   Incarnation Process;
-  std::string Serves; ///< Model or plain service behind this agent.
-  bool IsService = false;
-  RunQueueSettings Queue; ///< Slots: runs at the backend server at once.
+  std::string Serves;     ///< Name of the model or plain service of this agent.
+  bool IsService = false; ///< True for a plain service, false for a model.
+  /// Slots is the maximum number of concurrent runs at the backend server.
+  RunQueueSettings Queue;
   AcceptanceSettings Acceptance;
   PredictorSettings Predictor;
-  uint32_t MaxWaiting = 4096; ///< A bound on memory; time bounds the queue.
-  uint32_t DefaultMaxTokens = 256; ///< For offers that name none.
+  /// Maximum number of waiting requests. Limits memory only: the queue is
+  /// limited by waiting time.
+  uint32_t MaxWaiting = 4096;
+  uint32_t DefaultMaxTokens = 256; ///< For offers without a maximum.
+  /// Time for which a new ticket is valid.
   Duration TicketLife{10LL * 60 * 1'000'000};
-  size_t MaxTickets = 100'000;       ///< Records of non-idempotent calls.
-  Duration ResumeWindow{10'000'000}; ///< How long an answer without a reader
-                                     ///< is kept.
-  size_t MaxAnswerBytes = 4U << 20;  ///< Held of one answer.
-  size_t MaxTotalAnswerBytes = 256U << 20; ///< Held of all answers.
-  Duration StatusPeriod{500'000}; ///< Also between looks for runs at risk.
+  size_t MaxTickets = 100'000; ///< Maximum records of non-idempotent calls.
+  /// Time for which the answer of a run is kept while it has no reader.
+  Duration ResumeWindow{10'000'000};
+  /// Maximum buffered bytes of one answer.
+  size_t MaxAnswerBytes = 4U << 20;
+  /// Buffered bytes of all answers above which finished answers are dropped,
+  /// the oldest first.
+  size_t MaxTotalAnswerBytes = 256U << 20;
+  /// Interval of status polls, and of checks for runs that may miss their
+  /// deadline.
+  Duration StatusPeriod{500'000};
+  /// Interval of polls for the engine's cache events.
   Duration CacheEventPeriod{200'000};
-  Duration EngineTimeout{3'000'000}; ///< Engine counts as unreachable after.
-  Duration SnapshotPeriod{20'000};   ///< Least time between two snapshots.
+  /// Time without a status after which the engine counts as unreachable.
+  Duration EngineTimeout{3'000'000};
+  Duration SnapshotPeriod{20'000}; ///< Minimum time between two snapshots.
   StoreSettings Stores;
   FetchSettings Fetch;
   ExportSettings Export;
-  swap::ConvergeInit Swap; ///< Model, instance and process are filled in.
-  size_t MaxCachedPieces = 1U << 16; ///< Believed of the engine's cache.
+  /// The agent sets the slot's model, instance and process itself.
+  swap::ConvergeInit Swap;
+  /// Maximum number of pieces tracked in the view of the engine's cache.
+  size_t MaxCachedPieces = 1U << 16;
 };
 
-/// Not thread-safe: one thread at a time applies inputs. snapshot() and load()
-/// of it may be read by any.
+/// Not thread-safe: only one thread at a time may apply inputs. Any thread may
+/// call snapshot() and load its value.
 class AgentCore {
 public:
   AgentCore(AgentSettings settings, RandomSource random);
@@ -55,17 +68,18 @@
   AgentCore(const AgentCore &) = delete;
   AgentCore &operator=(const AgentCore &) = delete;
 
-  /// Applies one input. Actions are to be carried out in order.
+  /// Applies one input and returns the actions, which the caller must perform
+  /// in order.
   AgentActions apply(AgentInput input, TimePoint now);
-  /// The same, appending to actions that are there already.
+  /// Applies one input and appends the actions to out.
   void apply(AgentInput input, TimePoint now, AgentActions &out);
 
-  /// When TimerFired is wanted next; nothing when no time is awaited.
+  /// Time at which the next TimerFired must be applied; nullopt if no timer is
+  /// set.
   std::optional<TimePoint> nextTimer() const;
-  /// True once a drain was asked for and no accepted request is left to
-  /// answer.
+  /// True when a drain was requested and all accepted requests are answered.
   bool isDrained() const;
-  /// True while new requests could be accepted.
+  /// True while the agent can accept new requests.
   bool isReady() const;
   wire::LoadReport loadReport(TimePoint now) const;
   const Rcu<AgentSnapshot> &snapshot() const;
--- a/src/serve/agent_export.cpp
+++ b/src/serve/agent_export.cpp
@@ -50,7 +50,7 @@
   requestStatus(step);
   requestLookups(step);
   if (Jobs.front().PendingCalls == 0)
-    onInfoComplete(step);
+    onReportsComplete(step);
 }
 
 CallId ExportFlow::callStore(CallPurpose purpose, StoreHandle store,
@@ -116,14 +116,14 @@
       onWrite(answer, step);
     else if (isCurrent)
       replaceOwnPieces(answer, step);
-  } else if (purpose != CallPurpose::Free) {
-    onInfo(purpose, answer, step);
+  } else if (purpose != CallPurpose::Cleanup) {
+    onReport(purpose, answer, step);
   }
   return true;
 }
 
-void ExportFlow::onInfo(CallPurpose purpose, const StoreAnswer &answer,
-                        Step &step) {
+void ExportFlow::onReport(CallPurpose purpose, const StoreAnswer &answer,
+                          Step &step) {
   if (Jobs.empty())
     return;
   Job &job = Jobs.front();
@@ -138,10 +138,10 @@
     for (const FoundPiece &it : found->Pieces)
       job.Stored.insert({answer.Store, it.Key});
   if (--job.PendingCalls == 0)
-    onInfoComplete(step);
+    onReportsComplete(step);
 }
 
-void ExportFlow::onInfoComplete(Step &step) {
+void ExportFlow::onReportsComplete(Step &step) {
   Job &job = Jobs.front();
   Usage[job.Params.Organisation] = job.ReportedUsage;
   exportNextPiece(step);
@@ -182,10 +182,10 @@
 
 void ExportFlow::exportNextPiece(Step &step) {
   Job &job = Jobs.front();
-  for (; job.NextCandidate < job.Candidates.size(); ++job.NextCandidate) {
+  for (; job.CurrentCandidate < job.Candidates.size(); ++job.CurrentCandidate) {
     if (EngineVersion() != job.Params.Version)
       break;
-    const Candidate &it = job.Candidates[job.NextCandidate];
+    const Candidate &it = job.Candidates[job.CurrentCandidate];
     ExportDecision decision = decide(it, 0);
     if (!mayExport(decision))
       continue;
@@ -212,7 +212,7 @@
       !answer.Why && PieceBytes && EngineVersion() == job.Params.Version;
   ExportDecision decision;
   if (isUsable)
-    decision = decide(job.Candidates[job.NextCandidate], PieceBytes->size());
+    decision = decide(job.Candidates[job.CurrentCandidate], PieceBytes->size());
   IsOverQuota = decision.Verdict == ExportVerdict::OverQuota;
   if (!mayExport(decision))
     RemainingStores.clear();
--- a/src/serve/agent_export_write.cpp
+++ b/src/serve/agent_export_write.cpp
@@ -1,4 +1,4 @@
-/// ExportFlow: writing one piece to one store.
+/// ExportFlow: the write of one piece to one store.
 #include "base/digest.h"
 #include "serve/agent_export.h"
 
@@ -18,8 +18,8 @@
   return isStoreFailure(*error) ? PutAnswer::Lost : PutAnswer::Refused;
 }
 
-/// A status of the store's own says that it did not commit; a broken or late
-/// call may have.
+/// If the store answered with an error, it did not commit. A call that broke or
+/// timed out may have committed.
 CommitAnswer commitAnswer(const StoreAnswer &answer) {
   const auto *error = std::get_if<Error>(&answer.Result);
   if (!error)
@@ -52,7 +52,7 @@
                                  step.Now + Settings.ExportDeadline},
                                 step.Now, reason))
       continue;
-    const Candidate &candidate = job.Candidates[job.NextCandidate];
+    const Candidate &candidate = job.Candidates[job.CurrentCandidate];
     KeptMeta meta = metaOf(candidate, CopyIndex++, step);
     auto chooser = [this, meta, wall = step.Wall](
                        std::span<const SampledPiece> sample, uint64_t bytes) {
@@ -65,7 +65,7 @@
     return;
   }
   PieceBytes.reset();
-  ++job.NextCandidate;
+  ++job.CurrentCandidate;
   exportNextPiece(step);
 }
 
@@ -114,7 +114,7 @@
 void ExportFlow::freeVictims(std::span<const SampledPiece> victims,
                              Step &step) {
   for (const SampledPiece &it : victims) {
-    callStore(CallPurpose::Free, CurrentWrite->Store,
+    callStore(CallPurpose::Cleanup, CurrentWrite->Store,
               FreePiece{it.Key, it.Generation}, step);
     auto meta = decodeMeta(it.Meta);
     record(step, EventKind::PieceEvicted, meta ? meta->Organisation : "",
@@ -173,7 +173,7 @@
     freeVictims(write.victims(), step);
     return performWriteStep(write.onEvicted(), step);
   case WriteStep::Free:
-    callStore(CallPurpose::Free, store,
+    callStore(CallPurpose::Cleanup, store,
               FreePiece{write.key(), write.generation()}, step);
     return performWriteStep(write.onFreed(), step);
   case WriteStep::Done:
--- a/src/serve/agent_fetch.cpp
+++ b/src/serve/agent_fetch.cpp
@@ -90,7 +90,6 @@
     planFetches(job, step);
 }
 
-/// The memory tier is preferred among copies.
 void FetchFlow::recordHit(Job &job, StoreHandle store,
                           const FoundPiece &found) {
   const auto &pieces = job.Params.Pieces;
--- a/src/serve/agent_fetch_end.cpp
+++ b/src/serve/agent_fetch_end.cpp
@@ -1,4 +1,4 @@
-/// FetchFlow: how fetches end early, and what the core is told.
+/// FetchFlow: cancelled and late fetches, and the updates for the core.
 #include "context/keep_policy.h"
 #include "serve/agent_fetch.h"
 
@@ -10,8 +10,8 @@
 
 using namespace std::chrono_literals;
 
-/// Of this organisation, and not older than its policy lets it be used. The
-/// store's note is only a hint; the key itself binds organisation and version.
+/// The organisation in the stored metadata is only a hint: the piece's key
+/// itself depends on the organisation and the weight version.
 bool FetchFlow::mayUse(const PieceFetch &fetch, const StoreBytes &bytes,
                        const Step &step) const {
   auto meta = decodeMeta(bytes.Meta);
@@ -32,8 +32,8 @@
   fetch.Transfer = 0;
 }
 
-/// A prefix is reused up to its first missing piece: those behind it are of no
-/// use to this request any more.
+/// Only a contiguous prefix can be reused, so that a request can't use the
+/// pieces after a missing one.
 void FetchFlow::dropFromIndex(Job &job, uint32_t index, Step &step) {
   job.ReusablePieces = std::min(job.ReusablePieces, index);
   std::vector<uint32_t> lost(job.Missing.lower_bound(index), job.Missing.end());
@@ -115,7 +115,6 @@
   finishJob(RequestId(params.Id), step);
 }
 
-/// By the rate that the links can expect now.
 Duration FetchFlow::remainingTime(const Job &job, TimePoint now) const {
   Duration out{0};
   for (uint32_t index : job.Missing) {
