--- a/tests/serve_agent/agent_context_test.cpp
+++ b/tests/serve_agent/agent_context_test.cpp
@@ -109,7 +109,7 @@
   rig.offer(longOffer(1));
   while (platform.CallCounts["read"] == 0)
     ASSERT_TRUE(platform.answerOne());
-  rig.advance(Duration(2'000'000));
+  rig.advanceTime(Duration(2'000'000));
   EXPECT_EQ(rig.Started.size(), 1U);
   platform.answerAll();
   EXPECT_EQ(rig.Started.size(), 1U);
--- a/tests/serve_agent/agent_core_test.cpp
+++ b/tests/serve_agent/agent_core_test.cpp
@@ -137,10 +137,10 @@
   rig.apply(LinkClosed{LinkA});
   rig.text(run, "whole");
   rig.done(run);
-  rig.advance(Duration(5'000'000));
+  rig.advanceTime(Duration(5'000'000));
   rig.apply(LinkMessage{LinkB, wire::Resume{run.Id, 1, "riga-buyers", 0}});
   EXPECT_EQ(rig.textTo(LinkB), "whole");
-  rig.advance(Duration(11'000'000));
+  rig.advanceTime(Duration(11'000'000));
   rig.apply(LinkMessage{LinkB, wire::Resume{run.Id, 1, "riga-buyers", 0}});
   EXPECT_EQ(rig.lastTo<wire::Refused>(LinkB).Kind, ErrorKind::AnswerLost);
 }
@@ -149,7 +149,7 @@
   AgentRig rig;
   rig.offer(offerOf(1));
   rig.apply(LinkClosed{LinkA});
-  rig.advance(Duration(11'000'000));
+  rig.advanceTime(Duration(11'000'000));
   EXPECT_EQ(rig.Cancelled.size(), 1U);
 }
 
@@ -227,13 +227,13 @@
   wire::Offer bad = offerOf(4);
   bad.Model = "other";
   rig.offer(bad);
-  rig.advance(Duration(100'000));
-  auto snapshot = rig.Core.snapshot().load();
-  EXPECT_EQ(snapshot->Runs.size(), 3U);
-  EXPECT_EQ(snapshot->Load.Running, 2U);
-  EXPECT_EQ(snapshot->Load.Waiting, 1U);
-  ASSERT_EQ(snapshot->Refusals.size(), 1U);
-  EXPECT_EQ(snapshot->Refusals[0].Kind, ErrorKind::UnknownModel);
+  rig.advanceTime(Duration(100'000));
+  auto latest = rig.Core.snapshot().load();
+  EXPECT_EQ(latest->Runs.size(), 3U);
+  EXPECT_EQ(latest->Load.Running, 2U);
+  EXPECT_EQ(latest->Load.Waiting, 1U);
+  ASSERT_EQ(latest->Refusals.size(), 1U);
+  EXPECT_EQ(latest->Refusals[0].Kind, ErrorKind::UnknownModel);
 }
 
 } // namespace
--- a/tests/serve_agent/agent_decisions_test.cpp
+++ b/tests/serve_agent/agent_decisions_test.cpp
@@ -99,7 +99,7 @@
   rig.offer(second);
   EXPECT_EQ(rig.sentTo<wire::Accepted>(LinkA).size(), 2U);
   rig.text(rig.Started[0].Run, "slow");
-  rig.advance(Duration(4'000'000));
+  rig.advanceTime(Duration(4'000'000));
   auto refused = rig.lastTo<wire::Refused>(LinkA);
   EXPECT_EQ(refused.Id.Lo, 2U);
   EXPECT_EQ(refused.Ran, Outcome::NotRun);
@@ -113,7 +113,7 @@
   for (uint64_t i = 1; i < 30; ++i) {
     wire::Offer offer = offerWith(i, 5, 60'000, 1);
     rig.offer(offer);
-    rig.advance(Duration(500'000));
+    rig.advanceTime(Duration(500'000));
     rig.text(rig.Started.back().Run, "x");
     rig.done(rig.Started.back().Run);
   }
--- a/tests/serve_agent/agent_rig.h
+++ b/tests/serve_agent/agent_rig.h
@@ -1,4 +1,4 @@
-/// An agent's core with what it sent, for tests.
+/// Test harness around an AgentCore that records its actions.
 #pragma once
 
 #include "serve/agent_core.h"
@@ -48,7 +48,7 @@
   return out;
 }
 
-/// Applies inputs and sorts the actions.
+/// Applies inputs to an AgentCore and records its actions by type.
 class AgentRig {
 public:
   explicit AgentRig(AgentSettings settings = modelSettings())
@@ -62,12 +62,15 @@
     for (AgentAction &action : Core.apply(std::move(input), Now))
       recordAction(std::move(action));
   }
+  /// Applies an offer received over a link.
   void offer(wire::Offer offer, LinkHandle link = LinkA) {
     apply(LinkMessage{link, std::move(offer)});
   }
+  /// Applies a text chunk from the backend server.
   void text(const RunToken &run, std::string text) {
     apply(RunText{run, run, std::nullopt, 1, std::move(text)});
   }
+  /// Applies the end of a run at the backend server.
   void done(const RunToken &run) {
     RunDone out;
     out.Run = run;
@@ -76,8 +79,9 @@
     out.PromptTokens = 100;
     apply(out);
   }
-  /// Lets time pass, firing every timer on the way.
-  void advance(Duration d) {
+  /// Advances the clock by d and fires every timer that becomes due. The engine
+  /// reports its status at each timer.
+  void advanceTime(Duration d) {
     TimePoint end = Now + d;
     for (auto next = Core.nextTimer(); next && *next <= end;
          next = Core.nextTimer()) {
@@ -88,6 +92,7 @@
     Now = end;
   }
 
+  /// Messages of type T sent over a link, in order.
   template <class T> std::vector<T> sentTo(LinkHandle link) const {
     std::vector<T> out;
     for (const SendMessage &sent : Sent)
@@ -95,10 +100,13 @@
         out.push_back(std::get<T>(sent.Body));
     return out;
   }
+  /// The last message of type T sent over a link; a default one if there is
+  /// none.
   template <class T> T lastTo(LinkHandle link) const {
     std::vector<T> all = sentTo<T>(link);
     return all.empty() ? T() : all.back();
   }
+  /// Concatenated text of the chunks sent over a link.
   std::string textTo(LinkHandle link) const {
     std::string out;
     for (const auto &chunk : sentTo<wire::Chunk>(link))
@@ -118,6 +126,7 @@
   std::vector<RunToken> Cancelled;
   std::vector<RunToken> Suspended;
   std::vector<RunToken> Resumed;
+  /// Actions without a list of their own, such as calls to stores.
   std::vector<AgentAction> OtherActions;
   std::map<EventKind, size_t> Events;
 
--- a/tests/serve_agent/agent_schedules_test.cpp
+++ b/tests/serve_agent/agent_schedules_test.cpp
@@ -1,4 +1,4 @@
-/// Random interleavings of everything that can happen to an agent.
+/// Property test of AgentCore under random interleavings of its inputs.
 #include "serve_agent/fake_platform.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace daisytack::serve::test {
 namespace {
 
-constexpr uint64_t Ids = 6;
+constexpr uint64_t RequestCount = 6;
 constexpr uint32_t Slots = 2;
 
 AgentSettings settings() {
@@ -27,7 +27,10 @@
   return "<" + std::to_string(id.Lo) + ">";
 }
 
-/// Applies steps drawn at random and watches the promises.
+/// Applies random steps to an AgentCore and checks its invariants: every
+/// accepted attempt gets a final message, chunks arrive in order and only for
+/// their own request, the slots are not exceeded, and no faulty piece is
+/// imported.
 class Schedule {
 public:
   Schedule() : Rig(settings()), Platform(Rig) {
@@ -36,6 +39,7 @@
     Links = {LinkA, LinkB};
   }
 
+  /// Applies the step that a random number encodes.
   void apply(uint32_t draw) {
     uint32_t action = draw % 16;
     Draw = draw / 16;
@@ -64,7 +68,7 @@
     case 12:
       return status();
     case 13:
-      return pass(Duration((Draw % 4000) * 1000));
+      return advanceTime(Duration((Draw % 4000) * 1000));
     case 14:
       return stop();
     default:
@@ -72,18 +76,19 @@
     }
   }
 
-  /// Lets everything come to its end.
+  /// Answers all calls and finishes all runs.
   void finishAll() {
     Platform.Fault = StoreFault::None;
     for (int i = 0; i < 40; ++i) {
       Platform.answerAll();
-      pass(Duration(2'000'000));
+      advanceTime(Duration(2'000'000));
       for (const RunToken &run : std::set<RunToken>(AtServer))
         finishRun(run);
     }
     checkOutputs();
   }
 
+  /// Checks the final messages and the imported pieces after finishAll().
   void checkFinals() {
     for (const auto &[attempt, state] : Attempts) {
       auto link = std::get<0>(attempt);
@@ -97,9 +102,10 @@
 
 private:
   struct AttemptState {
-    int Requests = 0; ///< Offers and resumes.
-    int Accepted = 0;
-    int Finals = 0;
+    int Requests = 0; ///< Number of offers and resumes.
+    int Accepted = 0; ///< Number of Accepted messages.
+    int Finals = 0;   ///< Number of Refused and Finished messages.
+    /// Index expected of the next chunk; empty if any index is valid.
     std::optional<uint32_t> NextIndex;
   };
   using AttemptKey = std::tuple<uint32_t, RequestId, Attempt>;
@@ -108,16 +114,16 @@
     return Attempts[{link.Index, id, n}];
   }
 
-  LinkHandle link() const {
+  LinkHandle anyLink() const {
     auto it = Links.begin();
     std::advance(it, Draw % Links.size());
     return *it;
   }
-  uint64_t id() const { return 1 + (Draw / 2) % Ids; }
-  Attempt number() const { return 1 + (Draw / 16) % 3; }
+  uint64_t anyId() const { return 1 + (Draw / 2) % RequestCount; }
+  Attempt anyAttempt() const { return 1 + (Draw / 16) % 3; }
 
   void offer() {
-    wire::Offer out = offerOf(id(), number());
+    wire::Offer out = offerOf(anyId(), anyAttempt());
     out.Priority = static_cast<uint8_t>(Draw / 64 % 10);
     out.RemainingMicros = 1'000 * (500 + Draw / 7 % 20'000);
     out.Pieces = {keyOf(1), keyOf(2), keyOf(3)};
@@ -129,23 +135,24 @@
       out.Body = "{\"other\":1}";
     if (Draw / 3 % 13 == 0)
       out.Organisation = "dakar-notices";
-    ++attempt(link(), out.Id, out.Try).Requests;
-    Rig.offer(out, link());
+    ++attempt(anyLink(), out.Id, out.Try).Requests;
+    Rig.offer(out, anyLink());
     checkOutputs();
   }
   void cancel() {
-    Rig.apply(LinkMessage{link(), wire::Cancel{{7, id()}, number()}});
+    Rig.apply(LinkMessage{anyLink(), wire::Cancel{{7, anyId()}, anyAttempt()}});
     checkOutputs();
   }
   void resume() {
-    ++attempt(link(), {7, id()}, number()).Requests;
-    attempt(link(), {7, id()}, number()).NextIndex.reset();
+    ++attempt(anyLink(), {7, anyId()}, anyAttempt()).Requests;
+    attempt(anyLink(), {7, anyId()}, anyAttempt()).NextIndex.reset();
     Rig.apply(LinkMessage{
-        link(), wire::Resume{{7, id()}, number(), "riga-buyers", Draw % 3}});
+        anyLink(),
+        wire::Resume{{7, anyId()}, anyAttempt(), "riga-buyers", Draw % 3}});
     checkOutputs();
   }
   void replaceLink() {
-    LinkHandle old = link();
+    LinkHandle old = anyLink();
     Links.erase(old);
     Rig.apply(LinkClosed{old});
     LinkHandle fresh{++LastLink};
@@ -153,21 +160,22 @@
     Rig.apply(LinkOpened{fresh});
     checkOutputs();
   }
-  std::optional<RunToken> running() const {
+  std::optional<RunToken> anyRunning() const {
     if (AtServer.empty())
       return std::nullopt;
     auto it = AtServer.begin();
     std::advance(it, Draw % AtServer.size());
     return *it;
   }
-  /// Some start that has ended: its answers come late.
+  /// A run that was started at any time. If it has ended, inputs for it are
+  /// late.
   std::optional<RunToken> anyStarted() const {
     if (Rig.Started.empty())
       return std::nullopt;
     return Rig.Started[Draw % Rig.Started.size()].Run;
   }
   void text() {
-    auto run = Draw % 5 == 0 ? anyStarted() : running();
+    auto run = Draw % 5 == 0 ? anyStarted() : anyRunning();
     if (!run)
       return;
     uint32_t &sequence = Sequences[*run];
@@ -177,7 +185,7 @@
     checkOutputs();
   }
   void done() {
-    if (auto run = Draw % 5 == 0 ? anyStarted() : running())
+    if (auto run = Draw % 5 == 0 ? anyStarted() : anyRunning())
       finishRun(*run);
   }
   void finishRun(const RunToken &run) {
@@ -190,7 +198,7 @@
     checkOutputs();
   }
   void fail() {
-    auto run = Draw % 5 == 0 ? anyStarted() : running();
+    auto run = Draw % 5 == 0 ? anyStarted() : anyRunning();
     if (!run)
       return;
     AtServer.erase(*run);
@@ -201,7 +209,7 @@
     checkOutputs();
   }
   void answerOfOtherRun() {
-    auto run = running();
+    auto run = anyRunning();
     if (!run)
       return;
     RunToken other = *run;
@@ -232,13 +240,13 @@
       Rig.apply(out);
     checkOutputs();
   }
-  void pass(Duration d) {
-    Rig.advance(d);
+  void advanceTime(Duration d) {
+    Rig.advanceTime(d);
     checkOutputs();
   }
   void stop() {
     if (Draw % 4 == 0)
-      Rig.apply(StopRequested{RequestId{7, id()}, ""});
+      Rig.apply(StopRequested{RequestId{7, anyId()}, ""});
     checkOutputs();
   }
   void drain() {
@@ -246,7 +254,7 @@
     checkOutputs();
   }
 
-  /// Looks at everything that came out since the last look.
+  /// Checks the actions since the last call.
   void checkOutputs() {
     for (; CheckedStarted < Rig.Started.size(); ++CheckedStarted)
       RC_ASSERT(AtServer.insert(Rig.Started[CheckedStarted].Run).second);
@@ -282,10 +290,11 @@
 
   AgentRig Rig;
   FakePlatform Platform;
-  uint32_t Draw = 0;
+  uint32_t Draw = 0; ///< The random number for the current step's arguments.
   std::set<LinkHandle> Links;
   uint32_t LastLink = 10;
-  std::set<RunToken> AtServer;
+  std::set<RunToken>
+      AtServer; ///< Runs that have not ended, also suspended ones.
   std::set<RunToken> Suspended;
   std::map<RunToken, uint32_t> Sequences;
   std::map<AttemptKey, AttemptState> Attempts;
--- a/tests/serve_agent/agent_serial_test.cpp
+++ b/tests/serve_agent/agent_serial_test.cpp
@@ -1,4 +1,4 @@
-/// The agent before an engine that prefills one after another.
+/// Tests of an agent whose engine prefills only one prompt at a time.
 #include "serve_agent/fake_platform.h"
 
 #include <gtest/gtest.h>
@@ -60,7 +60,8 @@
   ASSERT_EQ(rig.Started.size(), 1U);
   EXPECT_EQ(rig.Started[0].Run.Id, (RequestId{7, 2}));
   platform.answerAll();
-  EXPECT_EQ(rig.Started.size(), 1U) << "the engine still prefills the other";
+  EXPECT_EQ(rig.Started.size(), 1U)
+      << "the engine still prefills the other prompt";
   rig.text(rig.Started[0].Run, "a");
   ASSERT_EQ(rig.Started.size(), 2U);
   EXPECT_EQ(rig.Started[1].Run.Id, (RequestId{7, 1}));
@@ -73,7 +74,7 @@
   platform.storePiece({0}, keyOf(1));
   rig.offer(longOffer(1, 1));
   platform.answerAll();
-  rig.advance(Duration(3'000'000));
+  rig.advanceTime(Duration(3'000'000));
   EXPECT_EQ(rig.Started.size(), 1U);
 }
 
--- a/tests/serve_agent/agent_swap_test.cpp
+++ b/tests/serve_agent/agent_swap_test.cpp
@@ -14,7 +14,7 @@
   return out;
 }
 
-/// Gives every load slot that is asked for.
+/// Grants every requested load slot.
 struct SlotGranter {
   using Answer = decltype(swap::SlotResult::What);
 
@@ -36,7 +36,7 @@
   }
 };
 
-/// Answers calls for slots; orders are returned.
+/// Answers the pending calls for load slots and returns the orders sent.
 std::vector<SendOrder> answerSlots(AgentRig &rig) {
   std::vector<SendOrder> out;
   for (bool any = true; any;) {
@@ -89,8 +89,9 @@
   EXPECT_EQ(rig.Started.size(), 2U);
 }
 
-/// Until a server has loaded the desired version it goes on serving, with
-/// nothing that is kept: the keys of the offer are of the other version.
+/// Until a backend server has loaded the desired version it continues to serve,
+/// but without kept context, because the keys in the offer are for the other
+/// version.
 TEST(AgentSwap, OfferOfAnotherVersionRunsWithoutKeptContext) {
   for (const char *version : {"v1", "v2", ""}) {
     AgentRig rig;
--- a/tests/serve_agent/fake_platform.h
+++ b/tests/serve_agent/fake_platform.h
@@ -1,5 +1,5 @@
-/// Stores and an engine's cache in memory, with faults, for tests of the
-/// agent's core.
+/// In-memory fake of the stores and of the engine's cache, with fault
+/// injection, for tests of AgentCore.
 #pragma once
 
 #include "serve_agent/agent_rig.h"
@@ -22,23 +22,24 @@
   return "context " + toHex(key);
 }
 
-/// What goes wrong with the pieces of a store.
+/// The fault that the fake stores inject.
 enum class StoreFault : uint8_t {
   None,
   Unreachable,         ///< Calls fail without an answer.
-  Truncated,           ///< Bytes are cut.
-  BitFlip,             ///< One byte is flipped.
-  WrongKey,            ///< Bytes of another piece.
-  FreedAfterRead,      ///< Freed after the bytes were read.
-  ReplacedAfterLookup, ///< Another generation was committed after the lookup.
-  Expired,             ///< Kept for longer than its policy allows.
-  OtherOrganisation,   ///< Kept by another organisation.
-  Full,
+  Truncated,           ///< The last byte is missing.
+  BitFlip,             ///< One bit is flipped.
+  WrongKey,            ///< The bytes are those of another piece.
+  FreedAfterRead,      ///< The piece is freed after its bytes were read.
+  ReplacedAfterLookup, ///< Another generation is committed after the lookup.
+  Expired,             ///< The piece has passed its expiry time.
+  OtherOrganisation,   ///< The piece belongs to another organisation.
+  Full,                ///< The store has no room for another piece.
 };
 
-/// Answers the rig's calls to stores and engine.
+/// Answers the calls that an AgentCore makes to the stores and the engine.
 class FakePlatform {
 public:
+  /// A piece in a store.
   struct Piece {
     uint64_t Generation = 0;
     std::string Frame;
@@ -48,7 +49,7 @@
 
   explicit FakePlatform(AgentRig &rig) : Rig(rig) {}
 
-  /// Puts a committed piece into the store.
+  /// Stores a committed piece.
   void storePiece(StoreHandle store, const PieceKey &key,
                   Duration keepFor = std::chrono::hours(24)) {
     KeptMeta meta;
@@ -61,11 +62,12 @@
                                   encodeMeta(meta), true};
   }
 
-  /// Answers calls until there are none left.
+  /// Answers calls until none is pending.
   void answerAll() {
     while (answerOne())
       ;
   }
+  /// Answers the oldest pending call; false if there is none.
   bool answerOne() {
     std::vector<AgentAction> actions = std::exchange(Rig.OtherActions, {});
     for (AgentAction &it : actions)
@@ -79,8 +81,11 @@
   }
 
   StoreFault Fault = StoreFault::None;
+  /// Pieces by store index and key.
   std::map<std::pair<uint32_t, PieceKey>, Piece> Pieces;
+  /// Bytes of the pieces that were imported into the engine.
   std::map<PieceKey, std::string> Imported;
+  /// Number of calls by name: lookup, read, free and export.
   std::map<std::string, size_t> CallCounts;
 
 private:
@@ -187,6 +192,7 @@
   uint64_t LastGeneration = 10;
 
 public:
+  /// Bytes that each store reports as used by the organisation.
   uint64_t UsedBytes = 0;
 };
 
