--- a/src/serve/agent_export.h
+++ b/src/serve/agent_export.h
@@ -72,7 +72,7 @@
     return Usage;
   }
   /// Number of jobs that have not ended, including the current one.
-  size_t waiting() const { return Jobs.size(); }
+  size_t pendingJobs() const { return Jobs.size(); }
 
 private:
   /// A piece that the keep policy selected before the stores' reports were
--- a/src/serve/agent_fetch.h
+++ b/src/serve/agent_fetch.h
@@ -86,7 +86,7 @@
   /// Returns the updates since the last call.
   std::vector<FetchUpdate> takeUpdates();
   /// Number of imports that the engine has not answered.
-  size_t importing() const { return ImportCalls.size(); }
+  size_t pendingImports() const { return ImportCalls.size(); }
 
 private:
   /// A piece that a lookup found in a store.
--- a/src/serve/agent_swap.cpp
+++ b/src/serve/agent_swap.cpp
@@ -37,7 +37,7 @@
   out.Loading = Engine.Loading;
   out.EngineFence = Engine.Fence;
   out.Running = static_cast<uint32_t>(Queue.running() + Queue.waiting() +
-                                      Fetch.importing());
+                                      Fetch.pendingImports());
   return out;
 }
 
--- a/tests/serve_agent/agent_schedules_test.cpp
+++ b/tests/serve_agent/agent_schedules_test.cpp
@@ -28,9 +28,10 @@
 }
 
 /// Applies random steps to an AgentCore and checks its invariants: every
-/// accepted attempt gets a final message, chunks arrive in order and only for
-/// their own request, the slots are not exceeded, and no faulty piece is
-/// imported.
+/// accepted attempt whose link is open gets a final message, no attempt gets
+/// more final messages than it had offers and resumes, chunks arrive in order
+/// and only for their own request, the slots are not exceeded, and no faulty
+/// piece is imported.
 class Schedule {
 public:
   Schedule() : Rig(settings()), Platform(Rig) {
@@ -293,8 +294,8 @@
   uint32_t Draw = 0; ///< The random number for the current step's arguments.
   std::set<LinkHandle> Links;
   uint32_t LastLink = 10;
-  std::set<RunToken>
-      AtServer; ///< Runs that have not ended, also suspended ones.
+  /// Runs that have not ended, including suspended ones.
+  std::set<RunToken> AtServer;
   std::set<RunToken> Suspended;
   std::map<RunToken, uint32_t> Sequences;
   std::map<AttemptKey, AttemptState> Attempts;
