--- a/src/serve/agent_links.cpp
+++ b/src/serve/agent_links.cpp
@@ -1,4 +1,4 @@
-/// AgentCore: what entries say.
+/// AgentCore: links to entries, and all messages from entries except offers.
 #include "base/digest.h"
 #include "serve/agent_impl.h"
 
@@ -8,6 +8,7 @@
 
 namespace {
 
+/// Limits the memory for closed attempts; the oldest are forgotten first.
 constexpr size_t MaxClosedAttempts = 4096;
 
 } // namespace
@@ -104,7 +105,6 @@
   fail(*run, {ErrorKind::Cancelled, "cancelled by the entry"}, step);
 }
 
-/// One of several readers left; the run goes on for the others.
 void AgentCore::Impl::confirmCancel(const Run &run, const Reader &reader,
                                     Step &step) {
   wire::Finished out;
--- a/src/serve/agent_messages.cpp
+++ b/src/serve/agent_messages.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+/// Hex digits of a RequestId.
 constexpr size_t IdDigits = 32;
 
 std::optional<uint32_t> parseNumber(std::string_view text) {
--- a/src/serve/agent_messages.h
+++ b/src/serve/agent_messages.h
@@ -1,6 +1,6 @@
-/// What an agent's core is told and what it answers with. Plain values: I/O
-/// threads make inputs, the shell carries out actions, and nothing else passes
-/// between them.
+/// Inputs and actions of an agent's core. All are plain values: I/O threads
+/// create inputs, the shell carries out actions, and they share no other data
+/// with the core.
 #pragma once
 
 #include "base/digest.h"
@@ -18,19 +18,18 @@
 
 namespace daisytack::serve {
 
-/// One connection to an entry. The shell never gives a number out twice.
+/// One connection to an entry. The shell never reuses a handle.
 using LinkHandle = Handle<struct LinkTag>;
 
-/// One store of kept context, by its place in the agent's settings.
+/// One store of kept context. The index is its position in StoreSettings.
 using StoreHandle = Handle<struct StoreTag>;
 
-/// Pairs the answer of a store, engine or weight order with its action. Never
-/// reused within a process; 0 is invalid.
+/// Matches the answer of a store or an engine to the action that asked for it.
+/// Never reused within a process; 0 is invalid.
 using CallId = uint64_t;
 
-/// Names one start of a run at the backend server. An attempt that is preempted
-/// and started again has another Start, so that a late answer to the first
-/// start is told from the second.
+/// Identifies one start of a run at the backend server. Every start has a Start
+/// number of its own, so that a late answer to an earlier start is recognised.
 struct RunToken {
   RequestId Id;
   Attempt Try = 0;
@@ -38,9 +37,9 @@
   auto operator<=>(const RunToken &) const = default;
 };
 
-/// "ID-TRY-START": the request_id that the engine is given and gives back.
+/// Formats "ID-TRY-START", the request_id that the engine receives and returns.
 std::string toString(const RunToken &run);
-/// Inverse of toString.
+/// Inverse of toString(). Returns nullopt if the text is malformed.
 std::optional<RunToken> parseRunToken(std::string_view text);
 
 // Inputs from links to entries.
@@ -58,18 +57,19 @@
 
 // Inputs from the backend server.
 
-/// A part of an answer. Answer is the name that the server put into it, and is
-/// compared with the run that it came in for.
+/// A part of an answer. Run is the run that the call was made for; Answer is
+/// the run that the server named in the answer and must be equal.
 struct RunText {
   RunToken Run;
   RunToken Answer;
   std::optional<uint32_t>
-      Sequence; ///< Place in the stream, from 0, where the server says it.
+      Sequence; ///< Position in the stream, from 0; empty if not sent.
   uint32_t Tokens = 0;
   std::string Text;
 };
 
-/// The answer is whole. ServiceStatus is 0 for a model engine.
+/// The answer is complete. ServiceStatus is the HTTP status of a service, and 0
+/// for a model engine.
 struct RunDone {
   RunToken Run;
   RunToken Answer;
@@ -81,8 +81,8 @@
   std::vector<wire::HeaderField> ServiceHeaders;
 };
 
-/// The run ended without a whole answer. Ran is NotRun only when the server
-/// surely did nothing of it: no byte of the request was sent, or the server
+/// The run ended without a complete answer. Ran is NotRun only if the server
+/// can't have run any of it: no byte of the request was sent, or the server
 /// refused it.
 struct RunFailed {
   RunToken Run;
@@ -90,7 +90,7 @@
   Outcome Ran = Outcome::MayHaveRun;
 };
 
-/// What the engine says of itself; lags behind the truth.
+/// State that the engine last reported. It may be out of date.
 struct EngineStatus {
   std::string Model;
   std::string Version;
@@ -113,28 +113,28 @@
   Error Why;
 };
 
-/// One answer to PollCacheEvents.
+/// Answer to PollCacheEvents.
 struct CacheEvents {
-  uint64_t From = 0; ///< What was asked for.
-  uint64_t Next = 0;
+  uint64_t From = 0; ///< First sequence number asked for.
+  uint64_t Next = 0; ///< Sequence number to ask for next.
   std::vector<CacheEvent> Events;
 };
 
-/// Answer to ExportPiece; without bytes the reason is set.
+/// Answer to ExportPiece. Bytes is null on failure, and Why is the reason.
 struct PieceExport {
   CallId Call = 0;
   std::shared_ptr<const std::string> Bytes;
   Error Why;
 };
 
-/// Answer to ImportPiece; Why.Kind None when the engine took it.
+/// Answer to ImportPiece. Why.Kind is None if the engine imported the piece.
 struct PieceImport {
   CallId Call = 0;
   Error Why;
 };
 
-/// Answer to SendOrder. Kind Conflict: the engine has seen a higher fencing
-/// number, which is Fence.
+/// Answer to SendOrder. Kind Conflict means that the engine has seen a higher
+/// fencing token, which Fence then holds.
 struct OrderAnswer {
   CallId Call = 0;
   Error Why;
@@ -148,19 +148,21 @@
 
 // Inputs from stores.
 
-/// A committed piece as a store names it.
+/// A committed piece, as a store reports it.
 struct FoundPiece {
   PieceKey Key;
   uint64_t Generation = 0;
   uint64_t Length = 0; ///< Bytes.
   bool OnDisk = false;
-  std::string Meta; ///< Only in samples.
+  std::string Meta; ///< Set only in answers to SamplePieces.
   bool operator==(const FoundPiece &) const = default;
 };
 
+/// Answer to LookupPieces and SamplePieces.
 struct StoreFound {
   std::vector<FoundPiece> Pieces;
 };
+/// Answer to ReadPiece.
 struct StoreBytes {
   uint64_t Generation = 0;
   uint64_t Length = 0;
@@ -168,15 +170,18 @@
   std::string Meta;
   std::string Bytes;
 };
-/// Answer to a question for the generation and to a begun write.
+/// Answer to ReadGeneration and BeginPiece.
 struct StoreGeneration {
   uint64_t Generation = 0; ///< 0: nothing is committed.
 };
+/// A request without a result of its own succeeded.
 struct StoreDone {};
+/// Answer to ReadUsage.
 struct StoreUsage {
   uint64_t Bytes = 0;
   uint64_t Pieces = 0;
 };
+/// Answer to ReadStatus. Sizes are in bytes.
 struct StoreStatus {
   uint64_t MemoryUsed = 0;
   uint64_t MemoryTotal = 0;
@@ -188,6 +193,7 @@
 using StoreResult = std::variant<Error, StoreFound, StoreBytes, StoreGeneration,
                                  StoreDone, StoreUsage, StoreStatus>;
 
+/// Answer to CallStore.
 struct StoreAnswer {
   CallId Call = 0;
   StoreHandle Store;
@@ -196,30 +202,30 @@
 
 // Inputs from the process itself.
 
-/// What configuration says of this agent's server. An older revision than the
-/// one in force is ignored.
+/// Configuration of this agent's server. A revision older than the current one
+/// is ignored.
 struct AgentConfig {
   uint64_t Revision = 0;
-  std::string Version; ///< Desired weight version; empty when the model is
-                       ///< unknown: any is served.
+  std::string Version; ///< Desired weight version. Empty if the model is
+                       ///< unknown; any version is then served.
   std::string Adapter;
-  bool Drained = false;
-  uint32_t MinServers = 1;
-  uint32_t ServersInService = 1; ///< Of the model.
-  uint32_t ServersOfModel = 1;   ///< In service or not.
+  bool Drained = false;          ///< An operator has drained the server.
+  uint32_t MinServers = 1;       ///< Minimum servers of the model in service.
+  uint32_t ServersInService = 1; ///< Servers of the model in service.
+  uint32_t ServersOfModel = 1;   ///< All servers of the model.
 };
 
-/// An operator ends one request, or all of a class.
+/// An operator cancels one request, or all requests of a class.
 struct StopRequested {
   std::optional<RequestId> Request;
-  std::string Class; ///< Unless Request is set.
+  std::string Class; ///< Used only if Request is empty.
 };
 
-/// The process was asked to end: refuse new work, finish what was accepted.
+/// The process is to drain: it refuses new work and finishes accepted runs.
 struct DrainRequested {};
 
-/// The time that nextTimer() named has come. Wall sets the wall clock, which
-/// only ages kept context.
+/// The time that nextTimer() returned has passed. Wall updates the core's wall
+/// clock, which only serves to expire kept context.
 struct TimerFired {
   WallTime Wall;
 };
@@ -237,8 +243,9 @@
   wire::Message Body;
 };
 
-/// Hand the request to the backend server. Pieces are the keys that the engine
-/// may look up in its own cache.
+/// Sends the request to the backend server. The pieces of the offer are the
+/// keys that the engine may look up in its own cache. ResumeText is the part of
+/// the answer that was generated before; empty for a new run.
 struct StartRun {
   RunToken Run;
   std::shared_ptr<const wire::Offer> Offer;
@@ -257,7 +264,7 @@
 
 struct PollStatus {};
 struct PollCacheEvents {
-  uint64_t From = 0;
+  uint64_t From = 0; ///< First sequence number to return.
 };
 struct ExportPiece {
   CallId Call = 0;
@@ -271,6 +278,8 @@
 
 enum class OrderKind : uint8_t { LoadWeights, LoadAdapter, SetRole };
 
+/// Orders the engine to load weights or an adapter, or to change its role.
+/// The engine refuses a Fence lower than the highest it has seen.
 struct SendOrder {
   CallId Call = 0;
   OrderKind Kind = OrderKind::LoadWeights;
@@ -294,6 +303,7 @@
 struct ReadGeneration {
   PieceKey Key;
 };
+/// Begins a write, which WritePiece and CommitPiece complete.
 struct BeginPiece {
   PieceKey Key;
 };
@@ -313,9 +323,11 @@
   PieceKey Key;
   uint64_t Generation = 0;
 };
+/// Asks a store for a sample of its committed pieces.
 struct SamplePieces {
   uint32_t Count = 0;
 };
+/// Asks for the usage of the pieces whose Meta starts with MetaPrefix.
 struct ReadUsage {
   std::string MetaPrefix;
 };
@@ -334,7 +346,7 @@
   Duration Timeout{0};
 };
 
-/// Breaks a running call off; it is answered with Cancelled.
+/// Cancels a CallStore in progress, which is then answered with Cancelled.
 struct CancelStoreCall {
   CallId Call = 0;
 };
--- a/src/serve/agent_offers.cpp
+++ b/src/serve/agent_offers.cpp
@@ -1,4 +1,4 @@
-/// AgentCore: accept or refuse.
+/// AgentCore: accepting and refusing offers.
 #include "base/digest.h"
 #include "base/settings.h"
 #include "serve/agent_impl.h"
@@ -11,11 +11,14 @@
 namespace {
 
 constexpr size_t MaxRefusalsShown = 256;
+/// Limit of the remaining time in an offer, so that the deadline cannot
+/// overflow.
 constexpr uint64_t MaxRemainingMicros = 365ULL * 24 * 3600 * 1'000'000;
 constexpr Duration NotReadyRetryAfter{1'000'000};
 
-/// Tells a repeat of a request from another one under the same id. Both come
-/// from one organisation, so that a forged collision would harm its maker only.
+/// Hash that tells a repeated offer from another request with the same id. Only
+/// requests of one organisation are compared, so a forged collision harms only
+/// the organisation that forged it.
 uint64_t hashRequest(const wire::Offer &offer) {
   return hashName(offer.Body) ^ mix64(hashName(offer.Call.Target)) ^
          mix64(hashName(offer.Call.Method) + 1);
@@ -150,7 +153,7 @@
                                                  Step &step) {
   AcceptanceDecision out = decideAcceptance(
       Queue, Settings.Queue, Settings.Acceptance, request, step.Now);
-  // While other servers may still take it at once, nothing is suspended for it.
+  // Don't preempt while the entry may still place the request elsewhere.
   if (out.Reason.Kind != ErrorKind::Overloaded ||
       request.Patience > Duration{0})
     return out;
@@ -198,7 +201,7 @@
   out.Detail = why.Detail;
   out.Load = loadReport(step.Now);
   send(step, link, std::move(out));
-  // A copy of this offer that comes late must not run after all.
+  // A delayed duplicate of this offer must not run after the refusal.
   if (ran == Outcome::NotRun && !Runs.find(offer.Id))
     rememberClosed(offer.Id, offer.Try, step.Now);
   Refusals.push_back({offer.Id, offer.Try, offer.Organisation, offer.Class,
--- a/src/serve/agent_queue.cpp
+++ b/src/serve/agent_queue.cpp
@@ -1,4 +1,4 @@
-/// AgentCore: who runs next, and what runs teach about the server.
+/// AgentCore: queueing, preemption and updates of the server predictor.
 #include "base/digest.h"
 #include "serve/agent_impl.h"
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Runs moved at one look, so that a sudden slowness is not answered by moving
-/// everything on one prediction.
+/// Limits the runs that are preempted or failed per tick, so that one bad
+/// prediction after a sudden slowdown does not move all of them.
 constexpr int MaxMovesPerTick = 8;
 
 } // namespace
@@ -52,7 +52,7 @@
 }
 
 void AgentCore::Impl::onSlotAcquired(Run &run, Step &step) {
-  // A process that was paused must not act on what it knew before.
+  // After a pause of this process, the engine's last status may be outdated.
   if (!isStatusFresh(step.Now))
     refuseAccepted(
         run, {ErrorKind::NotReady, "the engine's state is not known"}, step);
@@ -91,7 +91,6 @@
   }
 }
 
-/// False when nothing better can be done than to leave it where it is.
 bool AgentCore::Impl::handleRunAtRisk(const RunRequest &risk, Step &step) {
   if (auto victim = Queue.preemptionVictim(risk, step.Now)) {
     suspend(*Runs.find(victim->Id), step);
--- a/src/serve/agent_runs.cpp
+++ b/src/serve/agent_runs.cpp
@@ -1,4 +1,4 @@
-/// AgentCore: runs at the backend server.
+/// AgentCore: output of the backend server and the end of runs.
 #include "serve/agent_impl.h"
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 
 } // namespace
 
-/// A swap took place while the run waited: its pieces belong to the other
-/// version.
+// A weight swap during the wait makes the run's pieces useless, as they are
+// keyed by version.
 bool AgentCore::Impl::hasOutdatedVersion(const Run &run) const {
   return !Settings.IsService && run.Version != version();
 }
@@ -225,13 +225,12 @@
       fail(*run, why, step);
 }
 
-/// Ids whose runs are gone need not be remembered.
 void AgentCore::Impl::pruneFinishedOrder() {
   while (!FinishedOrder.empty() && !Runs.find(FinishedOrder.front()))
     FinishedOrder.pop_front();
 }
 
-/// Only finished answers go, the oldest first: a running one may still be read.
+// An unfinished answer is never removed, since its readers still need it.
 void AgentCore::Impl::evictFinishedAnswers() {
   while (HeldBytes > Settings.MaxHeldBytes && !FinishedOrder.empty()) {
     RequestId id = FinishedOrder.front();
--- a/src/serve/agent_snapshot.h
+++ b/src/serve/agent_snapshot.h
@@ -1,5 +1,5 @@
-/// What an agent shows of itself: an immutable picture that queries read while
-/// the core goes on.
+/// Immutable snapshot of an agent's state, which queries read while the core
+/// continues.
 #pragma once
 
 #include "daisytack/error.h"
@@ -12,13 +12,13 @@
 
 namespace daisytack::serve {
 
-/// Ordered as a run passes through them.
+/// State of an accepted run.
 enum class RunState : uint8_t { Waiting, Running, Suspended, Finished };
 
 /// "waiting", "running", "suspended" or "finished".
 std::string_view runStateName(RunState state);
 
-/// One accepted request. Holds no prompt and no answer.
+/// One accepted, unfinished request, without its prompt and answer.
 struct RunView {
   RequestId Id;
   Attempt Try = 0;
@@ -31,7 +31,7 @@
   TimePoint Deadline;
   uint32_t PromptTokens = 0;
   uint32_t GeneratedTokens = 0;
-  uint32_t Links = 0; ///< Connections that the answer goes to; 0 while it is
+  uint32_t Links = 0; ///< Links that receive the answer; 0 while the answer is
                       ///< held for a resume.
   bool operator==(const RunView &) const = default;
 };
@@ -48,7 +48,7 @@
   bool operator==(const RefusalView &) const = default;
 };
 
-/// Kept context of one organisation, as far as this agent knows it.
+/// Kept context of one organisation, as far as this agent has seen it.
 struct KeptContextView {
   std::string Organisation;
   uint64_t Pieces = 0;
@@ -57,6 +57,7 @@
   bool operator==(const KeptContextView &) const = default;
 };
 
+/// State of an agent at the time At.
 struct AgentSnapshot {
   TimePoint At;
   bool Draining = false;
--- a/src/serve/agent_step.h
+++ b/src/serve/agent_step.h
@@ -1,11 +1,11 @@
-/// One application of an input by an agent's core.
+/// Context in which an agent's core handles one input.
 #pragma once
 
 #include "serve/agent_messages.h"
 
 namespace daisytack::serve {
 
-/// The present time by both clocks, and where actions go.
+/// The current time by both clocks, and the list that receives the actions.
 struct Step {
   TimePoint Now;
   WallTime Wall;
--- a/src/serve/agent_stores.h
+++ b/src/serve/agent_stores.h
@@ -1,5 +1,5 @@
-/// The stores as an agent knows them: where each is, its link and whether it
-/// answers.
+/// An agent's table of stores: their location, the scheduler of each link and
+/// whether the store is usable.
 #pragma once
 
 #include "context/link_scheduler.h"
@@ -14,15 +14,15 @@
 
 struct StoreSettings {
   std::vector<StoreInstance> Instances;
-  LinkLimits Link; ///< Of each.
+  LinkLimits Link; ///< Limits of the link to each store.
   double DiskBytesPerSecond = 50e6;
   Duration LookupTimeout{100'000};
   Duration ReadTimeout{5'000'000};
   Duration WriteTimeout{5'000'000};
-  Duration RetryAfter{1'000'000}; ///< A store that failed is left alone for.
+  Duration RetryAfter{1'000'000}; ///< Time without calls after a failure.
 };
 
-/// Numbers calls and transfers.
+/// Generates ids of calls and transfers.
 class CallIdSource {
 public:
   CallId next() { return ++Last; }
@@ -31,7 +31,7 @@
   CallId Last = 0;
 };
 
-/// Not thread-safe.
+/// The stores of an agent. Not thread-safe.
 class StoreTable {
 public:
   explicit StoreTable(StoreSettings settings);
@@ -42,23 +42,26 @@
   const LinkScheduler &link(StoreHandle store) const {
     return Links[store.Index].Link;
   }
-  /// Stores of a piece that are not left alone, the first choice first.
+  /// Usable stores of pieces[index], in order of preference. At most `copies`.
   std::vector<StoreHandle> storesOf(std::span<const PieceKey> pieces,
                                     size_t index, size_t copies,
                                     TimePoint now) const;
-  /// For the plan of a fetch that should be over by then.
+  /// State of each link, for planning a fetch that should end by the deadline.
   std::vector<LinkState> linkStates(TimePoint deadline, TimePoint now) const;
 
   void onAnswered(StoreHandle store) { Links[store.Index].DownUntil.reset(); }
+  /// Makes the store unusable for RetryAfter.
   void onFailed(StoreHandle store, TimePoint now);
   bool isUsable(StoreHandle store, TimePoint now) const;
 
-  /// When some link can start a transfer.
+  /// Earliest time at which any link can start a transfer; empty if no
+  /// waiting transfer can.
   std::optional<TimePoint> nextTransferAt(TimePoint now) const;
 
 private:
   struct StoreLink {
     LinkScheduler Link;
+    /// Time from which a failed store may be called again; empty if usable.
     std::optional<TimePoint> DownUntil;
   };
 
@@ -66,8 +69,8 @@
   std::vector<StoreLink> Links;
 };
 
-/// True when the error says that the store itself is in trouble, rather than
-/// that it lacks a piece or has no room.
+/// True if the error means that the store itself has failed, and not that it
+/// lacks a piece, is full, or that the call was cancelled.
 bool isStoreFailure(const Error &why);
 
 } // namespace daisytack::serve
--- a/src/serve/agent_swap.cpp
+++ b/src/serve/agent_swap.cpp
@@ -1,4 +1,4 @@
-/// AgentCore: the server's way to the weight version that configuration names.
+/// AgentCore: changes to the weight version in the configuration.
 #include "serve/agent_impl.h"
 
 #include <algorithm>
