--- a/src/serve/agent_impl.h
+++ b/src/serve/agent_impl.h
@@ -88,7 +88,7 @@
   void join(Run &run, LinkHandle link, const wire::Offer &offer, Step &step);
   void sendAccepted(const Run &run, const Reader &reader, Step &step);
   /// Sends the reader the chunks from index `from` on, and the final message if
-  /// the run has finished.
+  /// the run has finished. Sends Refused if these chunks are no longer held.
   void replay(Run &run, const Reader &reader, uint32_t from, Step &step);
   /// Marks the attempt and all earlier ones of the request as closed.
   void rememberClosed(const RequestId &id, Attempt attempt, TimePoint now);
@@ -109,7 +109,7 @@
   /// Preempts other runs for accepted runs that are predicted to miss their
   /// deadline, or fails those that another server may still finish in time.
   void handleRunsAtRisk(Step &step);
-  /// Returns false if the run has to stay as it is.
+  /// Handles one run at risk. Returns false if neither would help.
   bool handleRunAtRisk(const RunRequest &risk, Step &step);
   /// Updates the predictor from runs that are still in progress.
   void observeRunning(TimePoint now);
--- a/src/serve/agent_messages.h
+++ b/src/serve/agent_messages.h
@@ -58,7 +58,7 @@
 // Inputs from the backend server.
 
 /// A part of an answer. Run is the run that the call was made for; Answer is
-/// the run that the server named in the answer and must be equal.
+/// the run that the server named in the answer, and must be equal to Run.
 struct RunText {
   RunToken Run;
   RunToken Answer;
--- a/src/serve/agent_step.h
+++ b/src/serve/agent_step.h
@@ -1,4 +1,4 @@
-/// Context in which an agent's core handles one input.
+/// Clocks and action list for the handling of one input by an agent's core.
 #pragma once
 
 #include "serve/agent_messages.h"
