--- a/src/serve/agent_step.h
+++ b/src/serve/agent_step.h
@@ -1,11 +1,11 @@
-/// One application of an input by an agent's core.
+/// Clocks and action list for the handling of one input by an agent's core.
 #pragma once
 
 #include "serve/agent_messages.h"
 
 namespace daisytack::serve {
 
-/// The present time by both clocks, and where actions go.
+/// The current time by both clocks, and the list that receives the actions.
 struct Step {
   TimePoint Now;
   WallTime Wall;
