--- a/src/serve/caller_answer.cpp
+++ b/src/serve/caller_answer.cpp
@@ -10,29 +10,30 @@
 
 namespace {
 
-json::string_view view(std::string_view text) {
+json::string_view toJsonView(std::string_view text) {
   return {text.data(), text.size()};
 }
 
-json::object head(const AnswerName &name, bool isPart) {
+json::object commonFields(const AnswerIdentity &name, bool isChunk) {
   std::string_view prefix = name.Chat ? "chatcmpl-" : "cmpl-";
   const char *kind = "text_completion";
   if (name.Chat)
-    kind = isPart ? "chat.completion.chunk" : "chat.completion";
+    kind = isChunk ? "chat.completion.chunk" : "chat.completion";
   json::object out;
   out["id"] = std::string(prefix) + toHex(name.Id);
   out["object"] = kind;
   out["created"] = name.Created;
-  out["model"] = view(name.Model);
+  out["model"] = toJsonView(name.Model);
   return out;
 }
 
-json::value finishReason(const AnswerSummary &summary) {
-  return summary.FinishReason.empty() ? json::value("stop")
-                                      : json::value(view(summary.FinishReason));
+json::value finishReasonJson(const AnswerSummary &summary) {
+  return summary.FinishReason.empty()
+             ? json::value("stop")
+             : json::value(toJsonView(summary.FinishReason));
 }
 
-json::object usage(const AnswerSummary &summary) {
+json::object usageJson(const AnswerSummary &summary) {
   uint32_t cached = summary.PromptTokens -
                     std::min(summary.PromptTokens, summary.RecomputedTokens);
   json::object out;
@@ -47,49 +48,50 @@
 
 } // namespace
 
-std::string wholeAnswerJson(const AnswerName &name, const AnswerWhole &answer) {
+std::string wholeAnswerJson(const AnswerIdentity &name,
+                            const WholeAnswer &answer) {
   json::object choice{{"index", 0}};
   if (name.Chat)
-    choice["message"] =
-        json::object{{"role", "assistant"}, {"content", view(answer.Text)}};
+    choice["message"] = json::object{{"role", "assistant"},
+                                     {"content", toJsonView(answer.Text)}};
   else
-    choice["text"] = view(answer.Text);
-  choice["finish_reason"] = finishReason(answer.Summary);
-  json::object out = head(name, false);
+    choice["text"] = toJsonView(answer.Text);
+  choice["finish_reason"] = finishReasonJson(answer.Summary);
+  json::object out = commonFields(name, false);
   out["choices"] = json::array{std::move(choice)};
-  out["usage"] = usage(answer.Summary);
+  out["usage"] = usageJson(answer.Summary);
   return json::serialize(out);
 }
 
-std::string answerPartJson(const AnswerName &name, std::string_view text,
+std::string answerPartJson(const AnswerIdentity &name, std::string_view text,
                            bool isFirst) {
   json::object choice{{"index", 0}};
   if (name.Chat) {
     json::object delta;
     if (isFirst)
       delta["role"] = "assistant";
-    delta["content"] = view(text);
+    delta["content"] = toJsonView(text);
     choice["delta"] = std::move(delta);
   } else {
-    choice["text"] = view(text);
+    choice["text"] = toJsonView(text);
   }
   choice["finish_reason"] = nullptr;
-  json::object out = head(name, true);
+  json::object out = commonFields(name, true);
   out["choices"] = json::array{std::move(choice)};
   return json::serialize(out);
 }
 
-std::string answerEndJson(const AnswerName &name,
+std::string answerEndJson(const AnswerIdentity &name,
                           const AnswerSummary &summary) {
   json::object choice{{"index", 0}};
   if (name.Chat)
     choice["delta"] = json::object();
   else
     choice["text"] = "";
-  choice["finish_reason"] = finishReason(summary);
-  json::object out = head(name, true);
+  choice["finish_reason"] = finishReasonJson(summary);
+  json::object out = commonFields(name, true);
   out["choices"] = json::array{std::move(choice)};
-  out["usage"] = usage(summary);
+  out["usage"] = usageJson(summary);
   return json::serialize(out);
 }
 
--- a/src/serve/caller_ids.cpp
+++ b/src/serve/caller_ids.cpp
@@ -13,8 +13,8 @@
 constexpr size_t MacDigits = 32; ///< 128 bits.
 
 /// Fields with their lengths, so that no two lists of fields read the same.
-std::string join(std::string_view label, std::string_view a,
-                 std::string_view b) {
+std::string joinFields(std::string_view label, std::string_view a,
+                       std::string_view b) {
   std::string out(label);
   for (std::string_view field : {a, b}) {
     out += ' ';
@@ -25,7 +25,7 @@
   return out;
 }
 
-uint64_t readWord(const Digest256 &digest, size_t from) {
+uint64_t readUint64(const Digest256 &digest, size_t from) {
   uint64_t out = 0;
   for (size_t i = 0; i < sizeof(out); ++i)
     out = (out << 8U) | digest[from + i];
@@ -38,15 +38,15 @@
 
 RequestId CallerIds::requestId(std::string_view organisation,
                                std::string_view idempotencyKey) const {
-  Digest256 digest =
-      hmacSha256(Secret, join(RequestLabel, organisation, idempotencyKey));
-  return {readWord(digest, 0), readWord(digest, sizeof(uint64_t))};
+  Digest256 digest = hmacSha256(
+      Secret, joinFields(RequestLabel, organisation, idempotencyKey));
+  return {readUint64(digest, 0), readUint64(digest, sizeof(uint64_t))};
 }
 
 std::string CallerIds::mac(std::string_view organisation,
                            std::string_view body) const {
   std::string out =
-      hexDigest(hmacSha256(Secret, join(EventLabel, organisation, body)));
+      hexDigest(hmacSha256(Secret, joinFields(EventLabel, organisation, body)));
   out.resize(MacDigits);
   return out;
 }
--- a/src/serve/caller_request.cpp
+++ b/src/serve/caller_request.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::string_view BearerPrefix = "Bearer ";
 
-bool sameIgnoringCase(std::string_view a, std::string_view b) {
+bool equalIgnoringCase(std::string_view a, std::string_view b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) {
     return std::tolower(static_cast<unsigned char>(x)) ==
            std::tolower(static_cast<unsigned char>(y));
@@ -26,23 +26,23 @@
 }
 
 /// Time allowed: the caller's, never above the longest.
-std::optional<Duration> readDeadline(std::string_view text, Duration longest,
+std::optional<Duration> readDeadline(std::string_view text, Duration maximum,
                                      Error &reason) {
   if (text.empty())
-    return longest;
+    return maximum;
   uint32_t millis = 0;
   auto [end, ec] =
       std::from_chars(text.data(), text.data() + text.size(), millis);
   if (ec != std::errc() || end != text.data() + text.size() || millis == 0)
     return reject(reason, ErrorKind::BadRequest,
                   "X-Daisytack-Deadline-Ms is not a positive whole number");
-  return std::min<Duration>(std::chrono::milliseconds(millis), longest);
+  return std::min<Duration>(std::chrono::milliseconds(millis), maximum);
 }
 
 /// Fields that prompts and calls to services share.
-std::optional<RequestSpec> readCommon(const CallerInput &input,
-                                      const CallerContext &context,
-                                      Error &reason) {
+std::optional<RequestSpec> readCommonFields(const CallerInput &input,
+                                            const CallerContext &context,
+                                            Error &reason) {
   const RequestClass *it = context.Config.requestClass(input.Class);
   if (it == nullptr)
     return reject(reason, ErrorKind::UnknownClass, std::string(input.Class));
@@ -75,8 +75,8 @@
 
 std::optional<std::string_view> bearerKey(std::string_view authorization) {
   if (authorization.size() <= BearerPrefix.size() ||
-      !sameIgnoringCase(authorization.substr(0, BearerPrefix.size()),
-                        BearerPrefix))
+      !equalIgnoringCase(authorization.substr(0, BearerPrefix.size()),
+                         BearerPrefix))
     return std::nullopt;
   return authorization.substr(BearerPrefix.size());
 }
@@ -84,7 +84,7 @@
 std::optional<PromptRequest> readPrompt(const CallerInput &input,
                                         const CallerContext &context, bool chat,
                                         Error &reason) {
-  std::optional<RequestSpec> out = readCommon(input, context, reason);
+  std::optional<RequestSpec> out = readCommonFields(input, context, reason);
   if (!out)
     return std::nullopt;
   std::optional<Prompt> prompt = parsePrompt(input.Body, chat, reason);
@@ -127,7 +127,7 @@
   const PlainService *it = context.Config.service(service);
   if (it == nullptr)
     return reject(reason, ErrorKind::UnknownService, std::string(service));
-  std::optional<RequestSpec> out = readCommon(input, context, reason);
+  std::optional<RequestSpec> out = readCommonFields(input, context, reason);
   if (!out)
     return std::nullopt;
   std::optional<Duration> allowed =
@@ -152,8 +152,8 @@
   return prompt ? std::move(prompt->Text) : std::string();
 }
 
-void keyPieces(wire::Offer &offer, PieceScope &scope, const Snapshot &config,
-               const PieceKeyer &keyer, std::string_view text) {
+void setPieceKeys(wire::Offer &offer, PieceScope &scope, const Snapshot &config,
+                  const PieceKeyer &keyer, std::string_view text) {
   const Model *model = config.model(offer.Model);
   const Organisation *organisation = config.organisation(offer.Organisation);
   if (model == nullptr || organisation == nullptr)
@@ -168,17 +168,17 @@
     offer.Pieces = keyer.keys(scope, text);
 }
 
-void refreshPieces(wire::Offer &offer, PieceScope scope, const Snapshot &config,
-                   const PieceKeyer &keyer) {
+void refreshPieceKeys(wire::Offer &offer, PieceScope scope,
+                      const Snapshot &config, const PieceKeyer &keyer) {
   const Model *model = config.model(offer.Model);
   ReusePolicy policy = config.policy(offer.Organisation, offer.Class);
   if (model == nullptr || scopeOf(policy, *model) == scope)
     return;
-  keyPieces(offer, scope, config, keyer, promptText(offer));
+  setPieceKeys(offer, scope, config, keyer, promptText(offer));
 }
 
-bool isPassedOn(std::string_view headerName) {
-  static constexpr std::array<std::string_view, 14> Dropped{
+bool isForwardedHeader(std::string_view headerName) {
+  static constexpr std::array<std::string_view, 14> NotForwarded{
       "authorization",
       "connection",
       "content-length",
@@ -193,13 +193,13 @@
       "upgrade",
       "proxy-authorization",
       "last-event-id"};
-  constexpr std::string_view Own = "x-daisytack-";
-  if (headerName.size() >= Own.size() &&
-      sameIgnoringCase(headerName.substr(0, Own.size()), Own))
+  constexpr std::string_view OwnPrefix = "x-daisytack-";
+  if (headerName.size() >= OwnPrefix.size() &&
+      equalIgnoringCase(headerName.substr(0, OwnPrefix.size()), OwnPrefix))
     return false;
-  return std::none_of(Dropped.begin(), Dropped.end(), [&](std::string_view it) {
-    return sameIgnoringCase(it, headerName);
-  });
+  return std::none_of(
+      NotForwarded.begin(), NotForwarded.end(),
+      [&](std::string_view it) { return equalIgnoringCase(it, headerName); });
 }
 
 } // namespace daisytack::entry
--- a/src/serve/caller_request.h
+++ b/src/serve/caller_request.h
@@ -53,7 +53,8 @@
 };
 
 /// A prompt (POST /v1/completions or, with chat, /v1/chat/completions). Piece
-/// keys are left to keyPieces, as long prompts are hashed off the I/O threads.
+/// keys are left to setPieceKeys, as long prompts are hashed off the I/O
+/// threads.
 std::optional<PromptRequest> readPrompt(const CallerInput &input,
                                         const CallerContext &context, bool chat,
                                         Error &reason);
@@ -69,14 +70,14 @@
 
 /// Sets version, keep rule and piece keys by the configuration, from the
 /// prompt's text.
-void keyPieces(wire::Offer &offer, PieceScope &scope, const Snapshot &config,
-               const PieceKeyer &keyer, std::string_view text);
+void setPieceKeys(wire::Offer &offer, PieceScope &scope, const Snapshot &config,
+                  const PieceKeyer &keyer, std::string_view text);
 /// The same for a later attempt: reads the text again when the configuration
 /// has changed the keys, and does nothing otherwise.
-void refreshPieces(wire::Offer &offer, PieceScope scope, const Snapshot &config,
-                   const PieceKeyer &keyer);
+void refreshPieceKeys(wire::Offer &offer, PieceScope scope,
+                      const Snapshot &config, const PieceKeyer &keyer);
 
 /// Headers that concern one connection, or daisytack, and are not passed on.
-bool isPassedOn(std::string_view headerName);
+bool isForwardedHeader(std::string_view headerName);
 
 } // namespace daisytack::entry
--- a/src/serve/caller_ticket.cpp
+++ b/src/serve/caller_ticket.cpp
@@ -8,10 +8,9 @@
 
 namespace json = boost::json;
 
-std::optional<TicketWish> readTicketWish(std::string_view body,
-                                         const Snapshot &config,
-                                         std::string_view organisation,
-                                         Error &reason) {
+std::optional<CallerTicketRequest>
+readTicketRequest(std::string_view body, const Snapshot &config,
+                  std::string_view organisation, Error &reason) {
   json::error_code ec;
   json::value value = json::parse({body.data(), body.size()}, ec);
   const json::object *object = ec ? nullptr : value.if_object();
@@ -23,7 +22,7 @@
     reason = {ErrorKind::BadRequest, "name one service or one model"};
     return std::nullopt;
   }
-  TicketWish out;
+  CallerTicketRequest out;
   out.Organisation = organisation;
   out.Serves.assign(name->get_string().data(), name->get_string().size());
   out.IsService = service != nullptr;
--- a/src/serve/caller_ticket.h
+++ b/src/serve/caller_ticket.h
@@ -11,18 +11,17 @@
 namespace daisytack::entry {
 
 /// What a ticket is wanted for.
-struct TicketWish {
+struct CallerTicketRequest {
   std::string Organisation;
   std::string Serves; ///< Model or plain service.
   bool IsService = false;
-  auto operator<=>(const TicketWish &) const = default;
+  auto operator<=>(const CallerTicketRequest &) const = default;
 };
 
 /// {"service": NAME}, or {"model": NAME} for a non-idempotent class.
-std::optional<TicketWish> readTicketWish(std::string_view body,
-                                         const Snapshot &config,
-                                         std::string_view organisation,
-                                         Error &reason);
+std::optional<CallerTicketRequest>
+readTicketRequest(std::string_view body, const Snapshot &config,
+                  std::string_view organisation, Error &reason);
 
 /// {"ticket": TEXT, "valid_ms": N}.
 std::string ticketJson(std::string_view ticket, Duration valid);
--- a/src/serve/request_answer.cpp
+++ b/src/serve/request_answer.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-template <class T> void keepEarliest(std::optional<T> &out, const T &value) {
+template <class T> void setToEarlier(std::optional<T> &out, const T &value) {
   if (!out || value < *out)
     out = value;
 }
@@ -24,21 +24,21 @@
 }
 
 /// Sends the caller all chunks that it has not been sent.
-void RequestFlow::showParts(Step &step) {
-  if (Shown == Received)
+void RequestFlow::sendParts(Step &step) {
+  if (ChunksSent == ChunksReceived)
     return;
-  Shown = Received;
+  ChunksSent = ChunksReceived;
   if (!CallerLeft)
     step.Out.emplace_back(
-        AnswerPart{LastServer, Received - 1, Text.substr(ShownBytes)});
+        AnswerPart{LastServer, ChunksReceived - 1, Text.substr(BytesSent)});
   // Only a re-run elsewhere needs the text that was sent.
   if (!Spec.Offer.Idempotent || Spec.Resume)
     Text.clear();
-  ShownBytes = Text.size();
+  BytesSent = Text.size();
 }
 
-void RequestFlow::complete(Try &attempt, const wire::Finished &message,
-                           Step &step) {
+void RequestFlow::completeAnswer(Try &attempt, const wire::Finished &message,
+                                 Step &step) {
   cancelOthers(attempt.Number, step);
   attempt.Phase = TryPhase::Closed;
   LastServer = attempt.Server;
@@ -56,36 +56,36 @@
   if (CallerLeft)
     return end(step);
   Phase = FlowPhase::Held;
-  checkRelease(step);
+  deliverOrHold(step);
   if (Phase == FlowPhase::Held)
     record(step, EventKind::AnswerHeld, attempt.Number, ErrorKind::None,
            Spec.Offer.Class);
 }
 
-void RequestFlow::checkRelease(Step &step) {
+void RequestFlow::deliverOrHold(Step &step) {
   std::optional<WallTime> release = releaseTime(step.Context);
   // The deadline holds though the wall clock stepped back or the release was
   // moved beyond it.
   TimePoint now = step.Context.Now;
   if (!release || now >= Spec.Deadline)
-    return deliver(step);
+    return deliverAnswer(step);
   auto left =
       std::chrono::duration_cast<Duration>(*release - step.Context.Wall);
-  ReleaseLook =
-      std::min(now + std::min(left, Settings.ReleaseCheck), Spec.Deadline);
+  NextReleaseCheckAt = std::min(
+      now + std::min(left, Settings.ReleaseCheckInterval), Spec.Deadline);
 }
 
-void RequestFlow::deliver(Step &step) {
-  if (ReleaseLook)
+void RequestFlow::deliverAnswer(Step &step) {
+  if (NextReleaseCheckAt)
     record(step, EventKind::AnswerReleased, 0, ErrorKind::None,
            Spec.Offer.Class);
   record(step, EventKind::RequestAnswered, Tries.back().Number, ErrorKind::None,
          LastServer, {(step.Context.Now - Spec.Arrived).count()});
   if (!Spec.Stream) {
-    step.Out.emplace_back(AnswerWhole{std::move(Text), std::move(Summary)});
+    step.Out.emplace_back(WholeAnswer{std::move(Text), std::move(Summary)});
     return end(step);
   }
-  showParts(step);
+  sendParts(step);
   step.Out.emplace_back(AnswerEnd{std::move(Summary)});
   end(step);
 }
@@ -97,7 +97,7 @@
       Spec.Offer.Ticket.empty() || (!Tries.empty() && Tries.back().Refused);
   if (!isKnown && ran == Outcome::NotRun)
     ran = Outcome::MayHaveRun;
-  reason.RetryAfter = std::max(reason.RetryAfter, Settings.LeastRetryAfter);
+  reason.RetryAfter = std::max(reason.RetryAfter, Settings.MinRetryAfter);
   record(step, EventKind::RequestRefused, 0, reason.Kind,
          Spec.Offer.Organisation);
   if (!CallerLeft)
@@ -112,20 +112,20 @@
 
 std::optional<TimePoint> RequestFlow::earliestTimer() const {
   if (Phase == FlowPhase::Held)
-    return ReleaseLook;
+    return NextReleaseCheckAt;
   std::optional<TimePoint> out = Spec.Deadline;
-  if (GraceEnds)
-    keepEarliest(out, *GraceEnds);
+  if (ResumeGraceEndsAt)
+    setToEarlier(out, *ResumeGraceEndsAt);
   if (RetryAt)
-    keepEarliest(out, *RetryAt);
+    setToEarlier(out, *RetryAt);
   std::optional<TimePoint> late;
   bool canHelp = Spec.Offer.Idempotent && !Spec.Resume && !CallerLeft &&
-                 spentAttempts() < Settings.Attempts;
+                 countedAttempts() < Settings.Attempts;
   for (const Try &attempt : Tries)
-    if (canHelp && attempt.isOpen() && (!late || attempt.LateAt > *late))
-      late = attempt.LateAt;
+    if (canHelp && attempt.isOpen() && (!late || attempt.HedgeAt > *late))
+      late = attempt.HedgeAt;
   if (late)
-    keepEarliest(out, *late);
+    setToEarlier(out, *late);
   return out;
 }
 
@@ -133,9 +133,9 @@
   std::optional<TimePoint> wanted = earliestTimer();
   // A timer that fires early is harmless and cheaper than one moved by every
   // chunk.
-  if (!wanted || (Armed && *Armed <= *wanted))
+  if (!wanted || (ArmedTimer && *ArmedTimer <= *wanted))
     return;
-  Armed = wanted;
+  ArmedTimer = wanted;
   step.Out.emplace_back(ArmTimer{*wanted});
 }
 
--- a/src/serve/request_attempts.cpp
+++ b/src/serve/request_attempts.cpp
@@ -6,7 +6,8 @@
 
 namespace daisytack::entry {
 
-RequestFlow::Try *RequestFlow::find(Attempt number, std::string_view server) {
+RequestFlow::Try *RequestFlow::findTry(Attempt number,
+                                       std::string_view server) {
   for (auto it = Tries.rbegin(); it != Tries.rend(); ++it)
     if (it->Number == number && it->Server == server)
       return &*it;
@@ -19,21 +20,23 @@
 }
 
 bool RequestFlow::mayHaveRun() const {
-  return std::any_of(Tries.begin(), Tries.end(),
-                     [](const Try &it) { return it.Delivered && !it.Refused; });
+  return std::any_of(Tries.begin(), Tries.end(), [](const Try &it) {
+    return it.MayHaveArrived && !it.Refused;
+  });
 }
 
-std::optional<Candidate> RequestFlow::pick(const FlowContext &context) const {
+std::optional<Candidate>
+RequestFlow::pickServer(const FlowContext &context) const {
   // A server that refused may take an accepted request after a wait.
-  auto isOut = [&](const Candidate &it) {
+  auto isExcluded = [&](const Candidate &it) {
     return std::any_of(Tries.begin(), Tries.end(), [&](const Try &attempt) {
-      bool mayAskAgain =
-          (Waited && attempt.Refused) || (!IsPatient && attempt.WasTooLong);
+      bool mayAskAgain = (HasWaitedForRetry && attempt.Refused) ||
+                         (!HasWaitLimit && attempt.ExceededWaitLimit);
       return attempt.Server == it.Server && !mayAskAgain;
     });
   };
   for (Candidate &it : Hooks.Rank(Spec, context))
-    if (!isOut(it))
+    if (!isExcluded(it))
       return std::move(it);
   return std::nullopt;
 }
@@ -41,28 +44,28 @@
 void RequestFlow::offer(const Candidate &candidate, Step &step) {
   TimePoint now = step.Context.Now;
   Try attempt;
-  attempt.Number = Spec.FirstTry + attempts();
+  attempt.Number = Spec.FirstAttempt + attempts();
   attempt.Server = candidate.Server;
   attempt.SentAt = now;
-  attempt.LateAt = now + Settings.OfferPatience;
-  attempt.IsPatient =
-      IsPatient && Spec.Offer.Idempotent && candidate.Patience > Duration{0};
+  attempt.HedgeAt = now + Settings.OfferTimeout;
+  attempt.HasWaitLimit =
+      HasWaitLimit && Spec.Offer.Idempotent && candidate.Patience > Duration{0};
   auto left = std::chrono::duration_cast<Duration>(Spec.Deadline - now);
 
   wire::Offer out = Spec.Offer;
   out.Try = attempt.Number;
   out.RemainingMicros =
       static_cast<uint64_t>(std::max<int64_t>(left.count(), 0));
-  if (attempt.IsPatient)
+  if (attempt.HasWaitLimit)
     out.PatienceMicros = static_cast<uint64_t>(candidate.Patience.count());
-  bool mayRunAgain = out.Idempotent && spentAttempts() == 0;
+  bool mayRunAgain = out.Idempotent && countedAttempts() == 0;
   out.ReserveMicros =
       mayRunAgain
           ? static_cast<uint64_t>(static_cast<double>(out.RemainingMicros) *
                                   Settings.ReserveShare)
           : 0;
   out.Generated = out.Idempotent ? Text : std::string();
-  out.GeneratedChunks = Received;
+  out.GeneratedChunks = ChunksReceived;
   if (Hooks.Refresh)
     Hooks.Refresh(out, Spec, step.Context);
 
@@ -79,26 +82,27 @@
   attempt.Server = server;
   attempt.IsResume = true;
   attempt.SentAt = step.Context.Now;
-  attempt.LateAt = step.Context.Now + Settings.StallPatience;
+  attempt.HedgeAt = step.Context.Now + Settings.StallTimeout;
   record(step, EventKind::StreamResumed, number, ErrorKind::None, server,
-         {Received});
+         {ChunksReceived});
   step.Out.emplace_back(SendResume{
-      server, {Spec.Offer.Id, number, Spec.Offer.Organisation, Received}});
+      server,
+      {Spec.Offer.Id, number, Spec.Offer.Organisation, ChunksReceived}});
   Tries.push_back(std::move(attempt));
 }
 
 /// Whether one more attempt is allowed now, but for the budget.
 bool RequestFlow::canRetry(const FlowContext &context) const {
-  if (spentAttempts() >= Settings.Attempts || context.Now >= Spec.Deadline ||
+  if (countedAttempts() >= Settings.Attempts || context.Now >= Spec.Deadline ||
       Spec.Resume || CallerLeft)
     return false;
   return Spec.Offer.Idempotent || !mayHaveRun();
 }
 
-uint32_t RequestFlow::spentAttempts() const {
+uint32_t RequestFlow::countedAttempts() const {
   return static_cast<uint32_t>(
       std::count_if(Tries.begin(), Tries.end(),
-                    [](const Try &it) { return !it.WasTooLong; }));
+                    [](const Try &it) { return !it.ExceededWaitLimit; }));
 }
 
 bool RequestFlow::takeRetry() const {
@@ -111,17 +115,17 @@
     return false;
   auto left = std::chrono::duration_cast<Duration>(Spec.Deadline - context.Now);
   std::optional<Duration> pause = retryDelay(
-      attempts(), LastReason.RetryAfter, left, Settings.LeastPause,
+      attempts(), LastReason.RetryAfter, left, Settings.MinRetryDelay,
       Settings.Backoff,
       Hooks.Random ? Hooks.Random : [] { return uint64_t{0}; });
   if (!pause)
     return false;
-  Waited = true;
-  RetryAt = context.Now + std::max(*pause, Settings.LeastPause);
+  HasWaitedForRetry = true;
+  RetryAt = context.Now + std::max(*pause, Settings.MinRetryDelay);
   return true;
 }
 
-void RequestFlow::next(const Error &reason, Step &step) {
+void RequestFlow::retryOrGiveUp(const Error &reason, Step &step) {
   // The soonest that any server would take it is the best time to come back.
   if (LastReason.RetryAfter.count() == 0 ||
       (reason.RetryAfter.count() > 0 &&
@@ -133,13 +137,13 @@
     return;
   std::optional<Candidate> candidate;
   if (canRetry(step.Context))
-    candidate = pick(step.Context);
-  if (!candidate && IsPatient && canRetry(step.Context)) {
+    candidate = pickServer(step.Context);
+  if (!candidate && HasWaitLimit && canRetry(step.Context)) {
     // All waits are known now, and the shortest has to do.
-    IsPatient = false;
-    candidate = pick(step.Context);
+    HasWaitLimit = false;
+    candidate = pickServer(step.Context);
   }
-  if (candidate && (Tries.back().WasTooLong || takeRetry())) {
+  if (candidate && (Tries.back().ExceededWaitLimit || takeRetry())) {
     record(step, EventKind::RequestRetried, Tries.back().Number, reason.Kind,
            candidate->Server);
     return offer(*candidate, step);
@@ -150,48 +154,49 @@
          step);
 }
 
-void RequestFlow::lost(Try &attempt, const Error &reason, Step &step) {
+void RequestFlow::onAttemptLost(Try &attempt, const Error &reason, Step &step) {
   attempt.Phase = TryPhase::Closed;
   record(step, EventKind::AttemptLost, attempt.Number, reason.Kind,
          attempt.Server);
   std::string server = attempt.Server;
   Attempt number = attempt.Number;
-  step.Out.emplace_back(NoteServer{server, NoteServer::Result::Failed, {}, {}});
+  step.Out.emplace_back(
+      ReportServer{server, ReportServer::Result::Failed, {}, {}});
   if (Spec.Offer.Idempotent && !Spec.Resume)
-    return next(reason, step);
+    return retryOrGiveUp(reason, step);
   if (hasOpenTry())
     return;
   // The run may go on behind a broken connection: its answer is read again,
   // which starts nothing.
   bool canReconnect = reason.Kind == ErrorKind::ServerLost &&
-                      Reconnected < Settings.Reconnects && !CallerLeft;
+                      ReconnectCount < Settings.MaxReconnects && !CallerLeft;
   if (!canReconnect)
     return giveUp(reason, Outcome::MayHaveRun, step);
-  ++Reconnected;
+  ++ReconnectCount;
   resume(server, number, step);
 }
 
 /// A server is slow: one more is asked, and the first to go on wins.
-void RequestFlow::seekHelp(Step &step) {
+void RequestFlow::hedge(Step &step) {
   TimePoint now = step.Context.Now;
-  uint32_t open = 0;
+  uint32_t openCount = 0;
   bool late = true;
   for (const Try &attempt : Tries) {
     if (!attempt.isOpen())
       continue;
-    ++open;
-    late = late && now >= attempt.LateAt;
+    ++openCount;
+    late = late && now >= attempt.HedgeAt;
   }
-  if (open == 0 || !late)
+  if (openCount == 0 || !late)
     return;
   for (Try &attempt : Tries)
     if (attempt.isOpen())
-      attempt.LateAt = now + Settings.StallPatience;
-  if (!Spec.Offer.Idempotent || Spec.Resume || open > 1)
+      attempt.HedgeAt = now + Settings.StallTimeout;
+  if (!Spec.Offer.Idempotent || Spec.Resume || openCount > 1)
     return;
   if (!canRetry(step.Context))
     return;
-  std::optional<Candidate> candidate = pick(step.Context);
+  std::optional<Candidate> candidate = pickServer(step.Context);
   if (!candidate || !takeRetry())
     return;
   record(step, EventKind::RequestRetried, Tries.back().Number,
--- a/src/serve/request_flow.cpp
+++ b/src/serve/request_flow.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr size_t UsualActions = 4;
+constexpr size_t UsualActionCount = 4;
 
 /// Refusals that no other server would answer otherwise.
 bool isFinalRefusal(ErrorKind kind) {
@@ -37,7 +37,7 @@
                          FlowHooks hooks)
     : Spec(std::move(spec)), Settings(settings), Hooks(std::move(hooks)) {
   if (Spec.Resume)
-    Received = Shown = Spec.Resume->FromIndex;
+    ChunksReceived = ChunksSent = Spec.Resume->FromIndex;
 }
 
 FlowActions RequestFlow::apply(const FlowInput &input,
@@ -45,7 +45,7 @@
   Step step{context, {}};
   if (Phase == FlowPhase::Ended)
     return {};
-  step.Out.reserve(UsualActions);
+  step.Out.reserve(UsualActionCount);
   std::visit([&](const auto &it) { on(it, step); }, input);
   if (Phase != FlowPhase::Ended)
     armTimer(step);
@@ -70,20 +70,20 @@
     return giveUp({ErrorKind::DeadlineTooShort, "no time is left"},
                   Outcome::NotRun, step);
   if (Spec.Resume)
-    return resume(Spec.Resume->Server, Spec.FirstTry, step);
-  std::optional<Candidate> first = pick(step.Context);
+    return resume(Spec.Resume->Server, Spec.FirstAttempt, step);
+  std::optional<Candidate> first = pickServer(step.Context);
   if (!first)
     return giveUp({ErrorKind::NoServer, "no backend server is in service"},
                   Outcome::NotRun, step);
   offer(*first, step);
 }
 
-void RequestFlow::on(const ServerSaid &input, Step &step) {
+void RequestFlow::on(const ServerMessage &input, Step &step) {
   std::visit(
       [&](const auto &message) {
         if (message.Id != Spec.Offer.Id)
           return;
-        Try *attempt = find(message.Try, input.Server);
+        Try *attempt = findTry(message.Try, input.Server);
         if (attempt == nullptr || !attempt->isOpen())
           return;
         using M = std::decay_t<decltype(message)>;
@@ -111,20 +111,21 @@
   // A server that has spoken of the attempt has seen its offer.
   bool wasHeard = attempt.Phase != TryPhase::Offered;
   if (input.MayBeDelivered || attempt.IsResume || wasHeard)
-    return lost(attempt, reason, step);
-  attempt.Delivered = false;
+    return onAttemptLost(attempt, reason, step);
+  attempt.MayHaveArrived = false;
   attempt.Phase = TryPhase::Closed;
   step.Out.emplace_back(
-      NoteServer{attempt.Server, NoteServer::Result::Failed, {}, {}});
-  next({ErrorKind::NoServer, "no connection to " + attempt.Server}, step);
+      ReportServer{attempt.Server, ReportServer::Result::Failed, {}, {}});
+  retryOrGiveUp({ErrorKind::NoServer, "no connection to " + attempt.Server},
+                step);
 }
 
 void RequestFlow::on(const TimerFired & /*input*/, Step &step) {
-  Armed.reset();
+  ArmedTimer.reset();
   TimePoint now = step.Context.Now;
   if (Phase == FlowPhase::Held)
-    return checkRelease(step);
-  if (GraceEnds && now >= *GraceEnds) {
+    return deliverOrHold(step);
+  if (ResumeGraceEndsAt && now >= *ResumeGraceEndsAt) {
     cancelAll(step);
     return end(step);
   }
@@ -135,34 +136,35 @@
   }
   if (RetryAt && now >= *RetryAt) {
     RetryAt.reset();
-    return next(LastReason, step);
+    return retryOrGiveUp(LastReason, step);
   }
-  seekHelp(step);
+  hedge(step);
 }
 
-void RequestFlow::on(const CallerGone & /*input*/, Step &step) {
+void RequestFlow::on(const CallerDisconnected & /*input*/, Step &step) {
   if (CallerLeft)
     return;
   CallerLeft = true;
   record(step, EventKind::RunCancelled, 0, ErrorKind::Cancelled);
-  bool canResume = Spec.Stream && Shown > 0 && Phase == FlowPhase::Running &&
+  bool canResume = Spec.Stream && ChunksSent > 0 &&
+                   Phase == FlowPhase::Running &&
                    Settings.ResumeGrace.count() > 0;
   if (canResume) {
-    GraceEnds = step.Context.Now + Settings.ResumeGrace;
+    ResumeGraceEndsAt = step.Context.Now + Settings.ResumeGrace;
     return;
   }
   cancelAll(step);
   end(step);
 }
 
-void RequestFlow::on(const StopWanted & /*input*/, Step &step) {
+void RequestFlow::on(const StopRequested & /*input*/, Step &step) {
   giveUp({ErrorKind::Cancelled, "stopped by an operator"},
          mayHaveRun() ? Outcome::MayHaveRun : Outcome::NotRun, step);
 }
 
 void RequestFlow::on(const ConfigChanged & /*input*/, Step &step) {
   if (Phase == FlowPhase::Held)
-    checkRelease(step);
+    deliverOrHold(step);
 }
 
 void RequestFlow::onAccepted(Try &attempt, const wire::Accepted &message,
@@ -171,14 +173,15 @@
     return;
   attempt.Phase = TryPhase::Accepted;
   WasAccepted = true;
-  constexpr uint64_t Longest = 3600ULL * 1'000'000;
-  attempt.Predicted = Duration(std::min(message.FirstTokenMicros, Longest));
+  constexpr uint64_t MaxFirstTokenMicros = 3600ULL * 1'000'000;
+  attempt.Predicted =
+      Duration(std::min(message.FirstTokenMicros, MaxFirstTokenMicros));
   auto extra = std::chrono::duration_cast<Duration>(attempt.Predicted *
                                                     Settings.HedgeFactor);
-  attempt.LateAt =
+  attempt.HedgeAt =
       step.Context.Now + attempt.Predicted + extra + Settings.HedgeMargin;
   if (attempt.IsResume || message.CompletionMicros == 0)
-    attempt.LateAt = step.Context.Now + Settings.StallPatience;
+    attempt.HedgeAt = step.Context.Now + Settings.StallTimeout;
   record(step, EventKind::OfferAccepted, attempt.Number, ErrorKind::None,
          attempt.Server,
          {attempt.Predicted.count(),
@@ -199,13 +202,13 @@
   }
   if (message.Ran == Outcome::NotRun && attempt.Phase != TryPhase::Streaming) {
     attempt.Refused = true;
-    attempt.WasTooLong =
-        attempt.IsPatient && message.Kind == ErrorKind::Overloaded;
+    attempt.ExceededWaitLimit =
+        attempt.HasWaitLimit && message.Kind == ErrorKind::Overloaded;
     attempt.Phase = TryPhase::Closed;
     if (isFinalRefusal(message.Kind) && !hasOpenTry())
       return giveUp(reason, mayHaveRun() ? Outcome::MayHaveRun : message.Ran,
                     step);
-    return next(reason, step);
+    return retryOrGiveUp(reason, step);
   }
   if (Spec.Resume || !Spec.Offer.Idempotent) {
     attempt.Phase = TryPhase::Closed;
@@ -214,47 +217,47 @@
                                                  : message.Ran,
                   step);
   }
-  lost(attempt, reason, step);
+  onAttemptLost(attempt, reason, step);
 }
 
 void RequestFlow::onChunk(Try &attempt, const wire::Chunk &message,
                           Step &step) {
-  if (message.Index < Received)
+  if (message.Index < ChunksReceived)
     return; // A duplicate, or an answer that another attempt has overtaken.
-  if (message.Index > Received) {
+  if (message.Index > ChunksReceived) {
     cancel(attempt, step);
-    return lost(attempt, {ErrorKind::ProtocolError, "a chunk is missing"},
-                step);
+    return onAttemptLost(
+        attempt, {ErrorKind::ProtocolError, "a chunk is missing"}, step);
   }
   cancelOthers(attempt.Number, step);
   if (!FirstTokenAt) {
     FirstTokenAt = step.Context.Now;
     record(step, EventKind::FirstToken, attempt.Number, ErrorKind::None,
            attempt.Server, {(step.Context.Now - Spec.Arrived).count()});
-    step.Out.emplace_back(NoteServer{
-        attempt.Server, NoteServer::Result::Answered, attempt.Predicted,
+    step.Out.emplace_back(ReportServer{
+        attempt.Server, ReportServer::Result::Answered, attempt.Predicted,
         std::chrono::duration_cast<Duration>(step.Context.Now -
                                              attempt.SentAt)});
   }
   attempt.Phase = TryPhase::Streaming;
-  attempt.LateAt = step.Context.Now + Settings.StallPatience;
+  attempt.HedgeAt = step.Context.Now + Settings.StallTimeout;
   LastServer = attempt.Server;
-  ++Received;
+  ++ChunksReceived;
   Text += message.Text;
   if (Spec.Stream && !releaseTime(step.Context))
-    showParts(step);
+    sendParts(step);
 }
 
 void RequestFlow::onFinished(Try &attempt, const wire::Finished &message,
                              Step &step) {
   bool whole =
       message.Kind == ErrorKind::None && message.Ran == Outcome::Completed;
-  if (whole && message.Chunks == Received)
-    return complete(attempt, message, step);
+  if (whole && message.Chunks == ChunksReceived)
+    return completeAnswer(attempt, message, step);
   if (whole) {
     cancel(attempt, step);
-    return lost(attempt, {ErrorKind::ProtocolError, "the answer is not whole"},
-                step);
+    return onAttemptLost(
+        attempt, {ErrorKind::ProtocolError, "the answer is not whole"}, step);
   }
   Error reason{message.Kind == ErrorKind::None ? ErrorKind::ServerFailed
                                                : message.Kind,
@@ -266,9 +269,9 @@
   if (message.Ran == Outcome::NotRun && attempt.Phase != TryPhase::Streaming) {
     attempt.Refused = true;
     attempt.Phase = TryPhase::Closed;
-    return next(reason, step);
+    return retryOrGiveUp(reason, step);
   }
-  lost(attempt, reason, step);
+  onAttemptLost(attempt, reason, step);
 }
 
 } // namespace daisytack::entry
--- a/src/serve/request_flow.h
+++ b/src/serve/request_flow.h
@@ -59,7 +59,7 @@
   bool isHeld() const { return Phase == FlowPhase::Held; }
   /// True once a server has accepted it, or begun to answer.
   bool isAccepted() const { return WasAccepted; }
-  uint32_t chunks() const { return Received; }
+  uint32_t chunks() const { return ChunksReceived; }
   /// Servers that may be working on it now.
   std::vector<std::string> servers() const;
   uint32_t attempts() const { return static_cast<uint32_t>(Tries.size()); }
@@ -73,13 +73,13 @@
     Attempt Number = 0;
     std::string Server;
     TryPhase Phase = TryPhase::Offered;
-    bool Refused = false;    ///< Surely not run.
-    bool Delivered = true;   ///< False: it surely never arrived.
-    bool IsPatient = false;  ///< Offered for a limited wait.
-    bool WasTooLong = false; ///< Refused for that.
-    bool IsResume = false;   ///< Reads an answer, never starts a run.
+    bool Refused = false;           ///< Surely not run.
+    bool MayHaveArrived = true;     ///< False: it surely never arrived.
+    bool HasWaitLimit = false;      ///< Offered for a limited wait.
+    bool ExceededWaitLimit = false; ///< Refused for that.
+    bool IsResume = false;          ///< Reads an answer, never starts a run.
     TimePoint SentAt;
-    TimePoint LateAt;      ///< Help is sought from then on.
+    TimePoint HedgeAt;     ///< Help is sought from then on.
     Duration Predicted{0}; ///< First token, by the agent's own word.
 
     bool isOpen() const { return Phase != TryPhase::Closed; }
@@ -91,11 +91,11 @@
   };
 
   void on(const FlowStarted &input, Step &step);
-  void on(const ServerSaid &input, Step &step);
+  void on(const ServerMessage &input, Step &step);
   void on(const LinkLost &input, Step &step);
   void on(const TimerFired &input, Step &step);
-  void on(const CallerGone &input, Step &step);
-  void on(const StopWanted &input, Step &step);
+  void on(const CallerDisconnected &input, Step &step);
+  void on(const StopRequested &input, Step &step);
   void on(const ConfigChanged &input, Step &step);
 
   void onAccepted(Try &attempt, const wire::Accepted &message, Step &step);
@@ -106,27 +106,27 @@
   void offer(const Candidate &candidate, Step &step);
   void resume(const std::string &server, Attempt number, Step &step);
   /// The attempt ended without an answer and surely did not run.
-  void next(const Error &reason, Step &step);
+  void retryOrGiveUp(const Error &reason, Step &step);
   /// The attempt may have run, and its answer is not to be had from it.
-  void lost(Try &attempt, const Error &reason, Step &step);
-  std::optional<Candidate> pick(const FlowContext &context) const;
+  void onAttemptLost(Try &attempt, const Error &reason, Step &step);
+  std::optional<Candidate> pickServer(const FlowContext &context) const;
   bool canRetry(const FlowContext &context) const;
   bool takeRetry() const;
   /// Attempts that count: those refused for a limited wait cost a trip, not a
   /// retry.
-  uint32_t spentAttempts() const;
+  uint32_t countedAttempts() const;
   bool waitForRetry(const FlowContext &context);
   bool hasOpenTry() const;
   bool mayHaveRun() const;
-  Try *find(Attempt number, std::string_view server);
-  void seekHelp(Step &step);
+  Try *findTry(Attempt number, std::string_view server);
+  void hedge(Step &step);
   void cancel(Try &attempt, Step &step);
   void cancelOthers(const Attempt winner, Step &step);
   void cancelAll(Step &step);
 
-  void complete(Try &attempt, const wire::Finished &message, Step &step);
-  void deliver(Step &step);
-  void checkRelease(Step &step);
+  void completeAnswer(Try &attempt, const wire::Finished &message, Step &step);
+  void deliverAnswer(Step &step);
+  void deliverOrHold(Step &step);
   void giveUp(Error reason, Outcome ran, Step &step);
   void end(Step &step);
   void armTimer(Step &step);
@@ -136,7 +136,7 @@
               std::array<int64_t, Event::MaxScores> scores = {}) const;
 
   std::optional<WallTime> releaseTime(const FlowContext &context) const;
-  void showParts(Step &step);
+  void sendParts(Step &step);
 
   const RequestSpec Spec;
   const FlowSettings Settings;
@@ -145,25 +145,26 @@
   FlowPhase Phase = FlowPhase::Waiting;
   std::vector<Try> Tries;
   bool WasAccepted = false;
-  bool IsPatient = true; ///< Servers are asked for a limited wait.
-  bool Waited = false;   ///< Servers that refused may be asked again.
-  uint32_t Reconnected = 0;
+  bool HasWaitLimit = true;       ///< Servers are asked for a limited wait.
+  bool HasWaitedForRetry = false; ///< Servers that refused may be asked again.
+  uint32_t ReconnectCount = 0;
   Error LastReason;
   std::optional<TimePoint>
       RetryAt; ///< An accepted request waits to be offered.
 
-  std::string Text;       ///< All chunks so far, while they may be needed.
-  uint32_t Received = 0;  ///< Chunks so far, from index 0 of the whole answer.
-  uint32_t Shown = 0;     ///< Chunks that the caller was sent.
-  size_t ShownBytes = 0;  ///< Of Text.
-  std::string LastServer; ///< That the last chunk came from.
+  std::string Text; ///< All chunks so far, while they may be needed.
+  uint32_t ChunksReceived =
+      0;                   ///< Chunks so far, from index 0 of the whole answer.
+  uint32_t ChunksSent = 0; ///< Chunks that the caller was sent.
+  size_t BytesSent = 0;    ///< Of Text.
+  std::string LastServer;  ///< That the last chunk came from.
   std::optional<TimePoint> FirstTokenAt;
   AnswerSummary Summary;
 
   bool CallerLeft = false;
-  std::optional<TimePoint> GraceEnds;
-  std::optional<TimePoint> ReleaseLook;
-  std::optional<TimePoint> Armed;
+  std::optional<TimePoint> ResumeGraceEndsAt;
+  std::optional<TimePoint> NextReleaseCheckAt;
+  std::optional<TimePoint> ArmedTimer;
 };
 
 } // namespace daisytack::entry
--- a/src/serve/request_messages.h
+++ b/src/serve/request_messages.h
@@ -23,7 +23,7 @@
 struct FlowStarted {};
 
 /// A message that names this request came over the link to the server.
-struct ServerSaid {
+struct ServerMessage {
   std::string Server;
   std::variant<wire::Accepted, wire::Refused, wire::Chunk, wire::Finished> Body;
 };
@@ -35,14 +35,15 @@
 };
 
 struct TimerFired {};
-struct CallerGone {};
+struct CallerDisconnected {};
 /// An operator stopped the request.
-struct StopWanted {};
+struct StopRequested {};
 /// Configuration or membership changed: a release time may have moved.
 struct ConfigChanged {};
 
-using FlowInput = std::variant<FlowStarted, ServerSaid, LinkLost, TimerFired,
-                               CallerGone, StopWanted, ConfigChanged>;
+using FlowInput =
+    std::variant<FlowStarted, ServerMessage, LinkLost, TimerFired,
+                 CallerDisconnected, StopRequested, ConfigChanged>;
 
 struct SendOffer {
   std::string Server;
@@ -89,10 +90,10 @@
 };
 
 /// A whole answer, at once.
-struct AnswerWhole {
+struct WholeAnswer {
   std::string Text;
   AnswerSummary Summary;
-  bool operator==(const AnswerWhole &) const = default;
+  bool operator==(const WholeAnswer &) const = default;
 };
 
 /// The final answer of a request that has none.
@@ -109,17 +110,17 @@
 };
 
 /// An attempt ended so; for the entry's view of its servers.
-struct NoteServer {
+struct ReportServer {
   enum class Result : uint8_t { Answered, Failed };
   std::string Server;
-  Result How = Result::Answered;
+  Result Reported = Result::Answered;
   Duration Predicted{0}; ///< First token, with Answered.
   Duration Measured{0};
-  bool operator==(const NoteServer &) const = default;
+  bool operator==(const ReportServer &) const = default;
 };
 
 struct RecordEvent {
-  Event What;
+  Event Recorded;
   bool operator==(const RecordEvent &) const = default;
 };
 
@@ -129,8 +130,8 @@
 };
 
 using FlowAction = std::variant<SendOffer, SendResume, SendCancel, AnswerPart,
-                                AnswerEnd, AnswerWhole, AnswerError, ArmTimer,
-                                NoteServer, RecordEvent, FlowEnded>;
+                                AnswerEnd, WholeAnswer, AnswerError, ArmTimer,
+                                ReportServer, RecordEvent, FlowEnded>;
 using FlowActions = std::vector<FlowAction>;
 
 } // namespace daisytack::entry
--- a/src/serve/request_spec.h
+++ b/src/serve/request_spec.h
@@ -31,7 +31,7 @@
   TimePoint Deadline;
   /// Number of the first attempt. Flows of one process under the same request
   /// id (a repeat, a resumed stream) must not share attempt numbers.
-  Attempt FirstTry = 1;
+  Attempt FirstAttempt = 1;
   std::optional<ResumePoint> Resume;
 };
 
@@ -39,28 +39,28 @@
 struct FlowSettings {
   uint32_t Attempts = MaxAttempts;
   /// Wait for an agent's word on an offer before another one is tried.
-  Duration OfferPatience{500'000};
+  Duration OfferTimeout{500'000};
   /// A first token is late after the predicted time, this share of it and this
   /// time on top.
   double HedgeFactor = 0.5;
   Duration HedgeMargin{100'000};
   /// A stream that stands still so long is taken up elsewhere.
-  Duration StallPatience{3'000'000};
+  Duration StallTimeout{3'000'000};
   /// A stream whose caller has gone runs on for so long, so that the caller can
   /// take it up on any entry.
   Duration ResumeGrace{3'000'000};
   /// A held answer looks at the wall clock at least so often, as clocks step.
-  Duration ReleaseCheck{1'000'000};
+  Duration ReleaseCheckInterval{1'000'000};
   /// Share of the time left that a first offer leaves over for a re-run.
   double ReserveShare = 0.5;
   /// Waits of an accepted request that no server takes or no retry is left
   /// for: full jitter above the least.
   BackoffSettings Backoff{Duration(100'000), Duration(2'000'000)};
-  Duration LeastPause{10'000};
+  Duration MinRetryDelay{10'000};
   /// Named in refusals that carry no better time to come back.
-  Duration LeastRetryAfter{1'000'000};
+  Duration MinRetryAfter{1'000'000};
   /// Connections to an agent tried for a broken non-idempotent answer.
-  uint32_t Reconnects = 1;
+  uint32_t MaxReconnects = 1;
   bool operator==(const FlowSettings &) const = default;
 };
 
--- a/tests/matrix/entry_actions.cpp
+++ b/tests/matrix/entry_actions.cpp
@@ -65,7 +65,7 @@
 
 void EntryHost::onMessage(const std::string &server, wire::Message message) {
   auto deliver = [&](auto &body) {
-    push(body.Id, ServerSaid{server, std::move(body)});
+    push(body.Id, ServerMessage{server, std::move(body)});
   };
   auto learn = [&](const wire::LoadReport &load) {
     Loads.observe(hashName(server), load, On.Now());
@@ -156,7 +156,7 @@
   Check.toldEnd(going.What.Number, On.Now());
 }
 
-void EntryHost::on(Going &going, AnswerWhole &action) {
+void EntryHost::on(Going &going, WholeAnswer &action) {
   On.Reached(Step::Answer);
   uint64_t caller = toldTo(going);
   Check.toldPart(caller, action.Text);
@@ -180,10 +180,10 @@
   });
 }
 
-void EntryHost::on(Going & /*going*/, NoteServer & /*action*/) {}
+void EntryHost::on(Going & /*going*/, ReportServer & /*action*/) {}
 
 void EntryHost::on(Going & /*going*/, RecordEvent &action) {
-  if (action.What.Kind == EventKind::AnswerHeld)
+  if (action.Recorded.Kind == EventKind::AnswerHeld)
     On.Reached(Step::Release);
 }
 
--- a/tests/matrix/entry_host.cpp
+++ b/tests/matrix/entry_host.cpp
@@ -180,7 +180,7 @@
     if (!prompt)
       return std::nullopt;
     out = std::move(prompt->Spec);
-    keyPieces(out->Offer, out->Scope, config, Keyer, prompt->Text);
+    setPieceKeys(out->Offer, out->Scope, config, Keyer, prompt->Text);
   }
   if (out)
     out->Offer.Id = submission.Id;
@@ -194,7 +194,7 @@
   if (!spec)
     return refuse(submission, reason);
   spec->Offer.Ticket = ticket;
-  spec->FirstTry = NextTry;
+  spec->FirstAttempt = NextTry;
   NextTry += 2 * MaxAttempts;
   if (RepeatsCalls)
     spec->Offer.Idempotent = true;
@@ -214,7 +214,7 @@
   if (!spec || Draining || !Control.isReady())
     return refuse(submission, {ErrorKind::NotReady, "can't resume"});
   spec->Resume = ResumePoint{server, fromIndex};
-  spec->FirstTry = NextTry;
+  spec->FirstAttempt = NextTry;
   NextTry += 2 * MaxAttempts;
   RequestId id = spec->Offer.Id;
   Going going;
@@ -234,7 +234,7 @@
   out.Refresh = [this](wire::Offer &offer, const RequestSpec &spec,
                        const FlowContext &context) {
     if (spec.Service.empty())
-      refreshPieces(offer, spec.Scope, context.Config, Keyer);
+      refreshPieceKeys(offer, spec.Scope, context.Config, Keyer);
   };
   return out;
 }
--- a/tests/matrix/entry_host.h
+++ b/tests/matrix/entry_host.h
@@ -120,10 +120,10 @@
   void on(Going &going, entry::SendCancel &action);
   void on(Going &going, entry::AnswerPart &action);
   void on(Going &going, entry::AnswerEnd &action);
-  void on(Going &going, entry::AnswerWhole &action);
+  void on(Going &going, entry::WholeAnswer &action);
   void on(Going &going, entry::AnswerError &action);
   void on(Going &going, entry::ArmTimer &action);
-  void on(Going &going, entry::NoteServer &action);
+  void on(Going &going, entry::ReportServer &action);
   void on(Going &going, entry::RecordEvent &action);
   void on(Going &going, entry::FlowEnded &action);
   uint64_t toldTo(const Going &going) const;
--- a/tests/serve_entry/caller_request_test.cpp
+++ b/tests/serve_entry/caller_request_test.cpp
@@ -63,7 +63,7 @@
   Error Reason;
 };
 
-CallerInput bodyOf(std::string_view body) {
+CallerInput inputWithBody(std::string_view body) {
   CallerInput out;
   out.Method = "POST";
   out.Body = body;
@@ -73,7 +73,7 @@
 } // namespace
 
 TEST_F(CallerRequestTest, ReadsAPrompt) {
-  CallerInput input = bodyOf(
+  CallerInput input = inputWithBody(
       R"({"model":"m","prompt":"abcdefgh","max_tokens":7,"stream":true})");
   input.Class = "urgent";
   input.DeadlineMs = "1500";
@@ -88,14 +88,14 @@
   EXPECT_EQ(spec->Spec.Deadline, Now + Duration(1'500'000));
 }
 
-TEST_F(CallerRequestTest, DeadlineIsAtMostTheClasss) {
-  CallerInput input = bodyOf(R"({"model":"m","prompt":"a"})");
+TEST_F(CallerRequestTest, DeadlineIsCappedByTheClass) {
+  CallerInput input = inputWithBody(R"({"model":"m","prompt":"a"})");
   input.Class = "urgent";
   input.DeadlineMs = "60000";
   EXPECT_EQ(prompt(input)->Spec.Deadline, Now + 2 * Second);
 }
 
-TEST_F(CallerRequestTest, RefusesWhatItCantKeep) {
+TEST_F(CallerRequestTest, RejectsInvalidRequests) {
   struct Case {
     const char *Body;
     const char *Class;
@@ -125,7 +125,7 @@
        ErrorKind::DeadlineTooShort},
   };
   for (const Case &it : cases) {
-    CallerInput input = bodyOf(it.Body);
+    CallerInput input = inputWithBody(it.Body);
     input.Class = it.Class;
     input.DeadlineMs = it.Deadline;
     EXPECT_FALSE(prompt(input)) << it.Body;
@@ -134,7 +134,7 @@
 }
 
 TEST_F(CallerRequestTest, ReadsChatsWithTextParts) {
-  auto spec = prompt(bodyOf(R"({"model":"m","messages":[
+  auto spec = prompt(inputWithBody(R"({"model":"m","messages":[
       {"role":"system","content":"guide"},
       {"role":"user","content":[{"type":"text","text":"a"},
                                 {"type":"text","text":"b"}]}]})"),
@@ -142,15 +142,15 @@
   ASSERT_TRUE(spec) << Reason.Detail;
   const ChatMessage messages[] = {{"system", "guide"}, {"user", "ab"}};
   EXPECT_EQ(promptText(spec->Spec.Offer), canonicalText(messages));
-  EXPECT_FALSE(prompt(bodyOf(R"({"model":"m","messages":[]})"), true));
-  EXPECT_FALSE(
-      prompt(bodyOf(R"({"model":"m","messages":[{"role":"user"}]})"), true));
+  EXPECT_FALSE(prompt(inputWithBody(R"({"model":"m","messages":[]})"), true));
+  EXPECT_FALSE(prompt(
+      inputWithBody(R"({"model":"m","messages":[{"role":"user"}]})"), true));
 }
 
-TEST_F(CallerRequestTest, ServiceCallsAreOnceUnlessConfigured) {
+TEST_F(CallerRequestTest, ServiceCallsAreNonIdempotentByDefault) {
   CallerContext context{Config, *Config.organisation("desk"), Limits, Now,
                         Wall};
-  CallerInput input = bodyOf("body");
+  CallerInput input = inputWithBody("body");
   input.Target = "/quote?x=1";
   auto spec = readServiceCall(input, context, "portal", {}, Reason);
   ASSERT_TRUE(spec);
@@ -160,19 +160,19 @@
   EXPECT_EQ(Reason.Kind, ErrorKind::UnknownService);
 }
 
-TEST_F(CallerRequestTest, PiecesFollowTheConfiguration) {
+TEST_F(CallerRequestTest, PieceKeysFollowTheConfiguration) {
   std::string body =
       R"({"model":"m","prompt":")" + std::string(PieceBytes * 2, 'x') + R"("})";
-  RequestSpec spec = prompt(bodyOf(body))->Spec;
+  RequestSpec spec = prompt(inputWithBody(body))->Spec;
   PieceKeyer keyer(Secret);
-  keyPieces(spec.Offer, spec.Scope, Config, keyer, promptText(spec.Offer));
+  setPieceKeys(spec.Offer, spec.Scope, Config, keyer, promptText(spec.Offer));
   EXPECT_EQ(spec.Offer.Pieces.size(), 2U);
   EXPECT_EQ(spec.Offer.Version, "v1");
   wire::Offer later = spec.Offer;
-  refreshPieces(later, spec.Scope, Config, keyer);
+  refreshPieceKeys(later, spec.Scope, Config, keyer);
   EXPECT_EQ(later, spec.Offer);
   Config.Models[0].Version = "v2";
-  refreshPieces(later, spec.Scope, Config, keyer);
+  refreshPieceKeys(later, spec.Scope, Config, keyer);
   EXPECT_EQ(later.Version, "v2");
   EXPECT_EQ(later.Pieces.size(), 2U);
   EXPECT_NE(later.Pieces, spec.Offer.Pieces);
@@ -181,19 +181,19 @@
   none.Reuse = false;
   none.Epoch = 1;
   Config.Policies = {none};
-  refreshPieces(later, spec.Scope, Config, keyer);
+  refreshPieceKeys(later, spec.Scope, Config, keyer);
   EXPECT_TRUE(later.Pieces.empty());
 }
 
-TEST(CallerHeaders, KeysAndHeadersThatStayHere) {
+TEST(CallerHeaders, BearerKeysAndForwardedHeaders) {
   EXPECT_EQ(bearerKey("Bearer abc"), "abc");
   EXPECT_EQ(bearerKey("bearer abc"), "abc");
   for (const char *it : {"", "Bearer", "Bearer ", "Basic abc"})
     EXPECT_FALSE(bearerKey(it)) << it;
   for (const char *it : {"Authorization", "X-Daisytack-Class", "Connection",
                          "Idempotency-Key", "Transfer-Encoding"})
-    EXPECT_FALSE(isPassedOn(it)) << it;
-  EXPECT_TRUE(isPassedOn("Accept-Language"));
+    EXPECT_FALSE(isForwardedHeader(it)) << it;
+  EXPECT_TRUE(isForwardedHeader("Accept-Language"));
 }
 
 TEST(CallerIds, RequestIdsFollowOrganisationAndKey) {
@@ -206,7 +206,7 @@
             CallerIds(std::string(32, 't')).requestId("desk", "k"));
 }
 
-RC_GTEST_PROP(CallerIds, EventIdsRoundTripForTheirOrganisationAlone, ()) {
+RC_GTEST_PROP(CallerIds, EventIdsRoundTripForTheirOrganisationOnly, ()) {
   CallerIds ids(Secret);
   EventId id{{*rc::gen::arbitrary<uint64_t>(), 7},
              *rc::gen::element<std::string>("agent-1", "a.b.c", "x"),
@@ -221,8 +221,8 @@
 }
 
 TEST(CallerAnswer, WholeAnswersAndPartsAreOpenAiShaped) {
-  AnswerName name{{1, 2}, "m", true, 42};
-  AnswerWhole whole{"text \"quoted\"", {}};
+  AnswerIdentity name{{1, 2}, "m", true, 42};
+  WholeAnswer whole{"text \"quoted\"", {}};
   whole.Summary.PromptTokens = 10;
   whole.Summary.RecomputedTokens = 4;
   whole.Summary.GeneratedTokens = 3;
@@ -244,15 +244,16 @@
   EXPECT_EQ(end.at("choices").at(0).at("finish_reason"), "stop");
 }
 
-TEST(CallerTicket, ReadsWishes) {
+TEST(CallerTicket, ReadsTicketRequests) {
   Snapshot config = makeConfig();
   Error reason;
-  auto wish = readTicketWish(R"({"service":"portal"})", config, "desk", reason);
-  ASSERT_TRUE(wish);
-  EXPECT_EQ(*wish, (TicketWish{"desk", "portal", true}));
-  EXPECT_TRUE(readTicketWish(R"({"model":"m"})", config, "desk", reason));
+  auto request =
+      readTicketRequest(R"({"service":"portal"})", config, "desk", reason);
+  ASSERT_TRUE(request);
+  EXPECT_EQ(*request, (CallerTicketRequest{"desk", "portal", true}));
+  EXPECT_TRUE(readTicketRequest(R"({"model":"m"})", config, "desk", reason));
   for (const char *it :
        {"", "{}", R"({"service":1})", R"({"service":"no"})",
         R"({"model":"no"})", R"({"service":"portal","model":"m"})"})
-    EXPECT_FALSE(readTicketWish(it, config, "desk", reason)) << it;
+    EXPECT_FALSE(readTicketRequest(it, config, "desk", reason)) << it;
 }
--- a/tests/serve_entry/flow_harness.h
+++ b/tests/serve_entry/flow_harness.h
@@ -47,25 +47,25 @@
   // Plays the script and returns all actions as text, but for timers, events
   // and notes.
   std::string play(const std::string &script) {
-    feed(FlowStarted{});
+    applyInput(FlowStarted{});
     std::istringstream lines(script);
     for (std::string line; std::getline(lines, line, ';');)
       command(line);
     return Trace;
   }
 
-  void feed(const FlowInput &input) {
+  void applyInput(const FlowInput &input) {
     for (const FlowAction &action : Flow.apply(input, {Config, Now, Wall}))
-      std::visit([this](const auto &it) { show(it); }, action);
+      std::visit([this](const auto &it) { observe(it); }, action);
   }
 
-  void pass(Duration span) {
+  void advance(Duration span) {
     TimePoint until = Now + span;
     while (Timer && *Timer <= until) {
       Wall += std::max(*Timer - Now, Duration(0));
       Now = std::max(Now, *Timer);
       Timer.reset();
-      feed(TimerFired{});
+      applyInput(TimerFired{});
     }
     Wall += until - Now;
     Now = until;
@@ -77,16 +77,16 @@
   TimePoint Now{Duration(1'000'000)};
   WallTime Wall{Duration(5'000'000'000)};
   std::vector<Candidate> Servers{{"a", {}}, {"b", {}}, {"c", {}}};
-  int Budget = 100;
+  int RetryBudget = 100;
   RequestFlow Flow;
   std::string Trace;
-  std::string Shown;
+  std::string CallerText;
   std::optional<TimePoint> Timer;
   std::vector<SendOffer> Offers;
   std::vector<SendResume> Resumes;
-  std::vector<uint32_t> Parts; // Index of each part shown.
-  int Finals = 0;
-  bool Whole = false;
+  std::vector<uint32_t> PartIndexes; // Index of each part shown.
+  int FinalAnswers = 0;
+  bool HasWholeAnswer = false;
   std::optional<AnswerError> Failure;
   std::optional<AnswerSummary> Summary;
 
@@ -110,54 +110,54 @@
   FlowHooks hooks() {
     FlowHooks out;
     out.Rank = [this](const auto &, const auto &) { return Servers; };
-    out.TakeRetry = [this] { return Budget-- > 0; };
+    out.TakeRetry = [this] { return RetryBudget-- > 0; };
     out.Random = [] { return uint64_t{50'000}; };
     return out;
   }
 
-  void say(const std::string &text) {
+  void appendTrace(const std::string &text) {
     Trace += Trace.empty() ? text : "; " + text;
   }
-  void show(const SendOffer &it) {
+  void observe(const SendOffer &it) {
     Offers.push_back(it);
-    say("offer " + it.Server + " " + std::to_string(it.Offer.Try) +
-        (it.Offer.GeneratedChunks > 0
-             ? " from " + std::to_string(it.Offer.GeneratedChunks)
-             : ""));
+    appendTrace("offer " + it.Server + " " + std::to_string(it.Offer.Try) +
+                (it.Offer.GeneratedChunks > 0
+                     ? " from " + std::to_string(it.Offer.GeneratedChunks)
+                     : ""));
   }
-  void show(const SendResume &it) {
+  void observe(const SendResume &it) {
     Resumes.push_back(it);
-    say("resume " + it.Server + " " + std::to_string(it.Resume.Try) + " from " +
-        std::to_string(it.Resume.FromIndex));
+    appendTrace("resume " + it.Server + " " + std::to_string(it.Resume.Try) +
+                " from " + std::to_string(it.Resume.FromIndex));
   }
-  void show(const SendCancel &it) {
-    say("cancel " + it.Server + " " + std::to_string(it.Cancel.Try));
+  void observe(const SendCancel &it) {
+    appendTrace("cancel " + it.Server + " " + std::to_string(it.Cancel.Try));
   }
-  void show(const AnswerPart &it) {
-    Shown += it.Text;
-    Parts.push_back(it.Index);
-    say("part " + std::to_string(it.Index));
+  void observe(const AnswerPart &it) {
+    CallerText += it.Text;
+    PartIndexes.push_back(it.Index);
+    appendTrace("part " + std::to_string(it.Index));
   }
-  void show(const AnswerEnd &it) { finish("end", it.Summary); }
-  void show(const AnswerWhole &it) {
-    Shown += it.Text;
+  void observe(const AnswerEnd &it) { finish("end", it.Summary); }
+  void observe(const WholeAnswer &it) {
+    CallerText += it.Text;
     finish("whole", it.Summary);
   }
-  void show(const AnswerError &it) {
-    ++Finals;
+  void observe(const AnswerError &it) {
+    ++FinalAnswers;
     Failure = it;
-    say("error " + std::string(errorName(it.Reason.Kind)) + " " +
-        std::string(outcomeName(it.Ran)));
+    appendTrace("error " + std::string(errorName(it.Reason.Kind)) + " " +
+                std::string(outcomeName(it.Ran)));
   }
-  void show(const ArmTimer &it) { Timer = it.At; }
-  void show(const NoteServer &) {}
-  void show(const RecordEvent &) {}
-  void show(const FlowEnded &) {}
+  void observe(const ArmTimer &it) { Timer = it.At; }
+  void observe(const ReportServer &) {}
+  void observe(const RecordEvent &) {}
+  void observe(const FlowEnded &) {}
   void finish(const char *how, const AnswerSummary &summary) {
-    ++Finals;
-    Whole = true;
+    ++FinalAnswers;
+    HasWholeAnswer = true;
     Summary = summary;
-    say(how);
+    appendTrace(how);
   }
 
   template <class M> M message(std::istringstream &in, std::string &server) {
@@ -179,58 +179,58 @@
       in >> millis;
       out.FirstTokenMicros = millis * 1000;
       out.CompletionMicros = out.FirstTokenMicros;
-      feed(ServerSaid{server, out});
+      applyInput(ServerMessage{server, out});
     } else if (verb == "refuse") {
       auto out = message<wire::Refused>(in, server);
       in >> word;
       out.Kind = parseErrorKind(word);
       if (in >> word)
         out.Ran = Outcome::MayHaveRun;
-      feed(ServerSaid{server, out});
+      applyInput(ServerMessage{server, out});
     } else if (verb == "chunk") {
       auto out = message<wire::Chunk>(in, server);
       in >> out.Index;
       out.Text = server + ":" + std::to_string(out.Index) + " ";
-      feed(ServerSaid{server, out});
+      applyInput(ServerMessage{server, out});
     } else if (verb == "finish") {
       auto out = message<wire::Finished>(in, server);
       in >> out.Chunks;
-      feed(ServerSaid{server, out});
+      applyInput(ServerMessage{server, out});
     } else if (verb == "fail") {
       auto out = message<wire::Finished>(in, server);
       in >> word;
       out.Kind = parseErrorKind(word);
       in >> word;
       out.Ran = word == "not" ? Outcome::NotRun : Outcome::MayHaveRun;
-      feed(ServerSaid{server, out});
+      applyInput(ServerMessage{server, out});
     } else {
-      general(verb, in);
+      otherCommand(verb, in);
     }
   }
 
-  void general(const std::string &verb, std::istringstream &in) {
+  void otherCommand(const std::string &verb, std::istringstream &in) {
     std::string word;
     int number = 0;
     if (verb == "lost") {
       in >> number;
       bool unsent = static_cast<bool>(in >> word);
-      feed(LinkLost{static_cast<Attempt>(number), !unsent});
+      applyInput(LinkLost{static_cast<Attempt>(number), !unsent});
     } else if (verb == "time") {
       in >> number;
-      pass(std::chrono::milliseconds(number));
+      advance(std::chrono::milliseconds(number));
     } else if (verb == "gone") {
-      feed(CallerGone{});
+      applyInput(CallerDisconnected{});
     } else if (verb == "stop") {
-      feed(StopWanted{});
+      applyInput(StopRequested{});
     } else if (verb == "release") {
       in >> word;
       Config.Classes[0].ReleaseAt.reset();
       if (word != "none")
         Config.Classes[0].ReleaseAt =
             Wall + std::chrono::milliseconds(std::stoi(word));
-      feed(ConfigChanged{});
+      applyInput(ConfigChanged{});
     } else if (verb == "budget") {
-      in >> Budget;
+      in >> RetryBudget;
     } else if (verb == "servers") {
       Servers.clear();
       while (in >> word)
--- a/tests/serve_entry/request_flow_property_test.cpp
+++ b/tests/serve_entry/request_flow_property_test.cpp
@@ -19,30 +19,30 @@
 struct AgentRun {
   std::string Server;
   Attempt Try = 0;
-  uint32_t Next = 0;
+  uint32_t NextChunk = 0;
   bool Refused = false;
-  bool Delivered = true;
+  bool MayHaveArrived = true;
 };
 
 constexpr uint32_t AnswerChunks = 5;
 
-class World {
+class RandomScenario {
 public:
-  World(const FlowKind &kind, FlowHarness &harness)
+  RandomScenario(const FlowKind &kind, FlowHarness &harness)
       : Kind(kind), Harness(harness) {}
 
   void step() {
-    adopt();
-    int what = *rc::gen::inRange(0, 16);
-    if (Runs.empty() || what >= 13)
-      return outside(what);
+    trackNewOffers();
+    int choice = *rc::gen::inRange(0, 16);
+    if (Runs.empty() || choice >= 13)
+      return stepOutside(choice);
     AgentRun &run = Runs[*rc::gen::inRange<size_t>(0, Runs.size())];
-    inside(run, what);
+    stepAgent(run, choice);
   }
 
-  void adopt() {
-    for (; Seen < Harness.Offers.size(); ++Seen) {
-      const SendOffer &it = Harness.Offers[Seen];
+  void trackNewOffers() {
+    for (; TrackedOffers < Harness.Offers.size(); ++TrackedOffers) {
+      const SendOffer &it = Harness.Offers[TrackedOffers];
       Runs.push_back(
           {it.Server, it.Offer.Try, it.Offer.GeneratedChunks, false, true});
     }
@@ -55,26 +55,26 @@
     std::string text = id == FlowHarness::id() ? std::to_string(run.Try) + ":" +
                                                      std::to_string(index) + " "
                                                : "another's ";
-    Harness.feed(ServerSaid{
+    Harness.applyInput(ServerMessage{
         run.Server, wire::Chunk{id, run.Try, index, 1, std::move(text)}});
   }
 
-  void inside(AgentRun &run, int what) {
+  void stepAgent(AgentRun &run, int choice) {
     RequestId id = FlowHarness::id();
-    if (what < 6 && run.Next < AnswerChunks && !run.Refused)
-      chunk(run, run.Next++, id);
-    else if (what == 6)
+    if (choice < 6 && run.NextChunk < AnswerChunks && !run.Refused)
+      chunk(run, run.NextChunk++, id);
+    else if (choice == 6)
       chunk(run, *rc::gen::inRange<uint32_t>(0, AnswerChunks), id);
-    else if (what == 7)
-      chunk(run, run.Next, RequestId{7, 7});
-    else if (what == 8)
-      Harness.feed(ServerSaid{run.Server,
-                              wire::Accepted{id, run.Try, 50'000, 90'000, {}}});
-    else if (what == 9)
+    else if (choice == 7)
+      chunk(run, run.NextChunk, RequestId{7, 7});
+    else if (choice == 8)
+      Harness.applyInput(ServerMessage{
+          run.Server, wire::Accepted{id, run.Try, 50'000, 90'000, {}}});
+    else if (choice == 9)
       refuse(run);
-    else if (what == 10)
-      Harness.feed(LinkLost{run.Try, true});
-    else if (what == 11)
+    else if (choice == 10)
+      Harness.applyInput(LinkLost{run.Try, true});
+    else if (choice == 11)
       loseUnsent(run);
     else
       finish(run);
@@ -82,25 +82,25 @@
 
   // Only an attempt that produced nothing can truthfully be refused.
   void refuse(AgentRun &run) {
-    bool fresh = run.Next == startOf(run) && run.Delivered;
-    if (!fresh)
+    bool isUntouched = run.NextChunk == firstChunkOf(run) && run.MayHaveArrived;
+    if (!isUntouched)
       return;
     run.Refused = true;
     wire::Refused out;
     out.Id = FlowHarness::id();
     out.Try = run.Try;
     out.Kind = ErrorKind::Overloaded;
-    Harness.feed(ServerSaid{run.Server, out});
+    Harness.applyInput(ServerMessage{run.Server, out});
   }
 
   void loseUnsent(AgentRun &run) {
-    if (run.Next != startOf(run) || run.Refused)
+    if (run.NextChunk != firstChunkOf(run) || run.Refused)
       return;
-    run.Delivered = false;
-    Harness.feed(LinkLost{run.Try, false});
+    run.MayHaveArrived = false;
+    Harness.applyInput(LinkLost{run.Try, false});
   }
 
-  uint32_t startOf(const AgentRun &run) const {
+  uint32_t firstChunkOf(const AgentRun &run) const {
     for (const SendOffer &it : Harness.Offers)
       if (it.Offer.Try == run.Try)
         return it.Offer.GeneratedChunks;
@@ -116,21 +116,21 @@
       out.Kind = ErrorKind::ServerFailed;
       out.Ran = Outcome::MayHaveRun;
     }
-    Harness.feed(ServerSaid{run.Server, out});
+    Harness.applyInput(ServerMessage{run.Server, out});
   }
 
-  void outside(int what) {
-    if (what == 15 && *rc::gen::inRange(0, 4) == 0)
-      Harness.feed(CallerGone{});
-    else if (what == 14)
-      Harness.feed(ConfigChanged{});
+  void stepOutside(int choice) {
+    if (choice == 15 && *rc::gen::inRange(0, 4) == 0)
+      Harness.applyInput(CallerDisconnected{});
+    else if (choice == 14)
+      Harness.applyInput(ConfigChanged{});
     else
-      Harness.pass(Duration(*rc::gen::inRange(1, 1'500'000)));
+      Harness.advance(Duration(*rc::gen::inRange(1, 1'500'000)));
   }
 
   const FlowKind &Kind;
   FlowHarness &Harness;
-  size_t Seen = 0;
+  size_t TrackedOffers = 0;
 };
 
 /// Each chunk once and in order, and each attempt's from where the text it was
@@ -156,27 +156,27 @@
   return static_cast<uint32_t>(std::count(text.begin(), text.end(), ' '));
 }
 
-void checkPromises(const FlowHarness &harness, const World &world,
-                   const FlowKind &kind) {
+void checkGuarantees(const FlowHarness &harness, const RandomScenario &scenario,
+                     const FlowKind &kind) {
   // One final answer at most; the text is the answer's beginning, in order.
-  RC_ASSERT(harness.Finals <= 1);
-  checkText(harness, harness.Shown);
-  if (harness.Whole)
-    RC_ASSERT(chunksIn(harness.Shown) == AnswerChunks);
-  for (size_t i = 1; i < harness.Parts.size(); ++i)
-    RC_ASSERT(harness.Parts[i] > harness.Parts[i - 1]);
+  RC_ASSERT(harness.FinalAnswers <= 1);
+  checkText(harness, harness.CallerText);
+  if (harness.HasWholeAnswer)
+    RC_ASSERT(chunksIn(harness.CallerText) == AnswerChunks);
+  for (size_t i = 1; i < harness.PartIndexes.size(); ++i)
+    RC_ASSERT(harness.PartIndexes[i] > harness.PartIndexes[i - 1]);
   RC_ASSERT(harness.Offers.size() <= MaxAttempts);
   if (kind.Idempotent || !harness.Failure)
     return;
   // "Not run" is true only when every offer was refused or never arrived.
-  bool surely = true;
-  for (const AgentRun &run : world.Runs)
-    surely = surely && (run.Refused || !run.Delivered);
+  bool noneRan = true;
+  for (const AgentRun &run : scenario.Runs)
+    noneRan = noneRan && (run.Refused || !run.MayHaveArrived);
   if (harness.Failure->Ran == Outcome::NotRun)
-    RC_ASSERT(surely);
+    RC_ASSERT(noneRan);
 }
 
-FlowKind anyKind(bool idempotent) {
+FlowKind randomKind(bool idempotent) {
   FlowKind kind;
   kind.Idempotent = idempotent;
   kind.Stream = *rc::gen::arbitrary<bool>();
@@ -188,44 +188,44 @@
 } // namespace
 
 RC_GTEST_PROP(RequestFlowProperty, CallerSeesEachChunkOnce, ()) {
-  FlowKind kind = anyKind(true);
+  FlowKind kind = randomKind(true);
   FlowHarness harness(kind);
-  harness.Budget = *rc::gen::inRange(0, 6);
-  harness.feed(FlowStarted{});
-  World world(kind, harness);
+  harness.RetryBudget = *rc::gen::inRange(0, 6);
+  harness.applyInput(FlowStarted{});
+  RandomScenario scenario(kind, harness);
   for (int i = 0; i < 40; ++i)
-    world.step();
-  harness.pass(Duration(30'000'000));
-  checkPromises(harness, world, kind);
+    scenario.step();
+  harness.advance(Duration(30'000'000));
+  checkGuarantees(harness, scenario, kind);
 }
 
 RC_GTEST_PROP(RequestFlowProperty, EveryRequestEnds, ()) {
-  FlowKind kind = anyKind(*rc::gen::arbitrary<bool>());
+  FlowKind kind = randomKind(*rc::gen::arbitrary<bool>());
   FlowHarness harness(kind);
-  harness.feed(FlowStarted{});
-  World world(kind, harness);
+  harness.applyInput(FlowStarted{});
+  RandomScenario scenario(kind, harness);
   for (int i = 0, n = *rc::gen::inRange(0, 30); i < n; ++i)
-    world.step();
-  harness.pass(Duration(30'000'000));
+    scenario.step();
+  harness.advance(Duration(30'000'000));
   RC_ASSERT(harness.Flow.isEnded());
   RC_ASSERT(harness.Flow.servers().empty());
 }
 
 RC_GTEST_PROP(RequestFlowProperty, NonIdempotentIsNeverOfferedTwice, ()) {
-  FlowKind kind = anyKind(false);
+  FlowKind kind = randomKind(false);
   FlowHarness harness(kind);
-  harness.feed(FlowStarted{});
-  World world(kind, harness);
+  harness.applyInput(FlowStarted{});
+  RandomScenario scenario(kind, harness);
   for (int i = 0; i < 40; ++i) {
     size_t before = harness.Offers.size();
-    world.step();
-    world.adopt();
+    scenario.step();
+    scenario.trackNewOffers();
     if (harness.Offers.size() == before)
       continue;
     // All offers before the new one surely didn't run.
-    for (size_t j = 0; j + 1 < world.Runs.size(); ++j)
-      RC_ASSERT(world.Runs[j].Refused || !world.Runs[j].Delivered);
+    for (size_t j = 0; j + 1 < scenario.Runs.size(); ++j)
+      RC_ASSERT(scenario.Runs[j].Refused || !scenario.Runs[j].MayHaveArrived);
   }
-  harness.pass(Duration(30'000'000));
-  checkPromises(harness, world, kind);
+  harness.advance(Duration(30'000'000));
+  checkGuarantees(harness, scenario, kind);
 }
--- a/tools/entry/active_request.cpp
+++ b/tools/entry/active_request.cpp
@@ -43,7 +43,7 @@
 }
 
 ActiveRequest::ActiveRequest(EntryState &state, RequestSpec spec,
-                             AnswerName name,
+                             AnswerIdentity name,
                              std::shared_ptr<net::HttpExchange> exchange)
     : State(state), Strand(state.Io.get_executor()), Timer(Strand),
       Flow(std::move(spec), state.Options.Flow, hooks()), Name(std::move(name)),
@@ -116,7 +116,7 @@
   out.Refresh = [this](wire::Offer &offer, const RequestSpec &spec,
                        const FlowContext &context) {
     if (spec.Service.empty())
-      refreshPieces(offer, spec.Scope, context.Config, State.Keyer);
+      refreshPieceKeys(offer, spec.Scope, context.Config, State.Keyer);
   };
   return out;
 }
@@ -125,7 +125,7 @@
   State.Board.add(shared_from_this());
   watch.onGone([weak = weak_from_this()] {
     if (auto self = weak.lock())
-      self->push(CallerGone{});
+      self->push(CallerDisconnected{});
   });
   push(FlowStarted{});
 }
@@ -213,19 +213,19 @@
   State.Counts.served(Flow.spec().Offer, action.Summary);
 }
 
-void ActiveRequest::respondService(AnswerWhole &action) {
+void ActiveRequest::respondService(WholeAnswer &action) {
   net::HttpResponse out;
   out.Status = action.Summary.ServiceStatus != 0 ? action.Summary.ServiceStatus
                                                  : DefaultServiceStatus;
   for (wire::HeaderField &it : action.Summary.ServiceHeaders)
-    if (isPassedOn(it.Name))
+    if (isForwardedHeader(it.Name))
       out.Headers.push_back({std::move(it.Name), std::move(it.Value)});
   out.Headers.push_back({"X-Daisytack-Request-Id", toHex(Name.Id)});
   out.Body = std::move(action.Text);
   Exchange->respond(std::move(out));
 }
 
-void ActiveRequest::perform(AnswerWhole &action) {
+void ActiveRequest::perform(WholeAnswer &action) {
   State.Counts.answered(ErrorKind::None);
   State.Counts.FirstToken.observe(action.Summary.FirstToken);
   if (!Flow.spec().Service.empty())
@@ -280,14 +280,14 @@
       });
 }
 
-void ActiveRequest::perform(NoteServer &action) {
+void ActiveRequest::perform(ReportServer &action) {
   State.note(action, Flow.spec());
 }
 
 void ActiveRequest::perform(RecordEvent &action) {
-  if (action.What.Kind == EventKind::RequestAnswered)
-    State.Counts.Whole.observe(Duration(action.What.Scores[0]));
-  State.Events(std::move(action.What));
+  if (action.Recorded.Kind == EventKind::RequestAnswered)
+    State.Counts.Whole.observe(Duration(action.Recorded.Scores[0]));
+  State.Events(std::move(action.Recorded));
 }
 
 void ActiveRequest::perform(FlowEnded & /*action*/) {
--- a/tools/entry/active_request.h
+++ b/tools/entry/active_request.h
@@ -32,7 +32,7 @@
 
 class ActiveRequest : public std::enable_shared_from_this<ActiveRequest> {
 public:
-  ActiveRequest(EntryState &state, RequestSpec spec, AnswerName name,
+  ActiveRequest(EntryState &state, RequestSpec spec, AnswerIdentity name,
                 std::shared_ptr<net::HttpExchange> exchange);
   ~ActiveRequest();
 
@@ -54,24 +54,24 @@
   void perform(SendCancel &action);
   void perform(AnswerPart &action);
   void perform(AnswerEnd &action);
-  void perform(AnswerWhole &action);
+  void perform(WholeAnswer &action);
   void perform(AnswerError &action);
   void perform(ArmTimer &action);
-  void perform(NoteServer &action);
+  void perform(ReportServer &action);
   void perform(RecordEvent &action);
   void perform(FlowEnded &action);
 
   void openAttempt(const std::string &server, Attempt number,
                    wire::Message message);
   void noteRefusal(const AnswerError &action);
-  void respondService(AnswerWhole &action);
+  void respondService(WholeAnswer &action);
   FlowHooks hooks();
 
   EntryState &State;
   boost::asio::strand<boost::asio::io_context::executor_type> Strand;
   net::Timer Timer;
   RequestFlow Flow;
-  const AnswerName Name;
+  const AnswerIdentity Name;
   std::shared_ptr<net::HttpExchange> Exchange;
   std::vector<ServerAttempt> Opened;
   bool StreamBegun = false;
--- a/tools/entry/caller_http.cpp
+++ b/tools/entry/caller_http.cpp
@@ -147,8 +147,9 @@
     return launch(*incoming, std::move(spec));
   }
   bool isService = !spec.Service.empty();
-  TicketWish wish{spec.Offer.Organisation,
-                  isService ? spec.Service : spec.Offer.Model, isService};
+  CallerTicketRequest wish{spec.Offer.Organisation,
+                           isService ? spec.Service : spec.Offer.Model,
+                           isService};
   Desk.bind(wish, key, [this, incoming, spec](TicketResult result) {
     if (result.Reason)
       return refuseAdmitted(*incoming, spec.Offer.Organisation, result.Reason);
@@ -162,8 +163,8 @@
                              const Snapshot &config,
                              const Organisation &caller) {
   Error reason;
-  std::optional<TicketWish> wish =
-      readTicketWish(incoming->Request.Body, config, caller.Name, reason);
+  std::optional<CallerTicketRequest> wish =
+      readTicketRequest(incoming->Request.Body, config, caller.Name, reason);
   if (!wish)
     return refuseAdmitted(*incoming, caller.Name, reason);
   std::string organisation = caller.Name;
@@ -182,8 +183,8 @@
 void CallerHttp::launch(const Incoming &incoming, RequestSpec spec) {
   State.Counts.Received.add();
   State.Retries.onRequest();
-  AnswerName name{spec.Offer.Id, spec.Offer.Model, spec.Offer.Chat,
-                  secondsOf(wallNow())};
+  AnswerIdentity name{spec.Offer.Id, spec.Offer.Model, spec.Offer.Chat,
+                      secondsOf(wallNow())};
   auto request = std::make_shared<ActiveRequest>(
       State, std::move(spec), std::move(name), incoming.Exchange);
   request->start(*incoming.Watch);
--- a/tools/entry/caller_reader.cpp
+++ b/tools/entry/caller_reader.cpp
@@ -41,7 +41,7 @@
 std::vector<wire::HeaderField> passedOn(const net::HttpRequest &request) {
   std::vector<wire::HeaderField> out;
   for (const net::HttpHeader &it : request.Headers)
-    if (isPassedOn(it.Name))
+    if (isForwardedHeader(it.Name))
       out.push_back({it.Name, it.Value});
   return out;
 }
@@ -80,14 +80,14 @@
     if (!prompt)
       return std::nullopt;
     out = std::move(prompt->Spec);
-    keyPieces(out->Offer, out->Scope, Config, State.Keyer, prompt->Text);
+    setPieceKeys(out->Offer, out->Scope, Config, State.Keyer, prompt->Text);
   }
   if (!out)
     return std::nullopt;
   out->Offer.Id = id;
   if (!input.IdempotencyKey.empty() && out->Offer.Idempotent) {
     out->Offer.Id = State.Ids.requestId(Caller.Name, input.IdempotencyKey);
-    out->FirstTry = State.freshTry();
+    out->FirstAttempt = State.freshTry();
   }
   return out;
 }
@@ -120,7 +120,7 @@
   out.Stream = true;
   out.Arrived = arrived;
   out.Deadline = arrived + requestClass->Deadline;
-  out.FirstTry = State.freshTry();
+  out.FirstAttempt = State.freshTry();
   out.Resume = ResumePoint{id->Server, id->Index + 1};
   return out;
 }
--- a/tools/entry/entry_options.cpp
+++ b/tools/entry/entry_options.cpp
@@ -30,12 +30,12 @@
 }
 
 void readRequests(Settings &settings, EntryOptions &out) {
-  out.Flow.OfferPatience = settings.duration("requests.offer_patience",
-                                             out.Flow.OfferPatience, 1ms, 1min);
+  out.Flow.OfferTimeout = settings.duration("requests.offer_patience",
+                                            out.Flow.OfferTimeout, 1ms, 1min);
   out.Flow.HedgeMargin = settings.duration("requests.hedge_margin",
                                            out.Flow.HedgeMargin, 1ms, 1min);
-  out.Flow.StallPatience = settings.duration("requests.stall_patience",
-                                             out.Flow.StallPatience, 1ms, 1h);
+  out.Flow.StallTimeout = settings.duration("requests.stall_patience",
+                                            out.Flow.StallTimeout, 1ms, 1h);
   out.Flow.ResumeGrace = settings.duration("requests.resume_grace",
                                            out.Flow.ResumeGrace, 0s, 10min);
   out.Limits.DefaultMaxTokens = static_cast<uint32_t>(settings.integer(
--- a/tools/entry/entry_state.cpp
+++ b/tools/entry/entry_state.cpp
@@ -119,7 +119,7 @@
   return out;
 }
 
-void EntryState::note(const NoteServer &note, const RequestSpec &spec) {
+void EntryState::note(const ReportServer &note, const RequestSpec &spec) {
   std::shared_ptr<const RoutingTable> routes = table();
   const Snapshot &config = routes->snapshot();
   const Server *server = config.server(note.Server);
@@ -129,7 +129,7 @@
   TimePoint now = monotonicNow();
   uint64_t poolHash = hashName(pool->Name);
   EjectionVerdict verdict =
-      note.How == NoteServer::Result::Failed
+      note.Reported == ReportServer::Result::Failed
           ? Ejected.onFailure(poolHash, pool->Servers.size(), server->NameHash,
                               now)
           : Ejected.onAnswer(poolHash, pool->Servers.size(), server->NameHash,
@@ -180,7 +180,7 @@
       return Counts.Stray.add();
     std::shared_ptr<ActiveRequest> request = it->second;
     it.release();
-    request->push(ServerSaid{server, std::move(body)});
+    request->push(ServerMessage{server, std::move(body)});
   };
   auto learn = [&](const wire::LoadReport &load) {
     TimePoint now = monotonicNow();
--- a/tools/entry/entry_state.h
+++ b/tools/entry/entry_state.h
@@ -59,7 +59,7 @@
 
   /// Candidates for a request, best first. A ticket has one, its issuer.
   std::vector<Candidate> rank(const RequestSpec &spec, TimePoint now);
-  void note(const NoteServer &note, const RequestSpec &spec);
+  void note(const ReportServer &note, const RequestSpec &spec);
   /// First attempt number of a flow whose request id other flows share, here or
   /// at another entry: above those of all flows before it.
   Attempt freshTry();
--- a/tools/entry/operator_rows.cpp
+++ b/tools/entry/operator_rows.cpp
@@ -45,7 +45,7 @@
                                 : request->spec().Offer.Class == target.Class;
     if (!meant)
       continue;
-    request->push(StopWanted{});
+    request->push(StopRequested{});
     ++count;
   }
   return count;
--- a/tools/entry/ticket_desk.cpp
+++ b/tools/entry/ticket_desk.cpp
@@ -33,11 +33,11 @@
       Budget({state.Options.BindingsPerSecond, state.Options.BindingBurst}),
       Lease(BindingLeaseInit()) {}
 
-void TicketDesk::issue(const TicketWish &wish, TicketDone done) {
+void TicketDesk::issue(const CallerTicketRequest &wish, TicketDone done) {
   std::make_shared<TicketFetch>(State, wish, std::move(done))->start();
 }
 
-void TicketDesk::bind(const TicketWish &wish, const std::string &key,
+void TicketDesk::bind(const CallerTicketRequest &wish, const std::string &key,
                       TicketDone done) {
   Error reason;
   {
--- a/tools/entry/ticket_desk.h
+++ b/tools/entry/ticket_desk.h
@@ -31,10 +31,11 @@
   TicketDesk(EntryState &state, edge::KvStore kv);
 
   /// A new ticket from one of the servers.
-  void issue(const TicketWish &wish, TicketDone done);
+  void issue(const CallerTicketRequest &wish, TicketDone done);
   /// The ticket that the caller's own key is bound to, binding it when it is
   /// new.
-  void bind(const TicketWish &wish, const std::string &key, TicketDone done);
+  void bind(const CallerTicketRequest &wish, const std::string &key,
+            TicketDone done);
 
 private:
   struct Binding;
--- a/tools/entry/ticket_fetch.cpp
+++ b/tools/entry/ticket_fetch.cpp
@@ -16,7 +16,8 @@
 
 } // namespace
 
-TicketFetch::TicketFetch(EntryState &state, TicketWish wish, TicketDone done)
+TicketFetch::TicketFetch(EntryState &state, CallerTicketRequest wish,
+                         TicketDone done)
     : State(state), Strand(state.Io.get_executor()), Timer(Strand),
       Wish(std::move(wish)), Id(randomId(secureRandom)), Done(std::move(done)) {
 }
--- a/tools/entry/ticket_fetch.h
+++ b/tools/entry/ticket_fetch.h
@@ -14,7 +14,7 @@
 
 class TicketFetch : public std::enable_shared_from_this<TicketFetch> {
 public:
-  TicketFetch(EntryState &state, TicketWish wish, TicketDone done);
+  TicketFetch(EntryState &state, CallerTicketRequest wish, TicketDone done);
 
   void start();
   /// From any thread.
@@ -28,7 +28,7 @@
   EntryState &State;
   boost::asio::strand<boost::asio::io_context::executor_type> Strand;
   net::Timer Timer;
-  const TicketWish Wish;
+  const CallerTicketRequest Wish;
   const RequestId Id;
   TicketDone Done;
   std::vector<Candidate> Candidates;
