--- a/src/serve/caller_answer.h
+++ b/src/serve/caller_answer.h
@@ -1,4 +1,5 @@
-/// What callers are sent: OpenAI-shaped JSON, whole or as data of events.
+/// JSON bodies of answers to callers in the OpenAI format: complete responses
+/// and the data of streamed events.
 #pragma once
 
 #include "daisytack/types.h"
@@ -9,7 +10,7 @@
 
 namespace daisytack::entry {
 
-/// Names an answer in every body.
+/// Fields that every body of one answer repeats.
 struct AnswerIdentity {
   RequestId Id;
   std::string Model;
@@ -18,12 +19,14 @@
   auto operator<=>(const AnswerIdentity &) const = default;
 };
 
+/// Body of a complete, non-streamed response.
 std::string wholeAnswerJson(const AnswerIdentity &name,
                             const WholeAnswer &answer);
-/// Data of one streamed event. The first one of a chat carries the role.
+/// Data of one streamed event. The first event of a chat also carries the role.
 std::string answerPartJson(const AnswerIdentity &name, std::string_view text,
                            bool isFirst);
-/// Data of the last event before "[DONE]", with usage.
+/// Data of the last event before "[DONE]", with the finish reason and token
+/// usage.
 std::string answerEndJson(const AnswerIdentity &name,
                           const AnswerSummary &summary);
 
--- a/src/serve/caller_ids.cpp
+++ b/src/serve/caller_ids.cpp
@@ -10,9 +10,10 @@
 
 constexpr std::string_view RequestLabel = "daisytack request id";
 constexpr std::string_view EventLabel = "daisytack event id";
-constexpr size_t MacDigits = 32; ///< 128 bits.
+constexpr size_t MacDigits = 32; ///< Hexadecimal digits, 128 bits.
 
-/// Fields with their lengths, so that no two lists of fields read the same.
+/// Joins fields with their lengths, so that different fields never yield the
+/// same text.
 std::string joinFields(std::string_view label, std::string_view a,
                        std::string_view b) {
   std::string out(label);
@@ -25,6 +26,7 @@
   return out;
 }
 
+/// Reads a big-endian integer at offset `from`.
 uint64_t readUint64(const Digest256 &digest, size_t from) {
   uint64_t out = 0;
   for (size_t i = 0; i < sizeof(out); ++i)
@@ -66,7 +68,7 @@
   std::string_view body = text.substr(0, macDot);
   if (!equalConstantTime(mac(organisation, body), text.substr(macDot + 1)))
     return std::nullopt;
-  // A server's name may hold dots; the other fields don't.
+  // A server's name may contain dots; the other fields don't.
   size_t first = body.find('.');
   size_t last = body.rfind('.');
   if (first == std::string_view::npos || last <= first)
--- a/src/serve/caller_prompt.cpp
+++ b/src/serve/caller_prompt.cpp
@@ -13,14 +13,15 @@
 
 namespace {
 
-constexpr size_t MaxDepth = 32;
+constexpr size_t MaxDepth = 32; ///< Nesting levels of a JSON body.
 
 bool reject(Error &reason, std::string detail) {
   reason = {ErrorKind::BadRequest, std::move(detail)};
   return false;
 }
 
-/// Text, or the text parts of a list of parts, one after another.
+/// Reads the content of a message: a string, or a list of text parts, which are
+/// concatenated.
 bool readContent(const json::value *value, std::string &out) {
   if (value == nullptr)
     return false;
--- a/src/serve/caller_prompt.h
+++ b/src/serve/caller_prompt.h
@@ -1,4 +1,5 @@
-/// The JSON body of a prompt: OpenAI-shaped completions and chat completions.
+/// Parser of prompt bodies: completions and chat completions in the OpenAI JSON
+/// format.
 #pragma once
 
 #include "daisytack/error.h"
@@ -10,16 +11,18 @@
 
 namespace daisytack::entry {
 
-/// What the system reads of a prompt; the engine gets the whole body.
+/// The fields of a prompt that daisytack reads. The engine gets the whole body.
 struct Prompt {
   std::string Model;
-  std::string Text; ///< Of a chat, the canonical text of its messages.
-  std::optional<uint32_t> MaxTokens;
+  /// Prompt text; for a chat, the canonical text of its messages.
+  std::string Text;
+  std::optional<uint32_t> MaxTokens; ///< Unset: the body states no limit.
   bool Stream = false;
   bool operator==(const Prompt &) const = default;
 };
 
-/// BadRequest with what is wrong when the body is not such a prompt.
+/// Parses a prompt, or a chat prompt if `chat` is set. Returns std::nullopt
+/// with a BadRequest in `reason` if the body is invalid.
 std::optional<Prompt> parsePrompt(std::string_view body, bool chat,
                                   Error &reason);
 
--- a/src/serve/caller_request.cpp
+++ b/src/serve/caller_request.cpp
@@ -25,7 +25,8 @@
   return std::nullopt;
 }
 
-/// Time allowed: the caller's, never above the longest.
+/// Reads the time that the caller allows, at most `maximum`, which also applies
+/// when the header is absent.
 std::optional<Duration> readDeadline(std::string_view text, Duration maximum,
                                      Error &reason) {
   if (text.empty())
@@ -39,7 +40,7 @@
   return std::min<Duration>(std::chrono::milliseconds(millis), maximum);
 }
 
-/// Fields that prompts and calls to services share.
+/// Reads the fields that prompts and service calls have in common.
 std::optional<RequestSpec> readCommonFields(const CallerInput &input,
                                             const CallerContext &context,
                                             Error &reason) {
@@ -61,7 +62,7 @@
   return out;
 }
 
-/// An answer can't be both in time and held until a later release.
+/// Rejects a request whose deadline expires before its class releases answers.
 bool checkReleaseTime(const RequestClass &requestClass, Duration left,
                       WallTime now, Error &reason) {
   if (!requestClass.ReleaseAt || *requestClass.ReleaseAt <= now + left)
--- a/src/serve/caller_ticket.h
+++ b/src/serve/caller_ticket.h
@@ -1,4 +1,4 @@
-/// Callers' requests for tickets (POST /v1/tickets).
+/// Requests of callers for tickets (POST /v1/tickets), and the response body.
 #pragma once
 
 #include "control/snapshot.h"
@@ -10,20 +10,21 @@
 
 namespace daisytack::entry {
 
-/// What a ticket is wanted for.
+/// Organisation and service or model that a ticket is requested for.
 struct CallerTicketRequest {
   std::string Organisation;
-  std::string Serves; ///< Model or plain service.
-  bool IsService = false;
+  std::string Serves;     ///< Name of the model or plain service.
+  bool IsService = false; ///< False: Serves names a model.
   auto operator<=>(const CallerTicketRequest &) const = default;
 };
 
-/// {"service": NAME}, or {"model": NAME} for a non-idempotent class.
+/// Parses {"service": NAME}, or {"model": NAME} for a non-idempotent class.
+/// Returns std::nullopt with the error in `reason` if the body is invalid.
 std::optional<CallerTicketRequest>
 readTicketRequest(std::string_view body, const Snapshot &config,
                   std::string_view organisation, Error &reason);
 
-/// {"ticket": TEXT, "valid_ms": N}.
+/// Response body: {"ticket": TEXT, "valid_ms": N}.
 std::string ticketJson(std::string_view ticket, Duration valid);
 
 } // namespace daisytack::entry
--- a/src/serve/request_answer.cpp
+++ b/src/serve/request_answer.cpp
@@ -1,4 +1,5 @@
-/// RequestFlow: the final answer, held or at once, and timers.
+/// The part of RequestFlow that delivers or holds the final answer, and its
+/// timers.
 #include "serve/request_flow.h"
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 
 } // namespace
 
-/// When the class lets its answers go; nothing when that is now.
+/// Future release time of the class; std::nullopt if answers need not be held.
 std::optional<WallTime>
 RequestFlow::releaseTime(const FlowContext &context) const {
   const RequestClass *it = context.Config.requestClass(Spec.Offer.Class);
@@ -23,7 +24,7 @@
   return it->ReleaseAt;
 }
 
-/// Sends the caller all chunks that it has not been sent.
+/// Sends the caller all chunks that have not been sent yet.
 void RequestFlow::sendParts(Step &step) {
   if (ChunksSent == ChunksReceived)
     return;
@@ -31,7 +32,7 @@
   if (!CallerLeft)
     step.Out.emplace_back(
         AnswerPart{LastServer, ChunksReceived - 1, Text.substr(BytesSent)});
-  // Only a re-run elsewhere needs the text that was sent.
+  // Text that was sent is needed only for a re-run on another server.
   if (!Spec.Offer.Idempotent || Spec.Resume)
     Text.clear();
   BytesSent = Text.size();
@@ -64,8 +65,8 @@
 
 void RequestFlow::deliverOrHold(Step &step) {
   std::optional<WallTime> release = releaseTime(step.Context);
-  // The deadline holds though the wall clock stepped back or the release was
-  // moved beyond it.
+  // The deadline applies even if the wall clock was set back or the release
+  // time was moved past it.
   TimePoint now = step.Context.Now;
   if (!release || now >= Spec.Deadline)
     return deliverAnswer(step);
@@ -92,7 +93,7 @@
 
 void RequestFlow::giveUp(Error reason, Outcome ran, Step &step) {
   cancelAll(step);
-  // A ticket may have been presented before; only its own agent knows.
+  // The ticket may have been presented before, which only its agent knows.
   bool isKnown =
       Spec.Offer.Ticket.empty() || (!Tries.empty() && Tries.back().Refused);
   if (!isKnown && ran == Outcome::NotRun)
@@ -131,8 +132,8 @@
 
 void RequestFlow::armTimer(Step &step) {
   std::optional<TimePoint> wanted = earliestTimer();
-  // A timer that fires early is harmless and cheaper than one moved by every
-  // chunk.
+  // A timer that fires early is harmless, and cheaper than moving the timer
+  // with every chunk.
   if (!wanted || (ArmedTimer && *ArmedTimer <= *wanted))
     return;
   ArmedTimer = wanted;
--- a/src/serve/request_attempts.cpp
+++ b/src/serve/request_attempts.cpp
@@ -1,5 +1,5 @@
-/// RequestFlow: choosing servers, offering, and what follows when an attempt
-/// comes to nothing.
+/// The part of RequestFlow that chooses servers, sends offers, and retries or
+/// gives up after failed attempts.
 #include "serve/request_flow.h"
 
 #include <algorithm>
@@ -27,7 +27,7 @@
 
 std::optional<Candidate>
 RequestFlow::pickServer(const FlowContext &context) const {
-  // A server that refused may take an accepted request after a wait.
+  // A server that refused an accepted request may accept it after a delay.
   auto isExcluded = [&](const Candidate &it) {
     return std::any_of(Tries.begin(), Tries.end(), [&](const Try &attempt) {
       bool mayAskAgain = (HasWaitedForRetry && attempt.Refused) ||
@@ -91,7 +91,7 @@
   Tries.push_back(std::move(attempt));
 }
 
-/// Whether one more attempt is allowed now, but for the budget.
+/// True if another attempt is allowed, apart from the retry budget.
 bool RequestFlow::canRetry(const FlowContext &context) const {
   if (countedAttempts() >= Settings.Attempts || context.Now >= Spec.Deadline ||
       Spec.Resume || CallerLeft)
@@ -109,7 +109,8 @@
   return !Hooks.TakeRetry || Hooks.TakeRetry();
 }
 
-/// A request that was accepted once is not dropped while there is time.
+/// Schedules a retry of a request that was once accepted, which is not dropped
+/// before its deadline. Returns false if no retry is possible.
 bool RequestFlow::waitForRetry(const FlowContext &context) {
   if (!WasAccepted || !canRetry(context))
     return false;
@@ -126,7 +127,7 @@
 }
 
 void RequestFlow::retryOrGiveUp(const Error &reason, Step &step) {
-  // The soonest that any server would take it is the best time to come back.
+  // Keeps the shortest retry-after time, when the first server may accept.
   if (LastReason.RetryAfter.count() == 0 ||
       (reason.RetryAfter.count() > 0 &&
        reason.RetryAfter < LastReason.RetryAfter))
@@ -139,7 +140,7 @@
   if (canRetry(step.Context))
     candidate = pickServer(step.Context);
   if (!candidate && HasWaitLimit && canRetry(step.Context)) {
-    // All waits are known now, and the shortest has to do.
+    // All servers were asked with a wait limit; ask again without one.
     HasWaitLimit = false;
     candidate = pickServer(step.Context);
   }
@@ -166,8 +167,8 @@
     return retryOrGiveUp(reason, step);
   if (hasOpenTry())
     return;
-  // The run may go on behind a broken connection: its answer is read again,
-  // which starts nothing.
+  // The run may continue after the connection broke. Reading its answer again
+  // starts no second run.
   bool canReconnect = reason.Kind == ErrorKind::ServerLost &&
                       ReconnectCount < Settings.MaxReconnects && !CallerLeft;
   if (!canReconnect)
@@ -176,7 +177,8 @@
   resume(server, number, step);
 }
 
-/// A server is slow: one more is asked, and the first to go on wins.
+/// Offers the request to one more server if all open attempts are late. The
+/// first to send the next chunk wins.
 void RequestFlow::hedge(Step &step) {
   TimePoint now = step.Context.Now;
   uint32_t openCount = 0;
--- a/src/serve/request_flow.cpp
+++ b/src/serve/request_flow.cpp
@@ -8,7 +8,7 @@
 
 constexpr size_t UsualActionCount = 4;
 
-/// Refusals that no other server would answer otherwise.
+/// True for refusals that every other server would repeat.
 bool isFinalRefusal(ErrorKind kind) {
   switch (kind) {
   case ErrorKind::BadRequest:
@@ -25,8 +25,8 @@
   }
 }
 
-/// Ends that another attempt must not undo: an operator stopped the request, or
-/// its time is over.
+/// True for errors after which the request is not retried: an operator stopped
+/// it, or its deadline has passed.
 bool isFinalEnd(ErrorKind kind) {
   return kind == ErrorKind::Cancelled || kind == ErrorKind::DeadlinePassed;
 }
@@ -108,7 +108,7 @@
   Try &attempt = *it;
   Error reason{ErrorKind::ServerLost,
                "the connection to " + attempt.Server + " broke"};
-  // A server that has spoken of the attempt has seen its offer.
+  // A server that replied to the attempt has received its offer.
   bool wasHeard = attempt.Phase != TryPhase::Offered;
   if (input.MayBeDelivered || attempt.IsResume || wasHeard)
     return onAttemptLost(attempt, reason, step);
@@ -223,7 +223,7 @@
 void RequestFlow::onChunk(Try &attempt, const wire::Chunk &message,
                           Step &step) {
   if (message.Index < ChunksReceived)
-    return; // A duplicate, or an answer that another attempt has overtaken.
+    return; // A duplicate, or a chunk that another attempt already sent.
   if (message.Index > ChunksReceived) {
     cancel(attempt, step);
     return onAttemptLost(
--- a/src/serve/request_flow.h
+++ b/src/serve/request_flow.h
@@ -1,13 +1,13 @@
-/// The path of one request at an entry: every decision from the first offer to
-/// the final answer, without a socket, clock or thread. See docs/ENTRY.md.
+/// State machine of one request at an entry, from the first offer to the final
+/// answer. Uses no socket, clock or thread. See docs/ENTRY.md.
 ///
-/// What it keeps to, whatever is lost, late, doubled or crossed:
-/// - The caller sees each chunk once and in order, and one final answer.
-/// - Only messages of its own request, from the server and attempt that were
-///   asked, have any effect.
-/// - A non-idempotent request is never offered again once an offer may have
-///   reached a server that did not refuse it.
-/// - A request that is given up is answered at once.
+/// Guarantees, even if messages are lost, delayed, duplicated or reordered:
+/// - The caller receives each chunk once and in order, and one final answer.
+/// - Only messages of this request that match an open attempt and its server
+///   have any effect.
+/// - A non-idempotent request is not offered again if a server that did not
+///   refuse it may have received an offer.
+/// - A request that is given up is answered immediately.
 #pragma once
 
 #include "serve/request_messages.h"
@@ -19,72 +19,85 @@
 
 namespace daisytack::entry {
 
-/// A server that an attempt may be offered to.
+/// A server that the request may be offered to.
 struct Candidate {
   std::string Server;
-  Duration FirstToken{0}; ///< Predicted by the entry.
-  Duration Patience{0};   ///< Longest wait to ask it for while others are left.
+  Duration FirstToken{0}; ///< Time to the first token that the entry predicts.
+  /// Longest predicted queue wait that the first offer to the server allows;
+  /// zero: no limit.
+  Duration Patience{0};
   auto operator<=>(const Candidate &) const = default;
 };
 
-/// Decisions that a flow leaves to its owner. Called during apply().
+/// Callbacks through which the owner of a flow makes decisions. Called during
+/// apply().
 struct FlowHooks {
-  /// Servers for the request, best first. Those tried before are left out by
-  /// the flow itself.
+  /// Returns the servers for the request, best first. The flow itself skips
+  /// those that it has tried.
   std::function<std::vector<Candidate>(const RequestSpec &,
                                        const FlowContext &)>
       Rank;
-  /// Takes one retry from the budget; false when it is spent. Empty: none is
-  /// kept.
+  /// Takes one retry from the budget; false when the budget is spent. Empty:
+  /// retries have no budget.
   std::function<bool()> TakeRetry;
-  /// For jitter. Empty: waits are the shortest that are allowed.
+  /// Source of jitter. Empty: retry delays have no jitter and are the shortest
+  /// allowed.
   RandomSource Random;
-  /// Brings version, adapter and piece keys of an offer up to date with the
-  /// configuration, for a new attempt.
+  /// Updates version, adapter and piece keys of an offer to the configuration
+  /// before a new attempt. Empty: offers keep them unchanged.
   std::function<void(wire::Offer &, const RequestSpec &, const FlowContext &)>
       Refresh;
 };
 
-/// Not thread-safe: one thread at a time applies inputs.
+/// State machine of one request. Not thread-safe: one thread at a time may
+/// apply inputs.
 class RequestFlow {
 public:
   RequestFlow(RequestSpec spec, FlowSettings settings, FlowHooks hooks);
 
-  /// Applies one input. Actions are to be carried out in order.
+  /// Applies one input. The caller performs the returned actions in order.
   FlowActions apply(const FlowInput &input, const FlowContext &context);
 
   const RequestSpec &spec() const { return Spec; }
   bool isEnded() const { return Phase == FlowPhase::Ended; }
-  /// True while the whole answer waits for its class's release time.
+  /// True while the complete answer is held until its class's release time.
   bool isHeld() const { return Phase == FlowPhase::Held; }
-  /// True once a server has accepted it, or begun to answer.
+  /// True once a server has accepted an offer.
   bool isAccepted() const { return WasAccepted; }
+  /// Number of chunks received so far, counted from the start of the answer; a
+  /// resumed stream starts with those that its caller already had.
   uint32_t chunks() const { return ChunksReceived; }
-  /// Servers that may be working on it now.
+  /// Servers of the open attempts.
   std::vector<std::string> servers() const;
+  /// Number of attempts so far, resumptions included.
   uint32_t attempts() const { return static_cast<uint32_t>(Tries.size()); }
 
 private:
   enum class FlowPhase : uint8_t { Waiting, Running, Held, Ended };
   enum class TryPhase : uint8_t { Offered, Accepted, Streaming, Closed };
 
-  /// One attempt.
+  /// State of one attempt.
   struct Try {
     Attempt Number = 0;
     std::string Server;
     TryPhase Phase = TryPhase::Offered;
-    bool Refused = false;           ///< Surely not run.
-    bool MayHaveArrived = true;     ///< False: it surely never arrived.
-    bool HasWaitLimit = false;      ///< Offered for a limited wait.
-    bool ExceededWaitLimit = false; ///< Refused for that.
-    bool IsResume = false;          ///< Reads an answer, never starts a run.
+    /// True if the server reported that it did not run the request.
+    bool Refused = false;
+    /// False if the server can't have received the offer.
+    bool MayHaveArrived = true;
+    bool HasWaitLimit = false; ///< True if the offer limited the queue wait.
+    /// True if the server refused it as overloaded.
+    bool ExceededWaitLimit = false;
+    bool IsResume = false; ///< True if the attempt reads an existing answer and
+                           ///< starts no run.
     TimePoint SentAt;
-    TimePoint HedgeAt;     ///< Help is sought from then on.
-    Duration Predicted{0}; ///< First token, by the agent's own word.
+    TimePoint HedgeAt;     ///< From this time on the request may be hedged.
+    Duration Predicted{0}; ///< Time to the first token that the agent predicts.
 
     bool isOpen() const { return Phase != TryPhase::Closed; }
   };
 
+  /// Context of the current input, and the actions that it has caused so far.
   struct Step {
     const FlowContext &Context;
     FlowActions Out;
@@ -105,15 +118,18 @@
 
   void offer(const Candidate &candidate, Step &step);
   void resume(const std::string &server, Attempt number, Step &step);
-  /// The attempt ended without an answer and surely did not run.
+  /// Offers the request to another server, schedules a retry or gives up, after
+  /// an attempt that ended without an answer. Does nothing while another
+  /// attempt is open.
   void retryOrGiveUp(const Error &reason, Step &step);
-  /// The attempt may have run, and its answer is not to be had from it.
+  /// Closes an attempt that may have run but can't deliver its answer, then
+  /// retries, reads the answer again or gives up.
   void onAttemptLost(Try &attempt, const Error &reason, Step &step);
   std::optional<Candidate> pickServer(const FlowContext &context) const;
   bool canRetry(const FlowContext &context) const;
   bool takeRetry() const;
-  /// Attempts that count: those refused for a limited wait cost a trip, not a
-  /// retry.
+  /// Attempts that count against the limit: all but those refused because of a
+  /// queue wait limit.
   uint32_t countedAttempts() const;
   bool waitForRetry(const FlowContext &context);
   bool hasOpenTry() const;
@@ -145,26 +161,29 @@
   FlowPhase Phase = FlowPhase::Waiting;
   std::vector<Try> Tries;
   bool WasAccepted = false;
-  bool HasWaitLimit = true;       ///< Servers are asked for a limited wait.
-  bool HasWaitedForRetry = false; ///< Servers that refused may be asked again.
+  bool HasWaitLimit = true;       ///< True while offers limit the queue wait.
+  bool HasWaitedForRetry = false; ///< True once a retry was delayed: servers
+                                  ///< that refused may be asked again.
   uint32_t ReconnectCount = 0;
   Error LastReason;
-  std::optional<TimePoint>
-      RetryAt; ///< An accepted request waits to be offered.
-
-  std::string Text; ///< All chunks so far, while they may be needed.
-  uint32_t ChunksReceived =
-      0;                   ///< Chunks so far, from index 0 of the whole answer.
-  uint32_t ChunksSent = 0; ///< Chunks that the caller was sent.
-  size_t BytesSent = 0;    ///< Of Text.
-  std::string LastServer;  ///< That the last chunk came from.
+  /// When an accepted request is offered again; unset if no retry is pending.
+  std::optional<TimePoint> RetryAt;
+
+  std::string Text; ///< Text of the chunks that are still needed.
+  /// Chunks received, counted from index 0 of the answer.
+  uint32_t ChunksReceived = 0;
+  uint32_t ChunksSent = 0; ///< Chunks that the caller has been sent.
+  size_t BytesSent = 0;    ///< Bytes of Text that the caller has been sent.
+  std::string LastServer;  ///< Server that sent the last chunk.
   std::optional<TimePoint> FirstTokenAt;
   AnswerSummary Summary;
 
   bool CallerLeft = false;
+  /// Unset while the caller is connected.
   std::optional<TimePoint> ResumeGraceEndsAt;
+  /// Unset until an answer is held.
   std::optional<TimePoint> NextReleaseCheckAt;
-  std::optional<TimePoint> ArmedTimer;
+  std::optional<TimePoint> ArmedTimer; ///< Unset: no timer is armed.
 };
 
 } // namespace daisytack::entry
--- a/src/serve/request_messages.h
+++ b/src/serve/request_messages.h
@@ -1,4 +1,5 @@
-/// What goes into and comes out of a request's state machine at an entry.
+/// Inputs and actions of RequestFlow, the state machine of a request at an
+/// entry.
 #pragma once
 
 #include "control/snapshot.h"
@@ -13,118 +14,131 @@
 
 namespace daisytack::entry {
 
-/// The present, as the shell sees it.
+/// Current configuration and time for one input.
 struct FlowContext {
   const Snapshot &Config;
   TimePoint Now;
-  WallTime Wall;
+  WallTime Wall; ///< Current wall clock time.
 };
 
+/// The first input of a flow.
 struct FlowStarted {};
 
-/// A message that names this request came over the link to the server.
+/// A message about this request arrived over the link to a server.
 struct ServerMessage {
   std::string Server;
   std::variant<wire::Accepted, wire::Refused, wire::Chunk, wire::Finished> Body;
 };
 
-/// The link to the server of an attempt broke, or never opened.
+/// The link to an attempt's server broke, or could not be opened.
 struct LinkLost {
   Attempt Try = 0;
-  bool MayBeDelivered = true; ///< False: the server can't have seen the offer.
+  /// False: the server can't have received the offer.
+  bool MayBeDelivered = true;
 };
 
+/// The time of the last ArmTimer has come.
 struct TimerFired {};
+/// The caller closed its connection.
 struct CallerDisconnected {};
 /// An operator stopped the request.
 struct StopRequested {};
-/// Configuration or membership changed: a release time may have moved.
+/// The configuration or membership changed, and with it perhaps a release time.
 struct ConfigChanged {};
 
 using FlowInput =
     std::variant<FlowStarted, ServerMessage, LinkLost, TimerFired,
                  CallerDisconnected, StopRequested, ConfigChanged>;
 
+/// Offers the request to a server.
 struct SendOffer {
   std::string Server;
   wire::Offer Offer;
   bool operator==(const SendOffer &) const = default;
 };
 
+/// Reads the answer of an earlier attempt from the server that holds it.
 struct SendResume {
   std::string Server;
   wire::Resume Resume;
   bool operator==(const SendResume &) const = default;
 };
 
+/// Cancels an attempt.
 struct SendCancel {
   std::string Server;
   wire::Cancel Cancel;
   bool operator==(const SendCancel &) const = default;
 };
 
-/// What is told of a whole answer besides its text.
+/// Metadata of a complete answer.
 struct AnswerSummary {
   std::string FinishReason;
   uint32_t PromptTokens = 0;
   uint32_t RecomputedTokens = 0;
   uint32_t GeneratedTokens = 0;
-  Duration FirstToken{0}; ///< From the request's arrival at the entry.
-  uint16_t ServiceStatus = 0;
+  /// Time from the request's arrival at the entry to its first token.
+  Duration FirstToken{0};
+  uint16_t ServiceStatus = 0; ///< HTTP status of a service; 0 for a prompt.
   std::vector<wire::HeaderField> ServiceHeaders;
   bool operator==(const AnswerSummary &) const = default;
 };
 
-/// The next part of a streamed answer. Index is that of the last chunk in it.
+/// The next part of a streamed answer, of one or more chunks.
 struct AnswerPart {
-  std::string Server; ///< That holds the answer, to resume from.
-  uint32_t Index = 0;
+  /// Server that holds the answer, for resuming the stream.
+  std::string Server;
+  uint32_t Index = 0; ///< Index of the last chunk in this part.
   std::string Text;
   bool operator==(const AnswerPart &) const = default;
 };
 
-/// The end of a streamed answer: the caller now has all of it.
+/// The end of a streamed answer, all of which has been sent.
 struct AnswerEnd {
   AnswerSummary Summary;
   bool operator==(const AnswerEnd &) const = default;
 };
 
-/// A whole answer, at once.
+/// A complete, non-streamed answer.
 struct WholeAnswer {
   std::string Text;
   AnswerSummary Summary;
   bool operator==(const WholeAnswer &) const = default;
 };
 
-/// The final answer of a request that has none.
+/// The error that ends a request without a complete answer.
 struct AnswerError {
   Error Reason;
-  Outcome Ran = Outcome::NotRun;
+  Outcome Ran = Outcome::NotRun; ///< Whether the request ran on a server.
   bool operator==(const AnswerError &) const = default;
 };
 
-/// TimerFired is wanted at this moment; replaces an earlier wish.
+/// Requests TimerFired at a time, and replaces an earlier timer.
 struct ArmTimer {
   TimePoint At;
   bool operator==(const ArmTimer &) const = default;
 };
 
-/// An attempt ended so; for the entry's view of its servers.
+/// Reports that a server answered or failed, for the entry's view of its
+/// servers.
 struct ReportServer {
   enum class Result : uint8_t { Answered, Failed };
   std::string Server;
   Result Reported = Result::Answered;
-  Duration Predicted{0}; ///< First token, with Answered.
+  /// Predicted time to the first token; only for Answered.
+  Duration Predicted{0};
+  /// Measured time to the first token; only for Answered.
   Duration Measured{0};
   bool operator==(const ReportServer &) const = default;
 };
 
+/// An event for the event log.
 struct RecordEvent {
   Event Recorded;
   bool operator==(const RecordEvent &) const = default;
 };
 
-/// Nothing follows; the request may be forgotten.
+/// The last action of a flow, which can be destroyed afterwards.
 struct FlowEnded {
   bool operator==(const FlowEnded &) const = default;
 };
--- a/src/serve/request_spec.h
+++ b/src/serve/request_spec.h
@@ -1,5 +1,5 @@
-/// What one caller asked of an entry, checked and authenticated, and the
-/// settings by which an entry pursues it.
+/// A validated and authenticated request of a caller, and the settings by which
+/// an entry processes requests.
 #pragma once
 
 #include "context/reuse_policy.h"
@@ -12,54 +12,59 @@
 
 namespace daisytack::entry {
 
-/// Where a stream that broke off is to be taken up again.
+/// Position from which a broken stream is resumed.
 struct ResumePoint {
   std::string Server;     ///< Instance name of the agent that holds the answer.
-  uint32_t FromIndex = 0; ///< First chunk that the caller has not seen.
+  uint32_t FromIndex = 0; ///< Index of the first chunk that the caller lacks.
   auto operator<=>(const ResumePoint &) const = default;
 };
 
-/// Immutable once its flow has started.
+/// A request as its flow processes it. Immutable once the flow has started.
 struct RequestSpec {
-  /// What is offered. Attempt number, remaining time and generated text are
-  /// filled in for each attempt.
+  /// The offer to backend servers. Each attempt fills in its number, the
+  /// remaining time and the text generated so far.
   wire::Offer Offer;
   std::string Service; ///< Name of the plain service; empty for a prompt.
-  PieceScope Scope;    ///< That the offer's piece keys were made for.
-  bool Stream = false; ///< The caller takes parts of the answer as they come.
-  TimePoint Arrived;
+  PieceScope Scope;    ///< Scope of the offer's piece keys.
+  bool Stream = false; ///< True if the caller wants the answer in parts.
+  TimePoint Arrived;   ///< When the entry received the request.
   TimePoint Deadline;
-  /// Number of the first attempt. Flows of one process under the same request
-  /// id (a repeat, a resumed stream) must not share attempt numbers.
+  /// Number of the first attempt. Flows of one process for the same request id
+  /// (a repeated request, a resumed stream) must not share attempt numbers.
   Attempt FirstAttempt = 1;
+  /// Unset: the request is not a resumption.
   std::optional<ResumePoint> Resume;
 };
 
-/// Settings of an entry, section [requests].
+/// Settings of an entry, from section [requests].
 struct FlowSettings {
-  uint32_t Attempts = MaxAttempts;
-  /// Wait for an agent's word on an offer before another one is tried.
+  uint32_t Attempts = MaxAttempts; ///< Limit on the attempts of a request.
+  /// Time without a reply to an offer after which an idempotent request is
+  /// hedged.
   Duration OfferTimeout{500'000};
-  /// A first token is late after the predicted time, this share of it and this
-  /// time on top.
+  /// An idempotent request is hedged when its first token is overdue by
+  /// HedgeFactor times the predicted time, plus HedgeMargin.
   double HedgeFactor = 0.5;
   Duration HedgeMargin{100'000};
-  /// A stream that stands still so long is taken up elsewhere.
+  /// Time without a new chunk after which an idempotent request is hedged.
   Duration StallTimeout{3'000'000};
-  /// A stream whose caller has gone runs on for so long, so that the caller can
-  /// take it up on any entry.
+  /// Time for which a stream continues after its caller disconnected, so that
+  /// the caller can resume it at any entry. Zero: the run is cancelled at once.
   Duration ResumeGrace{3'000'000};
-  /// A held answer looks at the wall clock at least so often, as clocks step.
+  /// Longest interval between checks of the wall clock while an answer is held,
+  /// as the clock may be stepped.
   Duration ReleaseCheckInterval{1'000'000};
-  /// Share of the time left that a first offer leaves over for a re-run.
+  /// Share of the remaining time that the first offer reserves for a re-run.
   double ReserveShare = 0.5;
-  /// Waits of an accepted request that no server takes or no retry is left
-  /// for: full jitter above the least.
+  /// Delays before an accepted request is offered again when every server
+  /// refuses it or the retry budget is spent: full jitter, at least
+  /// MinRetryDelay.
   BackoffSettings Backoff{Duration(100'000), Duration(2'000'000)};
   Duration MinRetryDelay{10'000};
-  /// Named in refusals that carry no better time to come back.
+  /// Lower bound of the retry-after time in errors sent to callers.
   Duration MinRetryAfter{1'000'000};
-  /// Connections to an agent tried for a broken non-idempotent answer.
+  /// Limit on reconnections to an agent after the connection broke during a
+  /// non-idempotent or resumed request.
   uint32_t MaxReconnects = 1;
   bool operator==(const FlowSettings &) const = default;
 };
--- a/tests/serve_entry/caller_request_test.cpp
+++ b/tests/serve_entry/caller_request_test.cpp
@@ -1,4 +1,4 @@
-// What callers send, and what they hold: bodies, headers, identifiers.
+// Parsing and validation of callers' requests, identifiers and answer bodies.
 #include "serve/caller_answer.h"
 #include "serve/caller_ids.h"
 #include "serve/caller_prompt.h"
--- a/tests/serve_entry/flow_harness.h
+++ b/tests/serve_entry/flow_harness.h
@@ -1,4 +1,4 @@
-// Drives a RequestFlow by a script and writes down what it does.
+// Drives a RequestFlow by a script and records its actions as text.
 #pragma once
 
 #include "serve/request_flow.h"
@@ -10,28 +10,28 @@
 
 namespace daisytack::entry {
 
-// What kind of request a script is played for.
+// Properties of the request that a script is run for.
 struct FlowKind {
   bool Idempotent = true;
   bool Stream = true;
-  std::optional<uint32_t> ResumeFrom;
-  std::optional<Duration> ReleaseIn;
-  const char *Ticket = "";
+  std::optional<uint32_t> ResumeFrom; // Unset: a new request.
+  std::optional<Duration> ReleaseIn;  // Unset: answers are not held.
+  const char *Ticket = "";            // Empty: the request has no ticket.
 };
 
-// Commands, one a line or separated by semicolons. S is a server, N an attempt:
-//   accept S N [MS]     predicted first token in MS
-//   refuse S N KIND [may]
+// Commands, separated by semicolons. S is a server, N an attempt:
+//   accept S N [MS]     the predicted time to the first token is MS
+//   refuse S N KIND [may]   may: the request may have run
 //   chunk S N INDEX     the text is "S:INDEX "
-//   finish S N CHUNKS
-//   fail S N KIND not|may
-//   lost N [unsent]     the link broke
-//   time MS             time passes, and timers fire when due
-//   gone                the caller left
-//   stop                an operator stopped it
-//   release MS|none     the class's release time is moved
-//   budget N            retries left
-//   servers S...        candidates, best first
+//   finish S N CHUNKS   reports an answer of CHUNKS chunks
+//   fail S N KIND not|may   the request did not run, or may have run
+//   lost N [unsent]     the link broke; unsent: before the offer was sent
+//   time MS             advances the clock and fires due timers
+//   gone                the caller disconnected
+//   stop                an operator stopped the request
+//   release MS|none     sets or removes the class's release time
+//   budget N            sets the number of retries left
+//   servers S...        sets the candidates, best first
 class FlowHarness {
 public:
   explicit FlowHarness(const FlowKind &kind)
@@ -44,8 +44,8 @@
     Config.finish();
   }
 
-  // Plays the script and returns all actions as text, but for timers, events
-  // and notes.
+  // Runs the script and returns all actions as text, except timers, events,
+  // server reports and the end of the flow.
   std::string play(const std::string &script) {
     applyInput(FlowStarted{});
     std::istringstream lines(script);
@@ -84,7 +84,7 @@
   std::optional<TimePoint> Timer;
   std::vector<SendOffer> Offers;
   std::vector<SendResume> Resumes;
-  std::vector<uint32_t> PartIndexes; // Index of each part shown.
+  std::vector<uint32_t> PartIndexes; // Index of each part sent to the caller.
   int FinalAnswers = 0;
   bool HasWholeAnswer = false;
   std::optional<AnswerError> Failure;
--- a/tests/serve_entry/request_flow_property_test.cpp
+++ b/tests/serve_entry/request_flow_property_test.cpp
@@ -1,5 +1,5 @@
-// Random interleavings of what two or more attempts, links, timers, callers and
-// operators do.
+// Guarantees of RequestFlow under random interleavings of attempts, link
+// failures, timers, caller disconnects and configuration changes.
 #include "flow_harness.h"
 
 #include <gtest/gtest.h>
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// One attempt as its agent sees it: answers with its own text, loses, repeats
-/// and reorders.
+/// An attempt at its agent, which answers with its own text and may lose,
+/// repeat or reorder messages.
 struct AgentRun {
   std::string Server;
   Attempt Try = 0;
@@ -80,7 +80,7 @@
       finish(run);
   }
 
-  // Only an attempt that produced nothing can truthfully be refused.
+  // Only an attempt that has sent no chunk can report that it did not run.
   void refuse(AgentRun &run) {
     bool isUntouched = run.NextChunk == firstChunkOf(run) && run.MayHaveArrived;
     if (!isUntouched)
@@ -133,8 +133,8 @@
   size_t TrackedOffers = 0;
 };
 
-/// Each chunk once and in order, and each attempt's from where the text it was
-/// given ends: two attempts' words are never mixed.
+/// Checks that the text has each chunk once and in order, and that each attempt
+/// continues exactly the text that its offer carried.
 void checkText(const FlowHarness &harness, const std::string &text) {
   std::istringstream in(text);
   std::string before;
@@ -158,7 +158,7 @@
 
 void checkGuarantees(const FlowHarness &harness, const RandomScenario &scenario,
                      const FlowKind &kind) {
-  // One final answer at most; the text is the answer's beginning, in order.
+  // At most one final answer; the text is a prefix of the answer.
   RC_ASSERT(harness.FinalAnswers <= 1);
   checkText(harness, harness.CallerText);
   if (harness.HasWholeAnswer)
@@ -168,7 +168,7 @@
   RC_ASSERT(harness.Offers.size() <= MaxAttempts);
   if (kind.Idempotent || !harness.Failure)
     return;
-  // "Not run" is true only when every offer was refused or never arrived.
+  // NotRun is only reported if every offer was refused or never arrived.
   bool noneRan = true;
   for (const AgentRun &run : scenario.Runs)
     noneRan = noneRan && (run.Refused || !run.MayHaveArrived);
@@ -222,7 +222,7 @@
     scenario.trackNewOffers();
     if (harness.Offers.size() == before)
       continue;
-    // All offers before the new one surely didn't run.
+    // No offer before the new one can have run.
     for (size_t j = 0; j + 1 < scenario.Runs.size(); ++j)
       RC_ASSERT(scenario.Runs[j].Refused || !scenario.Runs[j].MayHaveArrived);
   }
--- a/tests/serve_entry/request_flow_test.cpp
+++ b/tests/serve_entry/request_flow_test.cpp
@@ -1,5 +1,4 @@
-// Every rule of a request's path, as a script of what happens and what must
-// follow.
+// Rules of RequestFlow, each as a script of inputs with the expected actions.
 #include "flow_harness.h"
 
 #include <gtest/gtest.h>
@@ -76,7 +75,7 @@
      "offer a 1; offer b 2; part 0; end"},
     {"NonIdempotentMayHaveRun", NonIdempotent, "refuse a 1 server_lost may",
      "offer a 1; error server_lost may_have_run"},
-    // A ticket may have been presented before, so that only its agent can say
+    // A ticket may have been presented before, so only its agent can report
     // that the call did not run.
     {"TicketOfUnreachableAgent", WithTicket, "servers a; lost 1 unsent",
      "offer a 1; error no_server may_have_run"},
@@ -262,8 +261,8 @@
   EXPECT_EQ(second.Generated, "a:0 a:1 ");
 }
 
-// Servers with a longer wait refuse, which is no retry; when all have, they are
-// asked for any wait.
+// Servers refuse if their queue wait exceeds the limit, which does not count as
+// a retry. Once all have refused, they are asked again without a limit.
 TEST(RequestFlow, FirstOffersLimitTheQueueWait) {
   FlowHarness it(Streamed);
   constexpr Duration Patience{100'000};
