--- a/bench/once.cpp
+++ b/bench/once.cpp
@@ -64,7 +64,7 @@
 }
 
 void finishAll(Run &run, size_t answerBytes, TimePoint now) {
-  KeptAnswer answer;
+  StoredAnswer answer;
   answer.Body = std::string(answerBytes, 'x');
   TimePoint start = monotonicNow();
   for (const TicketKey &it : run.Keys)
--- a/src/once/key_binding.cpp
+++ b/src/once/key_binding.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr std::string_view BindingPrefix = "/daisytack/once/";
-constexpr size_t ClaimantDigits = 32;
+constexpr size_t WriterIdDigits = 32;
 
 /// "CLAIMANT TICKET".
 std::string bindingValue(const BindRequest &request) {
-  return toHex(request.Claimant) + ' ' + request.Ticket;
+  return toHex(request.WriterId) + ' ' + request.Ticket;
 }
 
-BindStep refused(ErrorKind kind, std::string detail) {
+BindStep makeRefusal(ErrorKind kind, std::string detail) {
   return KeyRefused{{kind, std::move(detail), Duration(1'000'000)}};
 }
 
@@ -49,7 +49,7 @@
 
 BindStep KeyBinding::readBack() {
   if (Calls >= MaxCalls)
-    return refused(
+    return makeRefusal(
         ErrorKind::ServiceUnknown,
         "the key-value service did not say whether the key is bound");
   ++Calls;
@@ -65,43 +65,43 @@
   case edge::KvStatus::CompareFailed:
     // Without the value: it lapsed between compare and read.
     return result.Current.empty() ? readBack()
-                                  : bound(result.Current.front().Value);
+                                  : parseBinding(result.Current.front().Value);
   case edge::KvStatus::Unavailable:
     // A first create that may have taken effect before stays possible.
     if (Calls == 1)
-      return refused(ErrorKind::ServiceUnavailable,
-                     "the key-value service can't be reached");
+      return makeRefusal(ErrorKind::ServiceUnavailable,
+                         "the key-value service can't be reached");
     return readBack();
   case edge::KvStatus::Unknown:
     return readBack();
   }
-  return refused(ErrorKind::Internal, "unknown status");
+  return makeRefusal(ErrorKind::Internal, "unknown status");
 }
 
 BindStep KeyBinding::onRange(const edge::KvRangeResult &result) {
   if (result.Header.Status != edge::KvStatus::Ok)
-    return refused(
+    return makeRefusal(
         ErrorKind::ServiceUnknown,
         "the key-value service did not say whether the key is bound");
   if (!result.Entries.empty())
-    return bound(result.Entries.front().Value);
+    return parseBinding(result.Entries.front().Value);
   if (Calls >= MaxCalls)
-    return refused(ErrorKind::ServiceUnknown,
-                   "the key is not bound yet, but may be a little later");
+    return makeRefusal(ErrorKind::ServiceUnknown,
+                       "the key is not bound yet, but may be a little later");
   // Creating again can't bind twice: both writes carry the same ticket, and
   // only the first to arrive finds no key.
   return create();
 }
 
-BindStep KeyBinding::bound(std::string_view value) const {
+BindStep KeyBinding::parseBinding(std::string_view value) const {
   Error reason;
-  size_t n = ClaimantDigits;
-  bool split = value.size() > n && value[n] == ' ';
-  if (!split || !parseTicket(value.substr(n + 1), reason))
-    return refused(ErrorKind::BadValue, "the key's binding can't be read");
+  size_t n = WriterIdDigits;
+  bool hasSeparator = value.size() > n && value[n] == ' ';
+  if (!hasSeparator || !parseTicket(value.substr(n + 1), reason))
+    return makeRefusal(ErrorKind::BadValue, "the key's binding can't be read");
   KeyBound out;
   out.Ticket = std::string(value.substr(n + 1));
-  out.Ours = value.substr(0, n) == toHex(Request.Claimant);
+  out.WrittenByRequest = value.substr(0, n) == toHex(Request.WriterId);
   return out;
 }
 
@@ -109,12 +109,12 @@
     : Init(init), Tokens(init.Burst) {}
 
 bool BindingBudget::take(TimePoint now, Error &reason) {
-  if (Last && now > *Last) {
-    double seconds = std::chrono::duration<double>(now - *Last).count();
+  if (LastRefill && now > *LastRefill) {
+    double seconds = std::chrono::duration<double>(now - *LastRefill).count();
     Tokens = std::min(Init.Burst, Tokens + seconds * Init.BindingsPerSecond);
   }
-  if (!Last || now > *Last)
-    Last = now;
+  if (!LastRefill || now > *LastRefill)
+    LastRefill = now;
   if (Tokens >= 1) {
     Tokens -= 1;
     return true;
@@ -127,7 +127,7 @@
 }
 
 std::optional<uint64_t> BindingLease::current(TimePoint now) const {
-  if (Lease == 0 || now - GrantedAt >= Init.ReuseFor)
+  if (Lease == 0 || now - GrantedAt >= Init.ReuseWindow)
     return std::nullopt;
   return Lease;
 }
--- a/src/once/key_binding.h
+++ b/src/once/key_binding.h
@@ -23,7 +23,7 @@
   std::string Organisation;
   std::string IdempotencyKey;
   std::string Ticket; ///< Freshly issued for this submission.
-  Id128 Claimant;     ///< Random; tells our write from another's.
+  Id128 WriterId;     ///< Random; tells our write from another's.
   uint64_t Lease = 0; ///< Of BindingLease; ends the binding.
   bool operator==(const BindRequest &) const = default;
 };
@@ -31,7 +31,7 @@
 /// The key is bound: present this ticket, whoever wrote it.
 struct KeyBound {
   std::string Ticket;
-  bool Ours = false;
+  bool WrittenByRequest = false;
   bool operator==(const KeyBound &) const = default;
 };
 
@@ -63,7 +63,7 @@
 private:
   BindStep create();
   BindStep readBack();
-  BindStep bound(std::string_view value) const;
+  BindStep parseBinding(std::string_view value) const;
 
   BindRequest Request;
   std::string Key;
@@ -85,12 +85,13 @@
 private:
   BindingBudgetInit Init;
   double Tokens;
-  std::optional<TimePoint> Last;
+  std::optional<TimePoint> LastRefill;
 };
 
 struct BindingLeaseInit {
   Duration TimeToLive{24LL * 3600 * 1'000'000}; ///< Of a binding at most.
-  Duration ReuseFor{3600LL * 1'000'000}; ///< One lease serves bindings so long.
+  Duration ReuseWindow{3600LL *
+                       1'000'000}; ///< One lease serves bindings so long.
 };
 
 /// The lease that ends bindings: granted once an hour and never kept alive, so
--- a/src/once/ticket.cpp
+++ b/src/once/ticket.cpp
@@ -61,17 +61,17 @@
     return std::nullopt;
   auto process = parseId128((*fields)[2]);
   auto serial = parseId128((*fields)[3]);
-  auto minted = parseTime((*fields)[4]);
-  auto expires = parseTime((*fields)[5]);
-  if (!process || !serial || !minted || !expires ||
+  auto issuedAt = parseTime((*fields)[4]);
+  auto expiresAt = parseTime((*fields)[5]);
+  if (!process || !serial || !issuedAt || !expiresAt ||
       !parsePieceKey((*fields)[6]))
     return std::nullopt;
   return Ticket{std::string((*fields)[0]),
                 *process,
                 std::string((*fields)[1]),
                 *serial,
-                *minted,
-                *expires};
+                *issuedAt,
+                *expiresAt};
 }
 
 } // namespace
@@ -86,7 +86,7 @@
   std::string out(Prefix);
   for (const std::string &field :
        {ticket.Instance, ticket.Organisation, toHex(ticket.Process),
-        toHex(ticket.Serial), timeText(ticket.MintedAt),
+        toHex(ticket.Serial), timeText(ticket.IssuedAt),
         timeText(ticket.ExpiresAt)}) {
     out += field;
     out += Separator;
--- a/src/once/ticket.h
+++ b/src/once/ticket.h
@@ -18,7 +18,7 @@
   Incarnation Process;  ///< The only process that may run it.
   std::string Organisation; ///< The only organisation that may present it.
   Id128 Serial;             ///< Random; unique for each ticket.
-  TimePoint MintedAt;
+  TimePoint IssuedAt;
   TimePoint ExpiresAt; ///< Not presentable from this moment on.
   auto operator<=>(const Ticket &) const = default;
 };
--- a/src/once/ticket_ledger.cpp
+++ b/src/once/ticket_ledger.cpp
@@ -24,12 +24,12 @@
 
 TicketVerdict ignore() {
   TicketVerdict out;
-  out.Do = TicketVerdict::Action::Ignore;
+  out.Decision = TicketVerdict::Action::Ignore;
   return out;
 }
 
-size_t answerSize(const KeptAnswer &answer) {
-  size_t out = sizeof(KeptAnswer) + answer.Body.size();
+size_t answerSize(const StoredAnswer &answer) {
+  size_t out = sizeof(StoredAnswer) + answer.Body.size();
   for (const wire::HeaderField &it : answer.End.ServiceHeaders)
     out += sizeof(it) + it.Name.size() + it.Value.size();
   return out;
@@ -55,8 +55,8 @@
           link};
 }
 
-std::vector<wire::Message> replayAnswer(const KeptAnswer &answer, RequestId id,
-                                        Attempt attempt) {
+std::vector<wire::Message> replayAnswer(const StoredAnswer &answer,
+                                        RequestId id, Attempt attempt) {
   wire::Finished end = answer.End;
   end.Id = id;
   end.Try = attempt;
@@ -79,14 +79,14 @@
   advance(now);
   if (Records.size() >= Init.MaxRecords) {
     reason = {ErrorKind::RecordFull, "the at-most-once record is full",
-              Init.StillRunningRetry};
+              Init.RetryDelay};
     return std::nullopt;
   }
   Ticket ticket{Init.Instance,    Init.Process, organisation,
-                randomId(Random), Latest,       Latest + Init.TicketLife};
+                randomId(Random), LatestTime,   LatestTime + Init.TicketLife};
   auto out = signTicket(ticket, Init.Secret, reason);
   if (out)
-    note(EventKind::TicketIssued, {ticket.Serial, 0, 0}, ErrorKind::None);
+    emitEvent(EventKind::TicketIssued, {ticket.Serial, 0, 0}, ErrorKind::None);
   return out;
 }
 
@@ -97,33 +97,33 @@
   if (Withdrawn.contains(submission))
     return ignore();
   TicketVerdict out;
-  auto claimed = claim(presentation, out);
-  if (claimed) {
-    auto it = Records.find(claimed->Key);
-    out = it == Records.end() ? start(*claimed, presentation)
-                              : repeat(it->second, presentation);
-    out.Key = claimed->Key;
+  auto resolved = resolve(presentation, out);
+  if (resolved) {
+    auto it = Records.find(resolved->Key);
+    out = it == Records.end() ? start(*resolved, presentation)
+                              : answerRepeat(it->second, presentation);
+    out.Key = resolved->Key;
   }
-  if (out.Do == TicketVerdict::Action::Refuse)
-    note(EventKind::TicketRefused, submission, out.Reason.Kind);
+  if (out.Decision == TicketVerdict::Action::Refuse)
+    emitEvent(EventKind::TicketRefused, submission, out.Reason.Kind);
   return out;
 }
 
-std::optional<TicketLedger::Claim>
-TicketLedger::claim(const Presentation &presentation,
-                    TicketVerdict &refusal) const {
+std::optional<TicketLedger::ResolvedCall>
+TicketLedger::resolve(const Presentation &presentation,
+                      TicketVerdict &refusal) const {
   if (!presentation.Ticket.empty())
-    return claimTicket(presentation, refusal);
+    return resolveTicket(presentation, refusal);
   if (presentation.Process == Init.Process)
-    return Claim{presentation.Id, Latest + Init.TicketLife};
+    return ResolvedCall{presentation.Id, LatestTime + Init.TicketLife};
   refusal = refuse(ErrorKind::TicketUnknown, Outcome::MayHaveRun,
                    "the call is for another process");
   return std::nullopt;
 }
 
-std::optional<TicketLedger::Claim>
-TicketLedger::claimTicket(const Presentation &presentation,
-                          TicketVerdict &refusal) const {
+std::optional<TicketLedger::ResolvedCall>
+TicketLedger::resolveTicket(const Presentation &presentation,
+                            TicketVerdict &refusal) const {
   Error reason;
   auto ticket = parseTicket(presentation.Ticket, reason);
   if (!ticket)
@@ -137,55 +137,56 @@
   else if (ticket->Organisation != presentation.Organisation)
     refusal = refuse(ErrorKind::Forbidden, Outcome::NotRun,
                      "the ticket belongs to another organisation");
-  else if (Latest >= ticket->ExpiresAt && !Records.contains(ticket->Serial))
+  else if (LatestTime >= ticket->ExpiresAt && !Records.contains(ticket->Serial))
     refusal = refuse(ErrorKind::TicketExpired, Outcome::MayHaveRun,
                      "the ticket has expired");
   else
-    return Claim{ticket->Serial, ticket->ExpiresAt};
+    return ResolvedCall{ticket->Serial, ticket->ExpiresAt};
   return std::nullopt;
 }
 
-TicketVerdict TicketLedger::repeat(const Record &record,
-                                   const Presentation &presentation) const {
+TicketVerdict
+TicketLedger::answerRepeat(const Record &record,
+                           const Presentation &presentation) const {
   Submission submission{presentation.Id, presentation.Try, presentation.Link};
-  if (record.Running && record.By == submission)
+  if (record.Running && record.ExecutedBy == submission)
     return ignore();
   if (record.Call != presentation.Call)
     return refuse(ErrorKind::KeyReused, Outcome::NotRun,
                   "the ticket was presented with another call");
   if (record.Running)
     return refuse(ErrorKind::StillRunning, Outcome::MayHaveRun,
-                  "the call is still running", Init.StillRunningRetry);
+                  "the call is still running", Init.RetryDelay);
   if (record.Ran != Outcome::Completed)
-    return refuse(record.Ended, Outcome::MayHaveRun,
+    return refuse(record.FailureKind, Outcome::MayHaveRun,
                   "the call failed and may have run");
   if (!record.Answer)
     return refuse(ErrorKind::AnswerLost, Outcome::Completed,
                   "the call completed; its answer is no longer held");
   TicketVerdict out;
-  out.Do = TicketVerdict::Action::Repeat;
+  out.Decision = TicketVerdict::Action::Replay;
   out.Answer = record.Answer;
   out.Ran = Outcome::Completed;
   return out;
 }
 
-TicketVerdict TicketLedger::start(const Claim &claim,
+TicketVerdict TicketLedger::start(const ResolvedCall &call,
                                   const Presentation &presentation) {
   Submission submission{presentation.Id, presentation.Try, presentation.Link};
   if (Records.size() >= Init.MaxRecords) {
     rememberWithdrawn(submission);
     return refuse(ErrorKind::RecordFull, Outcome::NotRun,
-                  "the at-most-once record is full", Init.StillRunningRetry);
+                  "the at-most-once record is full", Init.RetryDelay);
   }
   Record record;
-  record.ExpiresAt = claim.ExpiresAt;
+  record.ExpiresAt = call.ExpiresAt;
   record.Call = presentation.Call;
-  record.By = submission;
-  note(EventKind::TicketRecorded, record.By, ErrorKind::None);
-  Records.emplace(claim.Key, std::move(record));
-  Expiries.emplace(claim.ExpiresAt, claim.Key);
+  record.ExecutedBy = submission;
+  emitEvent(EventKind::TicketRecorded, record.ExecutedBy, ErrorKind::None);
+  Records.emplace(call.Key, std::move(record));
+  Expiries.emplace(call.ExpiresAt, call.Key);
   TicketVerdict out;
-  out.Do = TicketVerdict::Action::Run;
+  out.Decision = TicketVerdict::Action::Run;
   return out;
 }
 
@@ -194,11 +195,11 @@
   auto it = Records.find(key);
   if (it == Records.end() || !it->second.Running)
     return;
-  rememberWithdrawn(it->second.By);
+  rememberWithdrawn(it->second.ExecutedBy);
   erase(it);
 }
 
-void TicketLedger::finish(const TicketKey &key, KeptAnswer answer,
+void TicketLedger::finish(const TicketKey &key, StoredAnswer answer,
                           TimePoint now) {
   if (answer.End.Ran == Outcome::NotRun) {
     withdraw(key, now);
@@ -211,17 +212,17 @@
   Record &record = it->second;
   record.Running = false;
   record.Ran = answer.End.Ran;
-  record.Ended = answer.End.Kind;
-  if (Latest >= record.ExpiresAt)
+  record.FailureKind = answer.End.Kind;
+  if (LatestTime >= record.ExpiresAt)
     erase(it);
   else if (record.Ran == Outcome::Completed)
-    keepAnswer(key, record, std::move(answer));
+    storeAnswer(key, record, std::move(answer));
 }
 
 void TicketLedger::advance(TimePoint now) {
-  Latest = std::max(Latest, now);
+  LatestTime = std::max(LatestTime, now);
   auto it = Expiries.begin();
-  while (it != Expiries.end() && it->first <= Latest) {
+  while (it != Expiries.end() && it->first <= LatestTime) {
     auto record = Records.find(it->second);
     ++it;
     // finish() forgets a call that still runs.
@@ -230,13 +231,13 @@
   }
 }
 
-void TicketLedger::keepAnswer(const TicketKey &key, Record &record,
-                              KeptAnswer answer) {
+void TicketLedger::storeAnswer(const TicketKey &key, Record &record,
+                               StoredAnswer answer) {
   size_t n = answerSize(answer);
   if (n > Init.MaxAnswerBytes)
     return;
-  record.Answer = std::make_shared<const KeptAnswer>(std::move(answer));
-  record.AnswerNumber = NextAnswer++;
+  record.Answer = std::make_shared<const StoredAnswer>(std::move(answer));
+  record.AnswerNumber = NextAnswerNumber++;
   AnswerOrder.emplace(record.AnswerNumber, key);
   AnswerBytes += n;
   while (AnswerBytes > Init.MaxAnswerBytes)
@@ -267,8 +268,8 @@
   }
 }
 
-void TicketLedger::note(EventKind kind, const Submission &submission,
-                        ErrorKind reason) const {
+void TicketLedger::emitEvent(EventKind kind, const Submission &submission,
+                             ErrorKind reason) const {
   if (!Events)
     return;
   Event event;
--- a/src/once/ticket_ledger.h
+++ b/src/once/ticket_ledger.h
@@ -29,16 +29,16 @@
 Id128 callHash(const wire::Offer &offer);
 
 /// How a call ended, and its answer when it has one.
-struct KeptAnswer {
+struct StoredAnswer {
   wire::Finished End; ///< Of the attempt that ran.
   std::string Body;   ///< Text of all chunks.
-  bool operator==(const KeptAnswer &) const = default;
+  bool operator==(const StoredAnswer &) const = default;
 };
 
 /// The messages that answer a repeat: the body as one chunk, then the end, both
 /// under the repeat's own id.
-std::vector<wire::Message> replayAnswer(const KeptAnswer &answer, RequestId id,
-                                        Attempt attempt);
+std::vector<wire::Message> replayAnswer(const StoredAnswer &answer,
+                                        RequestId id, Attempt attempt);
 
 /// One submission of a call that may run at most once.
 struct Presentation {
@@ -63,14 +63,14 @@
 struct TicketVerdict {
   enum class Action : uint8_t {
     Run,    ///< Recorded as running: call finish or withdraw for Key later.
-    Repeat, ///< It has completed; Answer is what it answered.
+    Replay, ///< It has completed; Answer is what it answered.
     Refuse, ///< Reason and Ran say why, and whether it may have run.
     Ignore, ///< This very submission runs, or was refused before: a duplicate
             ///< message.
   };
-  Action Do = Action::Refuse;
+  Action Decision = Action::Refuse;
   TicketKey Key;
-  std::shared_ptr<const KeptAnswer> Answer;
+  std::shared_ptr<const StoredAnswer> Answer;
   Error Reason;
   Outcome Ran = Outcome::NotRun;
 };
@@ -83,7 +83,7 @@
   size_t MaxRecords = 100'000;
   size_t MaxAnswerBytes = 16U << 20; ///< Of all kept answers together.
   size_t MaxWithdrawn = 4096; ///< Withdrawn submissions known as duplicates.
-  Duration StillRunningRetry{1'000'000}; ///< Hint to repeats of a running call.
+  Duration RetryDelay{1'000'000}; ///< Hint to repeats of a running call.
 };
 
 /// Not thread-safe; one per agent. The present time never goes back: an earlier
@@ -108,7 +108,7 @@
 
   /// The call ended; also with a failure, for which End tells whether it may
   /// have run. NotRun means withdraw.
-  void finish(const TicketKey &key, KeptAnswer answer, TimePoint now);
+  void finish(const TicketKey &key, StoredAnswer answer, TimePoint now);
 
   size_t records() const { return Records.size(); }
   size_t answerBytes() const { return AnswerBytes; }
@@ -125,44 +125,45 @@
   struct Record {
     TimePoint ExpiresAt;
     Id128 Call;
-    Submission By; ///< The one that runs or ran.
+    Submission ExecutedBy; ///< The one that runs or ran.
     bool Running = true;
     Outcome Ran = Outcome::MayHaveRun;
-    ErrorKind Ended = ErrorKind::None;
-    std::shared_ptr<const KeptAnswer> Answer;
+    ErrorKind FailureKind = ErrorKind::None;
+    std::shared_ptr<const StoredAnswer> Answer;
     uint64_t AnswerNumber = 0; ///< Its place in AnswerOrder.
   };
   using RecordTable = std::unordered_map<TicketKey, Record>;
   /// What a presentation refers to, once its ticket has been checked.
-  struct Claim {
+  struct ResolvedCall {
     TicketKey Key;
     TimePoint ExpiresAt;
   };
 
   void advance(TimePoint now);
-  std::optional<Claim> claim(const Presentation &presentation,
-                             TicketVerdict &refusal) const;
-  std::optional<Claim> claimTicket(const Presentation &presentation,
-                                   TicketVerdict &refusal) const;
-  TicketVerdict repeat(const Record &record,
-                       const Presentation &presentation) const;
-  TicketVerdict start(const Claim &claim, const Presentation &presentation);
-  void keepAnswer(const TicketKey &key, Record &record, KeptAnswer answer);
+  std::optional<ResolvedCall> resolve(const Presentation &presentation,
+                                      TicketVerdict &refusal) const;
+  std::optional<ResolvedCall> resolveTicket(const Presentation &presentation,
+                                            TicketVerdict &refusal) const;
+  TicketVerdict answerRepeat(const Record &record,
+                             const Presentation &presentation) const;
+  TicketVerdict start(const ResolvedCall &call,
+                      const Presentation &presentation);
+  void storeAnswer(const TicketKey &key, Record &record, StoredAnswer answer);
   void dropAnswer(Record &record);
   void erase(RecordTable::iterator it);
   void rememberWithdrawn(const Submission &submission);
-  void note(EventKind kind, const Submission &submission,
-            ErrorKind reason) const;
+  void emitEvent(EventKind kind, const Submission &submission,
+                 ErrorKind reason) const;
 
   TicketLedgerInit Init;
   RandomSource Random;
   EventSink Events;
-  TimePoint Latest;
+  TimePoint LatestTime;
   RecordTable Records;
   using Expiry = std::pair<TimePoint, TicketKey>;
   std::set<Expiry> Expiries;                 ///< One for each record.
   std::map<uint64_t, TicketKey> AnswerOrder; ///< Oldest kept answer first.
-  uint64_t NextAnswer = 1;
+  uint64_t NextAnswerNumber = 1;
   size_t AnswerBytes = 0;
   std::set<Submission> Withdrawn;
   std::deque<Submission> WithdrawnOrder; ///< Oldest first.
--- a/src/serve/agent_core.cpp
+++ b/src/serve/agent_core.cpp
@@ -27,8 +27,8 @@
   return out;
 }
 
-swap::ConvergeInit convergeInit(const AgentSettings &settings) {
-  swap::ConvergeInit out = settings.Swap;
+swap::ConvergerInit convergeInit(const AgentSettings &settings) {
+  swap::ConvergerInit out = settings.Swap;
   out.Slot.Model = settings.Serves;
   out.Slot.Instance = settings.Instance;
   out.Slot.Process = settings.Process;
@@ -229,7 +229,7 @@
 }
 
 bool AgentCore::Impl::isReady() const {
-  return !isLeaving() && isReachable() && !Swap.holdsNewWork();
+  return !isLeaving() && isReachable() && !Swap.refusesNewRequests();
 }
 
 uint64_t AgentCore::Impl::hitsOf(const std::string &organisation) const {
--- a/src/serve/agent_core.h
+++ b/src/serve/agent_core.h
@@ -42,7 +42,7 @@
   StoreSettings Stores;
   FetchSettings Fetch;
   ExportSettings Export;
-  swap::ConvergeInit Swap; ///< Model, instance and process are filled in.
+  swap::ConvergerInit Swap; ///< Model, instance and process are filled in.
   size_t MaxCachedPieces = 1U << 16; ///< Believed of the engine's cache.
 };
 
--- a/src/serve/agent_impl.h
+++ b/src/serve/agent_impl.h
@@ -176,7 +176,7 @@
   FetchFlow Fetch;
   ExportFlow Exports;
   std::unordered_map<std::string, uint64_t> Hits; ///< By organisation.
-  swap::Converge Swap;
+  swap::Converger Swap;
   swap::SwapView SwapSeen; ///< By Swap, last.
   CallId OrderCall = 0;    ///< The one whose answer counts.
   Duration WallOffset{0};  ///< Wall clock less monotonic clock.
--- a/src/serve/agent_offers.cpp
+++ b/src/serve/agent_offers.cpp
@@ -56,7 +56,7 @@
                                     Step &step) {
   TicketVerdict verdict =
       Tickets.present(presentationOf(offer, link.Index), step.Now);
-  switch (verdict.Do) {
+  switch (verdict.Decision) {
   case TicketVerdict::Action::Ignore:
     return;
   case TicketVerdict::Action::Refuse:
@@ -65,7 +65,7 @@
     if (!decideOffer(link, offer, verdict.Key, step))
       Tickets.withdraw(verdict.Key, step.Now);
     return;
-  case TicketVerdict::Action::Repeat:
+  case TicketVerdict::Action::Replay:
     wire::Accepted accepted;
     accepted.Id = offer.Id;
     accepted.Try = offer.Try;
@@ -133,7 +133,7 @@
     return {ErrorKind::Draining, "the server is leaving"};
   if (!isStatusFresh(step.Now))
     return {ErrorKind::NotReady, "the engine does not answer", NotReadyRetry};
-  if (Swap.holdsNewWork())
+  if (Swap.refusesNewRequests())
     return {ErrorKind::NotReady, "the server changes its version",
             NotReadyRetry};
   if (isClosed(offer, step.Now))
--- a/src/serve/agent_swap.cpp
+++ b/src/serve/agent_swap.cpp
@@ -14,7 +14,7 @@
 }
 
 void AgentCore::Impl::on(const SlotAnswer &input, Step &step) {
-  perform(Swap.on(input.Result, step.Now), step);
+  perform(Swap.onSlotResult(input.Result, step.Now), step);
 }
 
 void AgentCore::Impl::on(const OrderAnswer &input, Step &step) {
@@ -32,12 +32,12 @@
   out.ServersOfModel = Config.ServersOfModel;
   out.InService = !Config.Drained;
   out.Leaving = Draining;
-  out.EngineReachable = isReachable();
+  out.ServerReachable = isReachable();
   out.Loaded = {Engine.Version, Engine.Adapter};
   out.Loading = Engine.Loading;
-  out.EngineFence = Engine.Fence;
-  out.Running = static_cast<uint32_t>(Queue.running() + Queue.waiting() +
-                                      Fetch.importing());
+  out.ServerFence = Engine.Fence;
+  out.ActiveRuns = static_cast<uint32_t>(Queue.running() + Queue.waiting() +
+                                         Fetch.importing());
   return out;
 }
 
@@ -66,16 +66,16 @@
 void AgentCore::Impl::order(const swap::LoadOrder &load, Step &step) {
   SendOrder out;
   out.Call = OrderCall = Numbers.next();
-  out.Kind = load.What.Version == Engine.Version ? OrderKind::LoadAdapter
-                                                 : OrderKind::LoadWeights;
-  out.Version = load.What.Version;
-  out.Adapter = load.What.Adapter;
+  out.Kind = load.Target.Version == Engine.Version ? OrderKind::LoadAdapter
+                                                   : OrderKind::LoadWeights;
+  out.Version = load.Target.Version;
+  out.Adapter = load.Target.Adapter;
   out.Fence = load.Fence;
   step.Out.push_back(std::move(out));
 }
 
 std::string AgentCore::Impl::trustedVersion() const {
-  auto trusted = Swap.trusted();
+  auto trusted = Swap.confirmedVersion();
   return trusted ? trusted->Version : std::string();
 }
 
--- a/src/swap/converge.h
+++ b/src/swap/converge.h
@@ -32,17 +32,17 @@
   bool InService = true;         ///< Not drained by an operator.
   bool Leaving = false;          ///< The process is about to end.
 
-  bool EngineReachable = false;
+  bool ServerReachable = false;
   WeightVersion Loaded;
   bool Loading = false;
-  uint64_t EngineFence = 0;
-  uint32_t Running = 0; ///< Runs at the server that were not ended yet.
+  uint64_t ServerFence = 0;
+  uint32_t ActiveRuns = 0; ///< Runs at the server that were not ended yet.
   bool operator==(const SwapView &) const = default;
 };
 
 /// Order the server to load; its answer is given to onOrder().
 struct LoadOrder {
-  WeightVersion What;
+  WeightVersion Target;
   uint64_t Fence = 0;
   bool operator==(const LoadOrder &) const = default;
 };
@@ -63,61 +63,62 @@
 /// Stable lower-case name: "waiting_for_slot".
 std::string_view swapStateName(SwapState state);
 
-struct ConvergeInit {
+struct ConvergerInit {
   LoadSlotInit Slot;
   uint32_t Slots = LoadSlots;
   /// An order that has not shown in the server's status by then is sent again.
   Duration LoadTimeout{15'000'000};
   /// Orders without success, after which the slot is left to others for a
   /// while.
-  uint32_t MaxOrders = 3;
-  Duration GiveUpFor{10'000'000};
+  uint32_t MaxOrderAttempts = 3;
+  Duration FailureBackoff{10'000'000};
 };
 
 /// Not thread-safe; one per agent.
-class Converge {
+class Converger {
 public:
-  Converge(ConvergeInit init, RandomSource random, EventSink events);
+  Converger(ConvergerInit init, RandomSource random, EventSink events);
 
   /// Whenever the view changed, and when nextTimer() has come.
   SwapActions update(const SwapView &view, TimePoint now);
   /// A call to the key-value service was answered.
-  SwapActions on(const SlotResult &result, TimePoint now);
+  SwapActions onSlotResult(const SlotResult &result, TimePoint now);
   /// The server answered a LoadOrder. Kind Conflict: it has seen `fence`.
   SwapActions onOrder(const Error &why, uint64_t fence, TimePoint now);
 
   /// New requests are refused, so that the server can drain and load.
-  bool holdsNewWork() const;
-  SwapState state() const { return Current; }
+  bool refusesNewRequests() const;
+  SwapState state() const { return CurrentState; }
   std::optional<TimePoint> nextTimer() const;
   /// The version that the server surely runs; nothing while it is loading, or
   /// when it was changed by somebody else. Without it, no kept context may be
   /// imported.
-  std::optional<WeightVersion> trusted() const;
-  const FenceGuard &guard() const { return Guard; }
+  std::optional<WeightVersion> confirmedVersion() const;
+  const FenceGuard &fenceGuard() const { return Guard; }
 
 private:
   SwapActions step(TimePoint now);
   void observe(TimePoint now);
   SwapState decide(TimePoint now, SwapActions &out);
-  SwapState withoutSlot(TimePoint now, SwapActions &out);
-  SwapState withSlot(TimePoint now, SwapActions &out);
-  void order(TimePoint now, SwapActions &out);
-  void leaveSlot(TimePoint now, SwapActions &out);
+  SwapState decideWithoutSlot(TimePoint now, SwapActions &out);
+  SwapState decideWithSlot(TimePoint now, SwapActions &out);
+  void sendOrder(TimePoint now, SwapActions &out);
+  void releaseSlot(TimePoint now, SwapActions &out);
   uint32_t usableSlots() const;
   bool isConverged() const;
-  void note(EventKind kind, ErrorKind reason, std::string subject) const;
+  void emitEvent(EventKind kind, ErrorKind reason, std::string subject) const;
 
-  ConvergeInit Init;
+  ConvergerInit Init;
   EventSink Events;
   LoadSlot Slot;
   FenceGuard Guard;
   SwapView View;
-  SwapState Current = SwapState::Unreachable;
-  std::optional<WeightVersion> Ordered; ///< Sent, and not seen as loaded yet.
+  SwapState CurrentState = SwapState::Unreachable;
+  std::optional<WeightVersion>
+      OrderedVersion; ///< Sent, and not seen as loaded yet.
   TimePoint OrderedAt;
-  uint32_t Orders = 0;
-  std::optional<TimePoint> NotBefore; ///< After too many failed orders.
+  uint32_t OrderAttempts = 0;
+  std::optional<TimePoint> RetryNotBefore; ///< After too many failed orders.
   bool HadSlot = false;
 };
 
--- a/src/swap/fence.cpp
+++ b/src/swap/fence.cpp
@@ -19,14 +19,15 @@
 void FenceGuard::observe(uint64_t fence) { Highest = std::max(Highest, fence); }
 
 void FenceGuard::expect(std::string version, std::string adapter) {
-  Expecting = true;
-  Version = std::move(version);
-  Adapter = std::move(adapter);
+  HasExpectation = true;
+  ExpectedVersion = std::move(version);
+  ExpectedAdapter = std::move(adapter);
 }
 
-bool FenceGuard::isStray(const std::string &version,
-                         const std::string &adapter) const {
-  return Expecting && (version != Version || adapter != Adapter);
+bool FenceGuard::isUnexpected(const std::string &version,
+                              const std::string &adapter) const {
+  return HasExpectation &&
+         (version != ExpectedVersion || adapter != ExpectedAdapter);
 }
 
 } // namespace daisytack::swap
--- a/src/swap/fence.h
+++ b/src/swap/fence.h
@@ -26,13 +26,14 @@
   /// that says otherwise without a newer order from here was given one by
   /// another process, for instance by a predecessor that woke up.
   void expect(std::string version, std::string adapter);
-  bool isStray(const std::string &version, const std::string &adapter) const;
+  bool isUnexpected(const std::string &version,
+                    const std::string &adapter) const;
 
 private:
   uint64_t Highest = 0;
-  bool Expecting = false;
-  std::string Version;
-  std::string Adapter;
+  bool HasExpectation = false;
+  std::string ExpectedVersion;
+  std::string ExpectedAdapter;
 };
 
 } // namespace daisytack::swap
--- a/src/swap/load_slots.cpp
+++ b/src/swap/load_slots.cpp
@@ -25,59 +25,64 @@
 }
 
 LoadSlot::LoadSlot(LoadSlotInit init, RandomSource random)
-    : Init(std::move(init)), Random(std::move(random)), Term(Init.Term) {}
+    : Init(std::move(init)), Random(std::move(random)),
+      SlotLease(Init.LeaseSettings) {}
 
 std::string LoadSlot::slotKey(uint32_t slot) const {
   return slotPrefix(Init.Model) + std::to_string(slot);
 }
 
-SlotCall LoadSlot::call(State next, decltype(SlotCall::What) what,
-                        TimePoint now) {
-  At = next;
+SlotCall LoadSlot::startCall(State next,
+                             decltype(SlotCall::Operation) operation,
+                             TimePoint now) {
+  CurrentState = next;
   AskedAt = now;
-  Awaited = ++Calls;
-  return {Calls, std::move(what)};
+  AwaitedCall = ++LastCallNumber;
+  return {LastCallNumber, std::move(operation)};
 }
 
-std::optional<SlotCall> LoadSlot::acquire(uint32_t usable, uint32_t waiting,
-                                          TimePoint now) {
-  if (At != State::Idle || now < NextTry || usable == 0)
+std::optional<SlotCall> LoadSlot::acquire(uint32_t usableSlots,
+                                          uint32_t competitors, TimePoint now) {
+  if (CurrentState != State::Idle || now < NextAttempt || usableSlots == 0)
     return std::nullopt;
-  Usable = usable;
-  Waiting = waiting;
+  UsableSlots = usableSlots;
+  Competitors = competitors;
   edge::KvRange range;
   range.Begin = slotPrefix(Init.Model);
   range.End = edge::prefixEnd(range.Begin);
-  return call(State::Looking, std::move(range), now);
+  return startCall(State::ReadingSlots, std::move(range), now);
 }
 
-std::optional<SlotCall> LoadSlot::on(const SlotResult &result, TimePoint now) {
-  if (!Awaited || result.Number != *Awaited)
+std::optional<SlotCall> LoadSlot::onResult(const SlotResult &result,
+                                           TimePoint now) {
+  if (!AwaitedCall || result.Number != *AwaitedCall)
     return std::nullopt;
-  Awaited.reset();
-  if (auto *range = std::get_if<edge::KvRangeResult>(&result.What))
-    return At == State::Looking ? onSlots(*range, now) : onCheck(*range, now);
-  if (auto *written = std::get_if<edge::KvTransactionResult>(&result.What))
+  AwaitedCall.reset();
+  if (auto *range = std::get_if<edge::KvRangeResult>(&result.Response))
+    return CurrentState == State::ReadingSlots ? onSlotList(*range, now)
+                                               : onVerification(*range, now);
+  if (auto *written = std::get_if<edge::KvTransactionResult>(&result.Response))
     return onClaim(*written, now);
-  const auto &lease = std::get<edge::KvLeaseResult>(result.What);
-  if (At == State::Granting)
+  const auto &lease = std::get<edge::KvLeaseResult>(result.Response);
+  if (CurrentState == State::GrantingLease)
     return onGrant(lease, now);
-  onKeep(lease, now);
+  onRenewal(lease, now);
   return std::nullopt;
 }
 
 /// A read first: reads are cheaper for the service than leases, and most tries
 /// of a large model find no slot free.
-std::optional<SlotCall> LoadSlot::onSlots(const edge::KvRangeResult &result,
-                                          TimePoint now) {
+std::optional<SlotCall> LoadSlot::onSlotList(const edge::KvRangeResult &result,
+                                             TimePoint now) {
   if (result.Header.Status != edge::KvStatus::Ok)
     return giveUp(now);
-  for (Slot = 0; Slot < Usable; ++Slot) {
+  for (Slot = 0; Slot < UsableSlots; ++Slot) {
     auto taken = [&](const edge::KvEntry &it) {
       return it.Key == slotKey(Slot);
     };
     if (std::none_of(result.Entries.begin(), result.Entries.end(), taken))
-      return call(State::Granting, GrantLease{Init.Term.TimeToLive}, now);
+      return startCall(State::GrantingLease,
+                       GrantLease{Init.LeaseSettings.TimeToLive}, now);
   }
   return giveUp(now);
 }
@@ -86,106 +91,106 @@
                                           TimePoint now) {
   if (result.Header.Status != edge::KvStatus::Ok || result.Lease == 0)
     return giveUp(now);
-  Term.granted(result.Lease, result.TimeLeft, AskedAt);
+  SlotLease.granted(result.Lease, result.TimeLeft, AskedAt);
   edge::KvTransaction out;
   out.If.push_back({slotKey(Slot), edge::KvCompare::Target::CreateRevision, 0});
   out.Then.push_back({slotKey(Slot), Init.Instance + ' ' + toHex(Init.Process),
                       result.Lease, false});
   out.ReadOnFailure.push_back(slotKey(Slot));
-  return call(State::Claiming, std::move(out), now);
+  return startCall(State::ClaimingSlot, std::move(out), now);
 }
 
 std::optional<SlotCall>
 LoadSlot::onClaim(const edge::KvTransactionResult &result, TimePoint now) {
   if (result.Header.Status == edge::KvStatus::Ok) {
-    hold(result.Header.Revision);
+    markHeld(result.Header.Revision);
     return std::nullopt;
   }
   if (result.Header.Status != edge::KvStatus::Unknown)
     return giveUp(now);
   edge::KvRange range;
   range.Begin = slotKey(Slot);
-  return call(State::Checking, std::move(range), now);
+  return startCall(State::VerifyingClaim, std::move(range), now);
 }
 
 /// A claim whose answer was lost holds only if it can be seen. One that is
 /// applied later fails with its lease, which giveUp() revokes.
-std::optional<SlotCall> LoadSlot::onCheck(const edge::KvRangeResult &result,
-                                          TimePoint now) {
+std::optional<SlotCall>
+LoadSlot::onVerification(const edge::KvRangeResult &result, TimePoint now) {
   if (result.Header.Status != edge::KvStatus::Ok || result.Entries.empty() ||
-      !isOurs(result.Entries.front()))
+      !isOwnClaim(result.Entries.front()))
     return giveUp(now);
-  hold(result.Entries.front().CreateRevision);
+  markHeld(result.Entries.front().CreateRevision);
   return std::nullopt;
 }
 
-void LoadSlot::hold(uint64_t fence) {
-  At = State::Held;
+void LoadSlot::markHeld(uint64_t fence) {
+  CurrentState = State::Held;
   Fence = fence;
-  NextRenewal = *Term.renewAt();
+  NextRenewal = *SlotLease.renewAt();
 }
 
-bool LoadSlot::isOurs(const edge::KvEntry &entry) const {
-  return entry.Lease == Term.id() &&
+bool LoadSlot::isOwnClaim(const edge::KvEntry &entry) const {
+  return entry.Lease == SlotLease.id() &&
          entry.Value == Init.Instance + ' ' + toHex(Init.Process);
 }
 
-void LoadSlot::onKeep(const edge::KvLeaseResult &result, TimePoint now) {
+void LoadSlot::onRenewal(const edge::KvLeaseResult &result, TimePoint now) {
   // Without an answer the lease stands as it is and runs out by itself.
-  NextRenewal = now + Init.LeastRetry;
+  NextRenewal = now + Init.MinRetryDelay;
   if (result.Header.Status != edge::KvStatus::Ok)
     return;
-  Term.renewed(result.Lease, result.TimeLeft, AskedAt);
-  NextRenewal = Term.renewAt().value_or(now);
+  SlotLease.renewed(result.Lease, result.TimeLeft, AskedAt);
+  NextRenewal = SlotLease.renewAt().value_or(now);
 }
 
 std::optional<SlotCall> LoadSlot::giveUp(TimePoint now) {
-  double seconds = static_cast<double>(Waiting) / Init.AttemptsPerSecond;
+  double seconds = static_cast<double>(Competitors) / Init.AttemptsPerSecond;
   auto mean = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(seconds));
-  NextTry = now + jittered(std::max(mean, Init.LeastRetry), Random);
+  NextAttempt = now + jittered(std::max(mean, Init.MinRetryDelay), Random);
   return release(now);
 }
 
 std::optional<SlotCall> LoadSlot::release(TimePoint now) {
-  At = State::Idle;
-  Awaited.reset();
+  CurrentState = State::Idle;
+  AwaitedCall.reset();
   Fence = 0;
-  uint64_t lease = Term.id();
-  Term.lost();
+  uint64_t lease = SlotLease.id();
+  SlotLease.lost();
   if (lease == 0)
     return std::nullopt;
-  SlotCall out = call(State::Idle, RevokeLease{lease}, now);
-  Awaited.reset();
+  SlotCall out = startCall(State::Idle, RevokeLease{lease}, now);
+  AwaitedCall.reset();
   return out;
 }
 
 std::optional<SlotCall> LoadSlot::onTimer(TimePoint now) {
-  if (At == State::Held && Term.hasLapsed(now))
+  if (CurrentState == State::Held && SlotLease.hasLapsed(now))
     return giveUp(now);
-  if (Awaited && now >= AskedAt + Init.CallTimeout) {
-    Awaited.reset();
-    if (At != State::Held)
+  if (AwaitedCall && now >= AskedAt + Init.CallTimeout) {
+    AwaitedCall.reset();
+    if (CurrentState != State::Held)
       return giveUp(now);
   }
-  if (At == State::Held && !Awaited && now >= NextRenewal)
-    return call(State::Held, KeepLease{Term.id()}, now);
+  if (CurrentState == State::Held && !AwaitedCall && now >= NextRenewal)
+    return startCall(State::Held, KeepLease{SlotLease.id()}, now);
   return std::nullopt;
 }
 
 std::optional<uint64_t> LoadSlot::fence(TimePoint now) const {
-  if (At != State::Held || !Term.mayAct(now))
+  if (CurrentState != State::Held || !SlotLease.mayAct(now))
     return std::nullopt;
   return Fence;
 }
 
 std::optional<TimePoint> LoadSlot::nextTimer() const {
-  if (At == State::Idle)
-    return NextTry;
-  if (At != State::Held)
+  if (CurrentState == State::Idle)
+    return NextAttempt;
+  if (CurrentState != State::Held)
     return AskedAt + Init.CallTimeout;
-  TimePoint next = Awaited ? AskedAt + Init.CallTimeout : NextRenewal;
-  return std::min(next, Term.endsAt().value_or(next));
+  TimePoint next = AwaitedCall ? AskedAt + Init.CallTimeout : NextRenewal;
+  return std::min(next, SlotLease.endsAt().value_or(next));
 }
 
 } // namespace daisytack::swap
--- a/src/swap/load_slots.h
+++ b/src/swap/load_slots.h
@@ -37,24 +37,24 @@
   uint64_t Number = 0;
   std::variant<edge::KvRange, edge::KvTransaction, GrantLease, KeepLease,
                RevokeLease>
-      What;
+      Operation;
 };
 
 struct SlotResult {
   uint64_t Number = 0;
   std::variant<edge::KvRangeResult, edge::KvTransactionResult,
                edge::KvLeaseResult>
-      What;
+      Response;
 };
 
 struct LoadSlotInit {
   std::string Model;
   std::string Instance;
   Incarnation Process;
-  LeaseInit Term;
+  LeaseInit LeaseSettings;
   /// Attempts of all servers of the model together to take a slot, per second.
   double AttemptsPerSecond = 8;
-  Duration LeastRetry{250'000};
+  Duration MinRetryDelay{250'000};
   /// A call without result counts as unknown after this.
   Duration CallTimeout{5'000'000};
 };
@@ -69,9 +69,9 @@
 
   /// Tries to take one of the first `usable` slots, when it is time for a try.
   /// Waiting is the number of servers that compete for them.
-  std::optional<SlotCall> acquire(uint32_t usable, uint32_t waiting,
+  std::optional<SlotCall> acquire(uint32_t usableSlots, uint32_t competitors,
                                   TimePoint now);
-  std::optional<SlotCall> on(const SlotResult &result, TimePoint now);
+  std::optional<SlotCall> onResult(const SlotResult &result, TimePoint now);
   /// Renews when it is due, and gives up on a call that was never answered.
   std::optional<SlotCall> onTimer(TimePoint now);
   std::optional<SlotCall> release(TimePoint now);
@@ -82,49 +82,51 @@
   /// Number of the slot that is held or tried for.
   uint32_t slot() const { return Slot; }
   /// True from the first call of a try until it is released or lapses.
-  bool isBusy() const { return At != State::Idle; }
+  bool isBusy() const { return CurrentState != State::Idle; }
   bool isHeld(TimePoint now) const {
-    return At == State::Held && !Term.hasLapsed(now);
+    return CurrentState == State::Held && !SlotLease.hasLapsed(now);
   }
   std::optional<TimePoint> nextTimer() const;
 
 private:
   enum class State : uint8_t {
     Idle,
-    Looking,
-    Granting,
-    Claiming,
-    Checking,
+    ReadingSlots,
+    GrantingLease,
+    ClaimingSlot,
+    VerifyingClaim,
     Held
   };
 
-  SlotCall call(State next, decltype(SlotCall::What) what, TimePoint now);
+  SlotCall startCall(State next, decltype(SlotCall::Operation) operation,
+                     TimePoint now);
   std::optional<SlotCall> giveUp(TimePoint now);
-  std::optional<SlotCall> onSlots(const edge::KvRangeResult &result,
-                                  TimePoint now);
+  std::optional<SlotCall> onSlotList(const edge::KvRangeResult &result,
+                                     TimePoint now);
   std::optional<SlotCall> onGrant(const edge::KvLeaseResult &result,
                                   TimePoint now);
   std::optional<SlotCall> onClaim(const edge::KvTransactionResult &result,
                                   TimePoint now);
-  std::optional<SlotCall> onCheck(const edge::KvRangeResult &result,
-                                  TimePoint now);
-  void onKeep(const edge::KvLeaseResult &result, TimePoint now);
-  void hold(uint64_t fence);
-  bool isOurs(const edge::KvEntry &entry) const;
+  std::optional<SlotCall> onVerification(const edge::KvRangeResult &result,
+                                         TimePoint now);
+  void onRenewal(const edge::KvLeaseResult &result, TimePoint now);
+  void markHeld(uint64_t fence);
+  bool isOwnClaim(const edge::KvEntry &entry) const;
   std::string slotKey(uint32_t slot) const;
 
   LoadSlotInit Init;
   RandomSource Random;
-  Lease Term;
-  State At = State::Idle;
-  uint32_t Usable = 0;
-  uint32_t Waiting = 0;
+  Lease SlotLease;
+  State CurrentState = State::Idle;
+  uint32_t UsableSlots = 0;
+  uint32_t Competitors = 0;
   uint32_t Slot = 0;
   uint64_t Fence = 0;
-  uint64_t Calls = 0;
-  std::optional<uint64_t> Awaited; ///< Number of the call whose result counts.
+  uint64_t LastCallNumber = 0;
+  std::optional<uint64_t>
+      AwaitedCall; ///< Number of the call whose result counts.
   TimePoint AskedAt;
-  TimePoint NextTry;
+  TimePoint NextAttempt;
   TimePoint NextRenewal;
 };
 
--- a/tests/matrix/agent_host.cpp
+++ b/tests/matrix/agent_host.cpp
@@ -214,7 +214,7 @@
 }
 
 void AgentHost::tellSlot(uint64_t number,
-                         decltype(swap::SlotResult::What) result) {
+                         decltype(swap::SlotResult::Response) result) {
   On.After(Duration(0), [this, number, result = std::move(result)] {
     apply(SlotAnswer{{number, result}});
   });
@@ -228,30 +228,31 @@
   auto onLease = [this, tell](auto act) {
     Outside.call<edge::KvLeaseResult>(act, tell);
   };
-  if (const auto *range = std::get_if<edge::KvRange>(&call.What))
+  if (const auto *range = std::get_if<edge::KvRange>(&call.Operation))
     Outside.call<edge::KvRangeResult>(
         [range = *range](test::FakeKv &kv, TimePoint now) {
           return kv.range(range, now);
         },
         tell);
-  else if (const auto *write = std::get_if<edge::KvTransaction>(&call.What)) {
+  else if (const auto *write =
+               std::get_if<edge::KvTransaction>(&call.Operation)) {
     On.Reached(Step::Lease);
     Outside.call<edge::KvTransactionResult>(
         [write = *write](test::FakeKv &kv, TimePoint now) {
           return kv.commit(write, now);
         },
         tell);
-  } else if (const auto *grant = std::get_if<swap::GrantLease>(&call.What))
+  } else if (const auto *grant = std::get_if<swap::GrantLease>(&call.Operation))
     onLease([time = grant->TimeToLive](test::FakeKv &kv, TimePoint now) {
       return kv.grant(time, now);
     });
-  else if (const auto *keep = std::get_if<swap::KeepLease>(&call.What))
+  else if (const auto *keep = std::get_if<swap::KeepLease>(&call.Operation))
     onLease([lease = keep->Lease](test::FakeKv &kv, TimePoint now) {
       return kv.keep(lease, now);
     });
   else
     onLease(
-        [lease = std::get<swap::RevokeLease>(call.What).Lease](
+        [lease = std::get<swap::RevokeLease>(call.Operation).Lease](
             test::FakeKv &kv, TimePoint now) { return kv.revoke(lease, now); });
 }
 
--- a/tests/matrix/agent_host.h
+++ b/tests/matrix/agent_host.h
@@ -62,7 +62,7 @@
   void on(const serve::StopStoreCall &action);
   void on(const serve::RecordEvent &action);
   void answerStore(serve::CallId call, serve::StoreResult result);
-  void tellSlot(uint64_t number, decltype(swap::SlotResult::What) result);
+  void tellSlot(uint64_t number, decltype(swap::SlotResult::Response) result);
   void checkExit();
 
   std::string Name;
--- a/tests/once/at_most_once_test.cpp
+++ b/tests/once/at_most_once_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr size_t StepsOfSchedule = 60;
+constexpr size_t ScheduleLength = 60;
 
 std::string runSchedule(const std::vector<Step> &schedule, Defect defect,
                         size_t *runs = nullptr) {
@@ -26,7 +26,7 @@
 
 std::vector<Step> randomSchedule(std::mt19937_64 &random) {
   std::vector<Step> out;
-  for (size_t i = 0; i < StepsOfSchedule; ++i)
+  for (size_t i = 0; i < ScheduleLength; ++i)
     out.push_back(
         {static_cast<StepKind>(random() % static_cast<size_t>(StepKind::Count)),
          static_cast<uint8_t>(random())});
@@ -42,9 +42,9 @@
 }
 
 /// Schedules until the defect shows; 0 when none of them shows it.
-size_t schedulesUntilFound(Defect defect, size_t most) {
+size_t schedulesUntilViolation(Defect defect, size_t maxSchedules) {
   std::mt19937_64 random(20261202);
-  for (size_t i = 1; i <= most; ++i)
+  for (size_t i = 1; i <= maxSchedules; ++i)
     if (!runSchedule(randomSchedule(random), defect).empty())
       return i;
   return 0;
@@ -84,8 +84,8 @@
 class SeededDefectTest : public ::testing::TestWithParam<SeededDefect> {};
 
 TEST_P(SeededDefectTest, IsFound) {
-  constexpr size_t Most = 20'000;
-  size_t n = schedulesUntilFound(GetParam().Kind, Most);
+  constexpr size_t MaxSchedules = 20'000;
+  size_t n = schedulesUntilViolation(GetParam().Kind, MaxSchedules);
   EXPECT_GT(n, 0U);
   RecordProperty("schedules", static_cast<int>(n));
 }
--- a/tests/once/key_binding_test.cpp
+++ b/tests/once/key_binding_test.cpp
@@ -55,7 +55,7 @@
             (KeyBound{ticketOf("a"), true}));
 }
 
-TEST(KeyBinding, TheOtherEntrysTicketWins) {
+TEST(KeyBinding, ReturnsTheTicketThatIsAlreadyBound) {
   KeyBinding binding(request());
   binding.start();
   auto lost = committed(KvStatus::CompareFailed);
@@ -64,7 +64,7 @@
             (KeyBound{ticketOf("b"), false}));
 }
 
-TEST(KeyBinding, ALostAnswerIsReadBack) {
+TEST(KeyBinding, ReadsTheBindingBackAfterALostAnswer) {
   KeyBinding binding(request());
   binding.start();
   ASSERT_TRUE(std::holds_alternative<KvRange>(
@@ -74,7 +74,7 @@
             (KeyBound{ticketOf("a"), true}));
 }
 
-TEST(KeyBinding, AnAbsentKeyIsCreatedAgainWithinItsCalls) {
+TEST(KeyBinding, RetriesTheCreateOfAnAbsentKeyUpToMaxCalls) {
   KeyBinding binding(request());
   BindStep step = binding.start();
   uint32_t calls = 0;
@@ -88,14 +88,14 @@
   EXPECT_EQ(refusalOf(step), ErrorKind::ServiceUnknown);
 }
 
-TEST(KeyBinding, AnOutageRefuses) {
+TEST(KeyBinding, RefusesDuringAnOutage) {
   KeyBinding binding(request());
   binding.start();
   EXPECT_EQ(refusalOf(binding.onCommit(committed(KvStatus::Unavailable))),
             ErrorKind::ServiceUnavailable);
 }
 
-TEST(KeyBinding, AnOutageAfterALostAnswerIsUnknown) {
+TEST(KeyBinding, ReportsUnknownAfterALostAnswerAndAnOutage) {
   KeyBinding binding(request());
   binding.start();
   binding.onCommit(committed(KvStatus::Unknown));
@@ -104,7 +104,7 @@
   EXPECT_EQ(refusalOf(binding.onRange(down)), ErrorKind::ServiceUnknown);
 }
 
-TEST(KeyBinding, AnUnreadableBindingRefuses) {
+TEST(KeyBinding, RefusesAnUnreadableBinding) {
   for (const char *value : {"x", "00 dt1:", "garbage"}) {
     KeyBinding binding(request());
     binding.start();
@@ -126,12 +126,12 @@
   EXPECT_FALSE(budget.take(now, reason));
 }
 
-TEST(BindingLease, IsReusedForAnHour) {
+TEST(BindingLease, IsReusedWithinTheReuseWindow) {
   BindingLease lease({});
   TimePoint asked(Duration(5));
   EXPECT_FALSE(lease.current(asked));
   lease.granted(77, asked);
-  Duration hour = lease.settings().ReuseFor;
+  Duration hour = lease.settings().ReuseWindow;
   EXPECT_EQ(lease.current(asked + hour - Duration(1)), 77U);
   EXPECT_FALSE(lease.current(asked + hour));
 }
--- a/tests/once/once_world.cpp
+++ b/tests/once/once_world.cpp
@@ -36,15 +36,15 @@
   init.Instance = Fleet[agent].Name;
   init.Process = {agent + 1, 1};
   if (Seeded != Defect::RestartKeepsIncarnation)
-    init.Process.Lo = ++Drawn;
+    init.Process.Lo = ++DrawnNumbers;
   init.Secret = toHex(init.Process);
   init.TicketLife = TicketLife;
   init.MaxRecords = MaxRecords;
-  init.MaxAnswerBytes = 4 * sizeof(KeptAnswer);
+  init.MaxAnswerBytes = 4 * sizeof(StoredAnswer);
   if (Seeded == Defect::RefusalForgotten)
     init.MaxWithdrawn = 0;
   Fleet[agent].Ledger = std::make_unique<TicketLedger>(
-      init, [this] { return ++Drawn; }, nullptr);
+      init, [this] { return ++DrawnNumbers; }, nullptr);
   std::erase_if(Running, [&](const Run &it) { return it.Agent == agent; });
 }
 
@@ -52,13 +52,13 @@
   return Now + Fleet[agent].ClockOffset;
 }
 
-std::optional<OnceWorld::HeldTicket> OnceWorld::issue(size_t agent) {
+std::optional<OnceWorld::IssuedTicket> OnceWorld::issue(size_t agent) {
   Error reason;
   TimePoint now = clockOf(agent);
   auto text = Fleet[agent].Ledger->issue(Organisations[0], now, reason);
   if (!text)
     return std::nullopt;
-  return HeldTicket{*text, now + TicketLife, agent};
+  return IssuedTicket{*text, now + TicketLife, agent};
 }
 
 Presentation OnceWorld::submission(uint8_t choice) {
@@ -89,8 +89,8 @@
 void OnceWorld::submitTicket(uint8_t choice) {
   if (Tickets.empty())
     return;
-  const HeldTicket &ticket = Tickets[(choice / 16) % Tickets.size()];
-  if (ticket.OfKey)
+  const IssuedTicket &ticket = Tickets[(choice / 16) % Tickets.size()];
+  if (ticket.BoundToKey)
     return;
   send(ticket.Text, submission(choice), ticket.Text);
 }
@@ -100,11 +100,12 @@
   auto ticket = issue(agent);
   if (!ticket)
     return;
-  ticket->OfKey = true;
+  ticket->BoundToKey = true;
   Tickets.push_back(*ticket);
   std::string key = "key-" + std::to_string((choice / 4) % 3);
   Presentation what = submission(choice);
-  BindRequest request{what.Organisation, key, ticket->Text, {1, ++Drawn}, 5};
+  BindRequest request{
+      what.Organisation, key, ticket->Text, {1, ++DrawnNumbers}, 5};
   KeyBinding machine(request);
   BindStep next = machine.start();
   advance({std::move(machine), what, what.Organisation + "/" + key, {}},
@@ -113,11 +114,11 @@
 
 void OnceWorld::advance(Binding binding, BindStep next) {
   if (auto *bound = std::get_if<KeyBound>(&next)) {
-    send(bound->Ticket, binding.What, binding.Call);
+    send(bound->Ticket, binding.Submission, binding.Call);
     return;
   }
   if (std::holds_alternative<KeyRefused>(next)) {
-    told({0, binding.What, binding.Call, Now}, Outcome::NotRun);
+    recordOutcome({0, binding.Submission, binding.Call, Now}, Outcome::NotRun);
     return;
   }
   binding.Next = std::move(next);
@@ -183,7 +184,7 @@
   if (!message)
     return;
   // The links' one assumption: a message isn't older than a ticket's life.
-  if (message->What.Ticket.empty() && Now - message->SentAt >= TicketLife)
+  if (message->Submission.Ticket.empty() && Now - message->SentAt >= TicketLife)
     return;
   bool drained = step.Kind == StepKind::DeliverToDrained ||
                  step.Kind == StepKind::DeliverToDrainedTwice;
@@ -191,41 +192,43 @@
       step.Kind == StepKind::DeliverToDrainedTwice)
     InFlight.push_back(*message);
   size_t agent = message->Agent;
-  if (step.Kind == StepKind::Misdeliver && !message->What.Ticket.empty())
+  if (step.Kind == StepKind::DeliverToOtherAgent &&
+      !message->Submission.Ticket.empty())
     agent = (agent + 1) % Agents;
   present(agent, *message, drained);
 }
 
 void OnceWorld::present(size_t agent, const Message &message, bool drained) {
   TicketLedger &ledger = *Fleet[agent].Ledger;
-  TicketVerdict verdict = ledger.present(message.What, clockOf(agent));
+  TicketVerdict verdict = ledger.present(message.Submission, clockOf(agent));
   using Action = TicketVerdict::Action;
-  if (verdict.Do == Action::Ignore && Seeded == Defect::DuplicateRunsAgain)
-    handOver(agent, verdict.Key, message);
-  if (verdict.Do == Action::Refuse)
-    told(message, verdict.Ran);
-  if (verdict.Do == Action::Repeat) {
-    told(message, Outcome::Completed);
-    if (verdict.Answer->Body != message.What.Organisation)
+  if (verdict.Decision == Action::Ignore &&
+      Seeded == Defect::DuplicateRunsAgain)
+    startRun(agent, verdict.Key, message);
+  if (verdict.Decision == Action::Refuse)
+    recordOutcome(message, verdict.Ran);
+  if (verdict.Decision == Action::Replay) {
+    recordOutcome(message, Outcome::Completed);
+    if (verdict.Answer->Body != message.Submission.Organisation)
       fail("an answer reached another organisation");
   }
-  if (verdict.Do != Action::Run)
+  if (verdict.Decision != Action::Run)
     return;
   if (drained) {
     ledger.withdraw(verdict.Key, clockOf(agent));
-    told(message, Outcome::NotRun);
+    recordOutcome(message, Outcome::NotRun);
     return;
   }
-  handOver(agent, verdict.Key, message);
+  startRun(agent, verdict.Key, message);
 }
 
-void OnceWorld::handOver(size_t agent, const TicketKey &key,
+void OnceWorld::startRun(size_t agent, const TicketKey &key,
                          const Message &message) {
   ++TotalRuns;
-  std::pair submission{message.What.Id, message.What.Try};
+  std::pair submission{message.Submission.Id, message.Submission.Try};
   if (++RunsOfCall[message.Call] > 1)
     fail("a call ran twice: " + message.Call);
-  if (ToldNotRun.contains(submission))
+  if (ReportedNotRun.contains(submission))
     fail("a submission ran that was told not_run");
   RanSubmissions.insert(submission);
   Running.push_back({agent, key, message});
@@ -233,10 +236,10 @@
     Fleet[agent].Ledger->withdraw(key, clockOf(agent));
 }
 
-void OnceWorld::told(const Message &message, Outcome outcome) {
-  std::pair submission{message.What.Id, message.What.Try};
+void OnceWorld::recordOutcome(const Message &message, Outcome outcome) {
+  std::pair submission{message.Submission.Id, message.Submission.Try};
   if (outcome == Outcome::NotRun) {
-    ToldNotRun.insert(submission);
+    ReportedNotRun.insert(submission);
     if (RanSubmissions.contains(submission))
       fail("not_run was told of a submission that ran");
   }
@@ -248,8 +251,8 @@
   if (Running.empty())
     return;
   auto it = Running.begin() + static_cast<long>(choice % Running.size());
-  KeptAnswer answer;
-  answer.Body = it->By.What.Organisation;
+  StoredAnswer answer;
+  answer.Body = it->Origin.Submission.Organisation;
   if (!completed) {
     answer.End.Ran = Outcome::MayHaveRun;
     answer.End.Kind = ErrorKind::ServerLost;
@@ -258,10 +261,10 @@
   Running.erase(it);
 }
 
-void OnceWorld::passToExpiry(uint8_t choice) {
+void OnceWorld::advanceToExpiry(uint8_t choice) {
   if (Tickets.empty())
     return;
-  const HeldTicket &ticket = Tickets[choice % Tickets.size()];
+  const IssuedTicket &ticket = Tickets[choice % Tickets.size()];
   TimePoint expiry = ticket.ExpiresAt - Fleet[ticket.Agent].ClockOffset;
   if (expiry > Now)
     Now = expiry - Duration(choice % 2);
@@ -296,20 +299,20 @@
     return serveKv(step.Kind);
   case StepKind::Deliver:
   case StepKind::DeliverTwice:
-  case StepKind::Misdeliver:
+  case StepKind::DeliverToOtherAgent:
   case StepKind::DeliverToDrained:
   case StepKind::DeliverToDrainedTwice:
     return deliver(step);
   case StepKind::FinishRun:
-  case StepKind::LoseRun:
+  case StepKind::FailRun:
     return endRun(step.Choice, step.Kind == StepKind::FinishRun);
   case StepKind::RestartAgent:
     return restart(step.Choice % Agents);
-  case StepKind::PassTime:
+  case StepKind::AdvanceTime:
     Now += ShortWait;
     return;
-  case StepKind::PassTimeToExpiry:
-    return passToExpiry(step.Choice);
+  case StepKind::AdvanceTimeToExpiry:
+    return advanceToExpiry(step.Choice);
   case StepKind::Count:
     return;
   }
--- a/tests/once/once_world.h
+++ b/tests/once/once_world.h
@@ -27,14 +27,14 @@
   RefuseKv,     ///< The service is down: surely not applied.
   Deliver,      ///< A message reaches its agent.
   DeliverTwice, ///< It stays in flight as well: duplicated, crossed or late.
-  Misdeliver,   ///< It reaches another agent.
-  DeliverToDrained, ///< The agent refuses it for a reason of its own.
+  DeliverToOtherAgent, ///< It reaches another agent.
+  DeliverToDrained,    ///< The agent refuses it for a reason of its own.
   DeliverToDrainedTwice,
   FinishRun,
-  LoseRun,
+  FailRun,
   RestartAgent, ///< Empty, with what was in flight to it still arriving.
-  PassTime,
-  PassTimeToExpiry, ///< To the very moment at which some ticket expires.
+  AdvanceTime,
+  AdvanceTimeToExpiry, ///< To the very moment at which some ticket expires.
   Count,
 };
 
@@ -71,32 +71,32 @@
   };
   struct Message {
     size_t Agent = 0;
-    Presentation What;
+    Presentation Submission;
     CallName Call;
     TimePoint SentAt;
   };
   struct Run {
     size_t Agent = 0;
     TicketKey Key;
-    Message By;
+    Message Origin;
   };
   struct Binding {
     KeyBinding Machine;
-    Presentation What; ///< Without its ticket.
+    Presentation Submission; ///< Without its ticket.
     CallName Call;
     BindStep Next;
   };
-  struct HeldTicket {
+  struct IssuedTicket {
     std::string Text;
     TimePoint ExpiresAt;
     size_t Agent = 0;
-    bool OfKey = false; ///< Known to entries only, not to callers.
+    bool BoundToKey = false; ///< Known to entries only, not to callers.
   };
 
   static constexpr size_t Agents = 2;
   void restart(size_t agent);
   TimePoint clockOf(size_t agent) const;
-  std::optional<HeldTicket> issue(size_t agent);
+  std::optional<IssuedTicket> issue(size_t agent);
   Presentation submission(uint8_t choice);
   void submitTicket(uint8_t choice);
   void submitOpaqueKey(uint8_t choice);
@@ -107,19 +107,19 @@
   edge::KvRangeResult read(const edge::KvRange &range) const;
   void deliver(const Step &step);
   void present(size_t agent, const Message &message, bool drained);
-  void handOver(size_t agent, const TicketKey &key, const Message &message);
-  void told(const Message &message, Outcome outcome);
+  void startRun(size_t agent, const TicketKey &key, const Message &message);
+  void recordOutcome(const Message &message, Outcome outcome);
   void endRun(uint8_t choice, bool completed);
-  void passToExpiry(uint8_t choice);
+  void advanceToExpiry(uint8_t choice);
   void fail(std::string what);
 
   Defect Seeded;
   std::string Violation;
-  uint64_t Drawn = 0;
+  uint64_t DrawnNumbers = 0;
   uint64_t Requests = 0;
   TimePoint Now{Duration(1'000'000)};
   std::vector<Agent> Fleet;
-  std::vector<HeldTicket> Tickets;
+  std::vector<IssuedTicket> Tickets;
   std::deque<Message> InFlight;
   std::deque<Binding> WaitingKv;
   std::vector<edge::KvTransaction> DelayedWrites;
@@ -128,7 +128,7 @@
   size_t TotalRuns = 0;
   std::map<CallName, size_t> RunsOfCall;
   std::set<std::pair<RequestId, Attempt>> RanSubmissions;
-  std::set<std::pair<RequestId, Attempt>> ToldNotRun;
+  std::set<std::pair<RequestId, Attempt>> ReportedNotRun;
 };
 
 } // namespace daisytack::test
--- a/tests/once/ticket_ledger_test.cpp
+++ b/tests/once/ticket_ledger_test.cpp
@@ -24,7 +24,7 @@
 class LedgerTest : public ::testing::Test {
 protected:
   TicketLedger make(TicketLedgerInit init) {
-    return {std::move(init), [this] { return ++Drawn; },
+    return {std::move(init), [this] { return ++DrawnNumbers; },
             [this](Event event) { Seen.push_back(std::move(event)); }};
   }
 
@@ -38,14 +38,14 @@
             {call, call},    {7, 7}, 0};
   }
 
-  static KeptAnswer completed(std::string body) {
-    KeptAnswer out;
+  static StoredAnswer completed(std::string body) {
+    StoredAnswer out;
     out.End.ServiceStatus = 200;
     out.Body = std::move(body);
     return out;
   }
 
-  uint64_t Drawn = 0;
+  uint64_t DrawnNumbers = 0;
   uint64_t Requests = 0;
   std::vector<Event> Seen;
 };
@@ -56,7 +56,7 @@
   auto ledger = make(makeInit());
   std::string ticket = issue(ledger, at(0));
   auto first = ledger.present(submission(ticket), at(1));
-  ASSERT_EQ(first.Do, Action::Run);
+  ASSERT_EQ(first.Decision, Action::Run);
 
   auto second = ledger.present(submission(ticket), at(2));
   EXPECT_EQ(second.Reason.Kind, ErrorKind::StillRunning);
@@ -64,7 +64,7 @@
 
   ledger.finish(first.Key, completed("done"), at(3));
   auto third = ledger.present(submission(ticket), at(4));
-  ASSERT_EQ(third.Do, Action::Repeat);
+  ASSERT_EQ(third.Decision, Action::Replay);
   EXPECT_EQ(third.Answer->Body, "done");
 
   auto other = ledger.present(submission(ticket, 2), at(5));
@@ -72,7 +72,7 @@
   EXPECT_EQ(other.Ran, Outcome::NotRun);
 }
 
-TEST_F(LedgerTest, TicketsOfOthersAreNeverRun) {
+TEST_F(LedgerTest, RefusesTicketsOfOtherProcessesOrganisationsAndSecrets) {
   auto ledger = make(makeInit());
   auto predecessor = makeInit();
   predecessor.Process = {6, 6};
@@ -93,13 +93,13 @@
   EXPECT_EQ(ledger.records(), 0U);
 }
 
-TEST_F(LedgerTest, ExpiryIsTheLastMomentOfRecordAndTicketAlike) {
+TEST_F(LedgerTest, RecordAndTicketExpireTogether) {
   auto ledger = make(makeInit());
   std::string ticket = issue(ledger, at(0));
   auto run = ledger.present(submission(ticket), at(1));
   ledger.finish(run.Key, completed("done"), at(2));
   TimePoint last = at(100) - Duration(1);
-  EXPECT_EQ(ledger.present(submission(ticket), last).Do, Action::Repeat);
+  EXPECT_EQ(ledger.present(submission(ticket), last).Decision, Action::Replay);
   EXPECT_EQ(ledger.records(), 1U);
   auto late = ledger.present(submission(ticket), at(100));
   EXPECT_EQ(late.Reason.Kind, ErrorKind::TicketExpired);
@@ -111,11 +111,11 @@
             ErrorKind::TicketExpired);
 }
 
-TEST_F(LedgerTest, ACallThatOutlivesItsTicketStaysRecorded) {
+TEST_F(LedgerTest, KeepsTheRecordOfACallThatOutlivesItsTicket) {
   auto ledger = make(makeInit());
   std::string ticket = issue(ledger, at(0));
   auto run = ledger.present(submission(ticket), at(99));
-  ASSERT_EQ(run.Do, Action::Run);
+  ASSERT_EQ(run.Decision, Action::Run);
   EXPECT_EQ(ledger.present(submission(ticket), at(200)).Reason.Kind,
             ErrorKind::StillRunning);
   ledger.finish(run.Key, completed("done"), at(300));
@@ -124,7 +124,7 @@
             ErrorKind::TicketExpired);
 }
 
-TEST_F(LedgerTest, AFullRecordRefusesAndForgetsNothing) {
+TEST_F(LedgerTest, RefusesNewCallsWhenFullAndKeepsAllRecords) {
   auto init = makeInit();
   init.MaxRecords = 2;
   auto ledger = make(init);
@@ -143,14 +143,14 @@
   EXPECT_FALSE(ledger.issue("org", at(2), reason));
   EXPECT_EQ(reason.Kind, ErrorKind::RecordFull);
   for (const auto &it : run)
-    EXPECT_EQ(ledger.present(submission(it), at(3)).Do, Action::Repeat);
+    EXPECT_EQ(ledger.present(submission(it), at(3)).Decision, Action::Replay);
   // Room comes back; the refused submission's duplicate still doesn't run.
-  EXPECT_EQ(ledger.present(spareSubmission, at(100)).Do, Action::Ignore);
+  EXPECT_EQ(ledger.present(spareSubmission, at(100)).Decision, Action::Ignore);
 }
 
-TEST_F(LedgerTest, AnswersMakeRoomRecordsDoNot) {
+TEST_F(LedgerTest, EvictsOldAnswersButKeepsTheirRecords) {
   auto init = makeInit();
-  init.MaxAnswerBytes = 3 * sizeof(KeptAnswer) + 3000;
+  init.MaxAnswerBytes = 3 * sizeof(StoredAnswer) + 3000;
   auto ledger = make(init);
   std::vector<std::string> tickets;
   for (int i = 0; i < 4; ++i) {
@@ -161,39 +161,40 @@
   auto oldest = ledger.present(submission(tickets[0]), at(2));
   EXPECT_EQ(oldest.Reason.Kind, ErrorKind::AnswerLost);
   EXPECT_EQ(oldest.Ran, Outcome::Completed);
-  EXPECT_EQ(ledger.present(submission(tickets[3]), at(2)).Do, Action::Repeat);
+  EXPECT_EQ(ledger.present(submission(tickets[3]), at(2)).Decision,
+            Action::Replay);
   EXPECT_LE(ledger.answerBytes(), init.MaxAnswerBytes);
   EXPECT_EQ(ledger.records(), 4U);
 }
 
-TEST_F(LedgerTest, AFailedCallIsNotRepeated) {
+TEST_F(LedgerTest, RefusesToRunAFailedCallAgain) {
   auto ledger = make(makeInit());
   std::string ticket = issue(ledger, at(0));
   auto run = ledger.present(submission(ticket), at(1));
-  KeptAnswer lost;
+  StoredAnswer lost;
   lost.End.Ran = Outcome::MayHaveRun;
   lost.End.Kind = ErrorKind::ServerLost;
   ledger.finish(run.Key, lost, at(2));
   auto repeat = ledger.present(submission(ticket), at(3));
-  EXPECT_EQ(repeat.Do, Action::Refuse);
+  EXPECT_EQ(repeat.Decision, Action::Refuse);
   EXPECT_EQ(repeat.Reason.Kind, ErrorKind::ServerLost);
   EXPECT_EQ(repeat.Ran, Outcome::MayHaveRun);
 }
 
-TEST_F(LedgerTest, WithdrawnSubmissionsStayRefusedWhenTheirMessageComesTwice) {
+TEST_F(LedgerTest, IgnoresADuplicateOfAWithdrawnSubmission) {
   auto ledger = make(makeInit());
   auto fresh = submission("");
   auto first = ledger.present(fresh, at(1));
-  ASSERT_EQ(first.Do, Action::Run);
-  EXPECT_EQ(ledger.present(fresh, at(1)).Do, Action::Ignore);
+  ASSERT_EQ(first.Decision, Action::Run);
+  EXPECT_EQ(ledger.present(fresh, at(1)).Decision, Action::Ignore);
   ledger.withdraw(first.Key, at(2));
-  EXPECT_EQ(ledger.present(fresh, at(3)).Do, Action::Ignore);
+  EXPECT_EQ(ledger.present(fresh, at(3)).Decision, Action::Ignore);
   EXPECT_EQ(ledger.records(), 0U);
   fresh.Try = 2;
-  EXPECT_EQ(ledger.present(fresh, at(4)).Do, Action::Run);
+  EXPECT_EQ(ledger.present(fresh, at(4)).Decision, Action::Run);
 }
 
-TEST_F(LedgerTest, ASubmissionWithoutTicketRunsOnlyInTheProcessItIsFor) {
+TEST_F(LedgerTest, RunsASubmissionWithoutTicketOnlyInItsProcess) {
   auto ledger = make(makeInit());
   auto fresh = submission("");
   fresh.Process = {6, 6};
@@ -202,7 +203,7 @@
   EXPECT_EQ(verdict.Ran, Outcome::MayHaveRun);
 }
 
-TEST_F(LedgerTest, TheSameIdByAnotherLinkIsARepeatAndNoDuplicate) {
+TEST_F(LedgerTest, TreatsTheSameIdOverAnotherLinkAsARepeat) {
   auto ledger = make(makeInit());
   std::string ticket = issue(ledger, at(0));
   auto first = submission(ticket);
@@ -211,17 +212,17 @@
   other.Link = 1;
   EXPECT_EQ(ledger.present(other, at(2)).Reason.Kind, ErrorKind::StillRunning);
   ledger.finish(run.Key, completed("done"), at(3));
-  EXPECT_EQ(ledger.present(other, at(4)).Do, Action::Repeat);
-  EXPECT_EQ(ledger.present(first, at(4)).Do, Action::Repeat);
+  EXPECT_EQ(ledger.present(other, at(4)).Decision, Action::Replay);
+  EXPECT_EQ(ledger.present(first, at(4)).Decision, Action::Replay);
 }
 
-TEST_F(LedgerTest, AWithdrawnTicketMayBePresentedAgain) {
+TEST_F(LedgerTest, AcceptsAWithdrawnTicketAgain) {
   auto ledger = make(makeInit());
   std::string ticket = issue(ledger, at(0));
   auto first = submission(ticket);
   ledger.withdraw(ledger.present(first, at(1)).Key, at(1));
-  EXPECT_EQ(ledger.present(submission(ticket), at(2)).Do, Action::Run);
-  EXPECT_EQ(ledger.present(first, at(3)).Do, Action::Ignore);
+  EXPECT_EQ(ledger.present(submission(ticket), at(2)).Decision, Action::Run);
+  EXPECT_EQ(ledger.present(first, at(3)).Decision, Action::Ignore);
 }
 
 TEST_F(LedgerTest, CallHashCoversMethodTargetAndBody) {
@@ -237,8 +238,8 @@
   EXPECT_NE(callHash(offer), callHash(other));
 }
 
-TEST_F(LedgerTest, ReplayCarriesTheRepeatsOwnId) {
-  KeptAnswer answer = completed("body");
+TEST_F(LedgerTest, ReplayUsesTheIdOfTheRepeat) {
+  StoredAnswer answer = completed("body");
   answer.End.Chunks = 12;
   auto messages = replayAnswer(answer, {1, 1}, 3);
   ASSERT_EQ(messages.size(), 2U);
--- a/tests/once/ticket_test.cpp
+++ b/tests/once/ticket_test.cpp
@@ -30,7 +30,7 @@
   EXPECT_LE(text.size(), MaxTicketBytes);
 }
 
-TEST(Ticket, AnyChangedCharacterIsRefused) {
+TEST(Ticket, RejectsAnyChangedCharacter) {
   std::string text = signedExample("secret");
   EXPECT_FALSE(verifyTicket(text, "other secret"));
   for (size_t i = 0; i < text.size(); ++i) {
@@ -52,7 +52,7 @@
   EXPECT_EQ(reason.Kind, ErrorKind::BadRequest);
 }
 
-TEST(Ticket, RefusesNamesThatWouldBreakItsText) {
+TEST(Ticket, RefusesInvalidNames) {
   for (const char *name : {"", "a:b", "a b", "a\r\nb"}) {
     Ticket ticket = example();
     ticket.Organisation = name;
@@ -62,7 +62,7 @@
   }
 }
 
-TEST(Ticket, LongestNamesFit) {
+TEST(Ticket, AcceptsTheLongestNames) {
   Ticket ticket = example();
   ticket.Instance = std::string(MaxNameBytes, 'i');
   ticket.Organisation = std::string(MaxNameBytes, 'o');
--- a/tests/serve_agent/agent_swap_test.cpp
+++ b/tests/serve_agent/agent_swap_test.cpp
@@ -16,7 +16,7 @@
 
 /// Gives every load slot that is asked for.
 struct SlotGiver {
-  using Answer = decltype(swap::SlotResult::What);
+  using Answer = decltype(swap::SlotResult::Response);
 
   Answer operator()(const edge::KvRange & /*call*/) const {
     return edge::KvRangeResult{okHeader(SlotRevision), {}, false};
@@ -49,7 +49,7 @@
         continue;
       any = true;
       rig.apply(SlotAnswer{
-          {call->Call.Number, std::visit(SlotGiver(), call->Call.What)}});
+          {call->Call.Number, std::visit(SlotGiver(), call->Call.Operation)}});
     }
   }
   return out;
--- a/tests/swap/lease_test.cpp
+++ b/tests/swap/lease_test.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST(Lease, CountsFromWhenItWasAskedForAndKeepsItsMargins) {
+TEST(Lease, CountsFromTheRequestTimeMinusMargins) {
   Lease lease = granted();
   EXPECT_TRUE(lease.mayAct(at(108.49)));
   EXPECT_FALSE(lease.mayAct(at(108.5)));
@@ -30,7 +30,7 @@
   EXPECT_EQ(lease.renewAt(), at(100) + 10 * Second / 3);
 }
 
-TEST(Lease, AHolderThatWakesLateFindsOutBeforeItActs) {
+TEST(Lease, MayNotActAfterALongPause) {
   Lease lease = granted();
   EXPECT_FALSE(lease.mayAct(at(3600)));
   // A renewal asked for before the pause says nothing of the time after it.
@@ -38,7 +38,7 @@
   EXPECT_FALSE(lease.mayAct(at(3600)));
 }
 
-TEST(Lease, RenewalsExtendOrEndIt) {
+TEST(Lease, RenewalExtendsOrEndsTheLease) {
   Lease lease = granted();
   lease.renewed(7, 10 * Second, at(104));
   EXPECT_TRUE(lease.mayAct(at(112)));
@@ -49,7 +49,7 @@
   EXPECT_TRUE(lease.hasLapsed(at(104)));
 }
 
-TEST(Lease, NeverTakesMoreThanTheServiceGave) {
+TEST(Lease, NeverExceedsTheGrantedTime) {
   Lease lease(LeaseInit{});
   lease.granted(7, 2 * Second, at(0));
   EXPECT_TRUE(lease.hasLapsed(at(2)));
@@ -57,7 +57,7 @@
   EXPECT_TRUE(lease.hasLapsed(at(10)));
 }
 
-TEST(FenceGuard, RefusesOlderNumbers) {
+TEST(FenceGuard, RefusesLowerTokens) {
   FenceGuard guard;
   Error reason;
   EXPECT_FALSE(guard.admit(0, reason));
@@ -69,13 +69,13 @@
   EXPECT_TRUE(guard.admit(10, reason));
 }
 
-TEST(FenceGuard, KnowsAChangeThatItDidNotOrder) {
+TEST(FenceGuard, DetectsAVersionThatWasNotOrdered) {
   FenceGuard guard;
-  EXPECT_FALSE(guard.isStray("v1", ""));
+  EXPECT_FALSE(guard.isUnexpected("v1", ""));
   guard.expect("v2", "a");
-  EXPECT_FALSE(guard.isStray("v2", "a"));
-  EXPECT_TRUE(guard.isStray("v1", "a"));
-  EXPECT_TRUE(guard.isStray("v2", ""));
+  EXPECT_FALSE(guard.isUnexpected("v2", "a"));
+  EXPECT_TRUE(guard.isUnexpected("v1", "a"));
+  EXPECT_TRUE(guard.isUnexpected("v2", ""));
 }
 
 } // namespace daisytack::swap
--- a/tests/swap/swap_fleet.h
+++ b/tests/swap/swap_fleet.h
@@ -33,7 +33,9 @@
   /// Chooses the fate of each call from now on; none: answered.
   std::function<CallFate()> Fate;
   void pause(size_t agent, bool paused) { Agents[agent].Paused = paused; }
-  void setRunning(size_t agent, uint32_t runs) { Agents[agent].Running = runs; }
+  void setActiveRuns(size_t agent, uint32_t runs) {
+    Agents[agent].ActiveRuns = runs;
+  }
   /// Steps until the time has passed.
   void run(Duration time);
   /// Steps until all servers run the desired version; false after the limit.
@@ -42,57 +44,60 @@
   size_t agents() const { return Agents.size(); }
   TimePoint now() const { return Now; }
   const std::string &loaded(size_t agent) const { return Agents[agent].Loaded; }
-  const swap::Converge &core(size_t agent) const { return *Agents[agent].Core; }
-  uint32_t mostLoading() const { return MostLoading; }
-  uint32_t leastInService() const { return LeastInService; }
+  const swap::Converger &core(size_t agent) const {
+    return *Agents[agent].Core;
+  }
+  uint32_t maxLoading() const { return MaxLoading; }
+  uint32_t minInService() const { return MinInService; }
   uint64_t calls() const { return Calls; }
   uint64_t orders() const { return Orders; }
-  uint64_t staleOrdersTaken() const { return StaleOrdersTaken; }
+  uint64_t staleOrdersExecuted() const { return StaleOrdersExecuted; }
   /// Updates after which a timer was wanted for a time that has passed: its
   /// owner would spin.
-  uint64_t pastTimers() const { return PastTimers; }
+  uint64_t overdueTimers() const { return OverdueTimers; }
   void setReachable(size_t agent, bool reachable) {
     Agents[agent].Reachable = reachable;
   }
   /// Sends an order past the core, as a predecessor that woke up would.
-  void strayOrder(size_t agent, const std::string &version, uint64_t fence) {
+  void sendForeignOrder(size_t agent, const std::string &version,
+                        uint64_t fence) {
     order(Agents[agent], {{version, ""}, fence});
   }
 
 private:
   struct Agent {
-    std::unique_ptr<swap::Converge> Core;
+    std::unique_ptr<swap::Converger> Core;
     std::string Loaded = "v1";
     std::string LoadTarget;
     TimePoint LoadedAt;
     uint64_t Fence = 0;
-    uint32_t Running = 0;
+    uint32_t ActiveRuns = 0;
     bool Paused = false;
     bool Reachable = true;
-    swap::SwapView Shown; ///< Lags behind the truth.
-    TimePoint ShownAt;
+    swap::SwapView ReportedView; ///< Lags behind the truth.
+    TimePoint ReportedAt;
     std::vector<swap::SlotResult> Answers;
   };
 
   void step();
-  void show(Agent &agent);
-  void carryOut(Agent &agent, const swap::SwapActions &actions);
-  void serve(Agent &agent, const swap::SlotCall &call);
+  void refreshStatus(Agent &agent);
+  void execute(Agent &agent, const swap::SwapActions &actions);
+  void executeCall(Agent &agent, const swap::SlotCall &call);
   swap::SlotResult answer(const swap::SlotCall &call, FakeKv &kv) const;
   void order(Agent &agent, const swap::LoadOrder &order);
-  void watch();
+  void updateExtremes();
 
   FleetInit Init;
   FakeKv Kv;
   std::vector<Agent> Agents;
   std::string Desired = "v1";
   TimePoint Now{Duration(10'000'000)};
-  uint32_t MostLoading = 0;
-  uint32_t LeastInService = UINT32_MAX;
+  uint32_t MaxLoading = 0;
+  uint32_t MinInService = UINT32_MAX;
   uint64_t Calls = 0;
-  uint64_t PastTimers = 0;
+  uint64_t OverdueTimers = 0;
   uint64_t Orders = 0;
-  uint64_t StaleOrdersTaken = 0;
+  uint64_t StaleOrdersExecuted = 0;
 };
 
 } // namespace daisytack::test
--- a/tools/agent/agent_shell.cpp
+++ b/tools/agent/agent_shell.cpp
@@ -34,7 +34,7 @@
 struct SlotCaller {
   const edge::KvStore &KeyValue;
   Duration Timeout;
-  std::function<void(decltype(swap::SlotResult::What))> Done;
+  std::function<void(decltype(swap::SlotResult::Response))> Done;
 
   void operator()(const edge::KvRange &call) const {
     KeyValue.Range(call, Timeout, Done);
@@ -231,11 +231,11 @@
 }
 void AgentShell::perform(const serve::CallSlot &action) {
   auto answer = [this, number = action.Call.Number](
-                    decltype(swap::SlotResult::What) result) {
+                    decltype(swap::SlotResult::Response) result) {
     push(serve::SlotAnswer{{number, std::move(result)}});
   };
   Duration timeout = Options.Core.Swap.Slot.CallTimeout;
-  std::visit(SlotCaller{KeyValue, timeout, answer}, action.Call.What);
+  std::visit(SlotCaller{KeyValue, timeout, answer}, action.Call.Operation);
 }
 void AgentShell::perform(const serve::CallStore &action) {
   Stores.Call(action);
--- a/tools/entry/ticket_desk.cpp
+++ b/tools/entry/ticket_desk.cpp
@@ -49,7 +49,7 @@
   auto binding = std::make_shared<Binding>();
   binding->Request.Organisation = wish.Organisation;
   binding->Request.IdempotencyKey = key;
-  binding->Request.Claimant = randomId(secureRandom);
+  binding->Request.WriterId = randomId(secureRandom);
   binding->Done = std::move(done);
   issue(wish, [this, binding](TicketResult issued) {
     if (issued.Reason)
