--- a/src/serve/agent_core.h
+++ b/src/serve/agent_core.h
@@ -54,7 +54,7 @@
   FetchSettings Fetch;
   ExportSettings Export;
   /// The agent sets the slot's model, instance and process itself.
-  swap::ConvergeInit Swap;
+  swap::ConvergerInit Swap;
   /// Maximum number of pieces tracked in the view of the engine's cache.
   size_t MaxCachedPieces = 1U << 16;
 };
--- a/src/serve/agent_impl.h
+++ b/src/serve/agent_impl.h
@@ -219,7 +219,7 @@
   ExportFlow Exports;
   std::unordered_map<std::string, uint64_t>
       Hits; ///< Reused pieces by organisation.
-  swap::Converge Swap;
+  swap::Converger Swap;
   swap::SwapView LastSwapView; ///< Last one passed to Swap.
   CallId LatestOrderCall = 0;  ///< Answers to other calls are ignored. 0: none.
   Duration WallOffset{0};      ///< Wall clock minus monotonic clock.
--- a/src/serve/agent_offers.cpp
+++ b/src/serve/agent_offers.cpp
@@ -59,7 +59,7 @@
                                     Step &step) {
   TicketVerdict verdict =
       Tickets.present(presentationOf(offer, link.Index), step.Now);
-  switch (verdict.Do) {
+  switch (verdict.Decision) {
   case TicketVerdict::Action::Ignore:
     return;
   case TicketVerdict::Action::Refuse:
@@ -68,7 +68,7 @@
     if (!decideOffer(link, offer, verdict.Key, step))
       Tickets.withdraw(verdict.Key, step.Now);
     return;
-  case TicketVerdict::Action::Repeat:
+  case TicketVerdict::Action::Replay:
     wire::Accepted accepted;
     accepted.Id = offer.Id;
     accepted.Try = offer.Try;
@@ -137,7 +137,7 @@
   if (!isStatusFresh(step.Now))
     return {ErrorKind::NotReady, "the engine does not answer",
             NotReadyRetryAfter};
-  if (Swap.holdsNewWork())
+  if (Swap.refusesNewRequests())
     return {ErrorKind::NotReady, "the server changes its version",
             NotReadyRetryAfter};
   if (isClosed(offer, step.Now))
--- a/tests/serve_agent/agent_swap_test.cpp
+++ b/tests/serve_agent/agent_swap_test.cpp
@@ -16,7 +16,7 @@
 
 /// Grants every requested load slot.
 struct SlotGranter {
-  using Answer = decltype(swap::SlotResult::What);
+  using Answer = decltype(swap::SlotResult::Response);
 
   Answer operator()(const edge::KvRange & /*call*/) const {
     return edge::KvRangeResult{okHeader(SlotRevision), {}, false};
@@ -48,8 +48,8 @@
       if (!call)
         continue;
       any = true;
-      rig.apply(SlotAnswer{
-          {call->Call.Number, std::visit(SlotGranter(), call->Call.What)}});
+      rig.apply(SlotAnswer{{call->Call.Number,
+                            std::visit(SlotGranter(), call->Call.Operation)}});
     }
   }
   return out;
