--- a/src/once/key_binding.cpp
+++ b/src/once/key_binding.cpp
@@ -12,7 +12,7 @@
 constexpr std::string_view BindingPrefix = "/daisytack/once/";
 constexpr size_t WriterIdDigits = 32;
 
-/// "CLAIMANT TICKET".
+/// The stored value of a binding: "WRITER_ID TICKET".
 std::string bindingValue(const BindRequest &request) {
   return toHex(request.WriterId) + ' ' + request.Ticket;
 }
@@ -63,11 +63,11 @@
   case edge::KvStatus::Ok:
     return KeyBound{Request.Ticket, true};
   case edge::KvStatus::CompareFailed:
-    // Without the value: it lapsed between compare and read.
+    // Without a value, the binding expired between the compare and the read.
     return result.Current.empty() ? readBack()
                                   : parseBinding(result.Current.front().Value);
   case edge::KvStatus::Unavailable:
-    // A first create that may have taken effect before stays possible.
+    // After the first call, an earlier create may have taken effect.
     if (Calls == 1)
       return makeRefusal(ErrorKind::ServiceUnavailable,
                          "the key-value service can't be reached");
@@ -88,8 +88,8 @@
   if (Calls >= MaxCalls)
     return makeRefusal(ErrorKind::ServiceUnknown,
                        "the key is not bound yet, but may be a little later");
-  // Creating again can't bind twice: both writes carry the same ticket, and
-  // only the first to arrive finds no key.
+  // A second create can't bind twice: both writes carry the same ticket, and
+  // only the first one applied finds no key.
   return create();
 }
 
--- a/src/once/ticket.cpp
+++ b/src/once/ticket.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view Prefix = "dt1:";
 constexpr char Separator = ':';
-/// Instance, organisation, process, serial, mint time, expiry, signature.
+/// Instance, organisation, process, serial, issue time, expiry, signature.
 constexpr size_t FieldCount = 7;
 
 bool isNameCharacter(char c) {
@@ -38,7 +38,8 @@
   return std::to_string(time.time_since_epoch().count());
 }
 
-/// Splits into exactly FieldCount parts; nothing otherwise.
+/// Splits the text at the separators. Returns nullopt unless there are exactly
+/// FieldCount fields.
 std::optional<std::array<std::string_view, FieldCount>>
 splitFields(std::string_view text) {
   std::array<std::string_view, FieldCount> out;
--- a/src/once/ticket.h
+++ b/src/once/ticket.h
@@ -1,5 +1,5 @@
-/// Tickets for calls that may run at most once. A ticket names the one agent
-/// process that may ever run it; see docs/AT_MOST_ONCE.md for the argument.
+/// Tickets for calls that may run at most once. A ticket names the only agent
+/// process that may run its call. See docs/AT_MOST_ONCE.md for the reasoning.
 #pragma once
 
 #include "daisytack/error.h"
@@ -11,36 +11,39 @@
 
 namespace daisytack {
 
-/// Immutable. Times are of the issuing agent's own monotonic clock and mean
-/// nothing to any other process.
+/// The content of a ticket. Times are on the issuing agent's monotonic clock
+/// and are meaningless in other processes.
 struct Ticket {
-  std::string Instance; ///< Agent instance; tells an entry where to send it.
-  Incarnation Process;  ///< The only process that may run it.
-  std::string Organisation; ///< The only organisation that may present it.
-  Id128 Serial;             ///< Random; unique for each ticket.
+  std::string Instance; ///< Agent instance to which an entry sends the call.
+  Incarnation Process;  ///< The only process that may run the call.
+  /// The only organisation that may present the ticket.
+  std::string Organisation;
+  Id128 Serial; ///< Random; unique for each ticket.
   TimePoint IssuedAt;
-  TimePoint ExpiresAt; ///< Not presentable from this moment on.
+  TimePoint ExpiresAt; ///< The ticket is refused from this time on.
   auto operator<=>(const Ticket &) const = default;
 };
 
-/// Text of at most MaxTicketBytes that is safe in an HTTP header and in JSON,
-/// signed with the secret. Nothing when a name is empty, too long or holds a
-/// character outside [A-Za-z0-9._-].
+/// Returns the ticket as text that is signed with the secret, has at most
+/// MaxTicketBytes and is safe in an HTTP header and in JSON. Returns nullopt
+/// and sets the reason if a name is empty, too long or has a character outside
+/// [A-Za-z0-9._-].
 std::optional<std::string> signTicket(const Ticket &ticket,
                                       std::string_view secret, Error &reason);
 
-/// Whether the text claims to be a ticket; any other Idempotency-Key is a
-/// caller's opaque key.
+/// Whether the text has the prefix of a ticket. Any other Idempotency-Key is an
+/// opaque key that the caller chose.
 bool looksLikeTicket(std::string_view text);
 
-/// Reads a ticket without checking its signature: enough for an entry to route
-/// it, never enough to run it. BadRequest when the text is malformed.
+/// Parses a ticket without checking its signature. That suffices for routing
+/// but not for running the call. If the text is malformed, returns nullopt and
+/// sets the reason to BadRequest.
 std::optional<Ticket> parseTicket(std::string_view text, Error &reason);
 
 /// Whether the text's signature was made with the secret.
 bool verifyTicket(std::string_view text, std::string_view secret);
 
-/// Bound on the text of a ticket, in bytes.
+/// Maximum length of a ticket's text, in bytes.
 constexpr size_t MaxTicketBytes = 512;
 
 } // namespace daisytack
--- a/src/once/ticket_ledger.cpp
+++ b/src/once/ticket_ledger.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Appends a length and the text, so that no two lists of fields read alike.
+/// Appends the length and the text of a field. The length makes the
+/// concatenation of different field lists unambiguous.
 void appendField(std::string &out, std::string_view field) {
   out += std::to_string(field.size());
   out += ':';
@@ -225,7 +226,7 @@
   while (it != Expiries.end() && it->first <= LatestTime) {
     auto record = Records.find(it->second);
     ++it;
-    // finish() forgets a call that still runs.
+    // The record of a running call is removed by finish().
     if (!record->second.Running)
       erase(record);
   }
--- a/src/once/ticket_ledger.h
+++ b/src/once/ticket_ledger.h
@@ -1,11 +1,11 @@
-/// An agent's record of the at-most-once calls that it has run. It decides
-/// whether a presented ticket may run now, and answers repeats.
+/// An agent's records of the at-most-once calls that it has run. The ledger
+/// decides whether the call of a presented ticket may run now, and answers
+/// repeated submissions.
 ///
-/// A record stays as long as its ticket can be presented, by the same clock
-/// that refuses the ticket afterwards. When there is no room the ledger refuses
-/// new calls; it never forgets one early. It holds one process's lifetime and
-/// nothing of its predecessor: a ticket of another incarnation is answered
-/// may_have_run.
+/// A record is kept until its ticket expires; the same clock decides from when
+/// the ticket is refused. A full ledger refuses new calls and never removes a
+/// record early. Records are not persistent, so a ticket of an earlier process
+/// of the agent is answered with may_have_run.
 #pragma once
 
 #include "base/digest.h"
@@ -24,19 +24,20 @@
 
 namespace daisytack {
 
-/// Hash of what a call does: method, target and body. Two submissions under one
-/// ticket must agree in it.
+/// Hash of a call's method, target and body. All submissions under one ticket
+/// must have the same hash.
 Id128 callHash(const wire::Offer &offer);
 
-/// How a call ended, and its answer when it has one.
+/// How a call ended, and the body of its answer, if any.
 struct StoredAnswer {
-  wire::Finished End; ///< Of the attempt that ran.
-  std::string Body;   ///< Text of all chunks.
+  wire::Finished End; ///< The end of the attempt that ran.
+  std::string Body;   ///< The text of all chunks together.
   bool operator==(const StoredAnswer &) const = default;
 };
 
-/// The messages that answer a repeat: the body as one chunk, then the end, both
-/// under the repeat's own id.
+/// The messages that answer a repeated submission from the stored answer: the
+/// body as one chunk, if not empty, then the end. Both carry the id and attempt
+/// of the repeated submission.
 std::vector<wire::Message> replayAnswer(const StoredAnswer &answer,
                                         RequestId id, Attempt attempt);
 
@@ -44,29 +45,33 @@
 struct Presentation {
   RequestId Id;
   Attempt Try = 0;
-  std::string Organisation; ///< As the entry authenticated it.
-  std::string Ticket; ///< Empty: the submission is its own ticket, named by Id.
-  Id128 Call;         ///< callHash of the offer.
-  Incarnation Process; ///< Without a ticket: the process that may run it.
-  uint32_t Link = 0; ///< Connection that it came by. Entries that repeat a call
-                     ///< may use one request id and attempt.
+  std::string Organisation; ///< As authenticated by the entry.
+  std::string Ticket;       ///< If empty, Id identifies the call.
+  Id128 Call;               ///< The callHash() of the offer.
+  /// Without a ticket, the only process that may run the call.
+  Incarnation Process;
+  /// Connection on which the submission arrived. It is needed because entries
+  /// that repeat a call may use the same request id and attempt.
+  uint32_t Link = 0;
   bool operator==(const Presentation &) const = default;
 };
 
-/// The presentation that an offer makes.
+/// Converts an offer received on the given connection to a presentation.
 Presentation presentationOf(const wire::Offer &offer, uint32_t link);
 
-/// Names a record in the ledger: a ticket's serial, or the request id.
+/// Identifies a record in the ledger: the serial of the ticket, or the request
+/// id if there is no ticket.
 using TicketKey = Id128;
 
-/// What to do with a submission.
+/// The ledger's decision on a submission.
 struct TicketVerdict {
   enum class Action : uint8_t {
-    Run,    ///< Recorded as running: call finish or withdraw for Key later.
-    Replay, ///< It has completed; Answer is what it answered.
-    Refuse, ///< Reason and Ran say why, and whether it may have run.
-    Ignore, ///< This very submission runs, or was refused before: a duplicate
-            ///< message.
+    Run, ///< Recorded as running; finish() or withdraw() must follow for Key.
+    Replay, ///< The call has completed; send Answer again.
+    Refuse, ///< Reason says why, and Ran whether the call may have run.
+    /// The message duplicates a submission that is running, was withdrawn, or
+    /// was refused because the ledger was full.
+    Ignore,
   };
   Action Decision = Action::Refuse;
   TicketKey Key;
@@ -78,36 +83,39 @@
 struct TicketLedgerInit {
   std::string Instance;
   Incarnation Process;
-  std::string Secret; ///< Random, drawn when the process starts.
+  std::string Secret; ///< Key of the signatures; random for each process.
   Duration TicketLife{10LL * 60 * 1'000'000};
   size_t MaxRecords = 100'000;
-  size_t MaxAnswerBytes = 16U << 20; ///< Of all kept answers together.
-  size_t MaxWithdrawn = 4096; ///< Withdrawn submissions known as duplicates.
-  Duration RetryDelay{1'000'000}; ///< Hint to repeats of a running call.
+  size_t MaxAnswerBytes = 16U << 20; ///< Of all stored answers together.
+  size_t MaxWithdrawn = 4096;        ///< Submissions remembered as withdrawn.
+  /// Suggested to callers while their call runs or the ledger is full.
+  Duration RetryDelay{1'000'000};
 };
 
-/// Not thread-safe; one per agent. The present time never goes back: an earlier
-/// one counts as the latest seen.
+/// Not thread-safe; one per agent. A time earlier than the latest one passed in
+/// counts as the latest one.
 class TicketLedger {
 public:
   TicketLedger(TicketLedgerInit init, RandomSource random, EventSink events);
 
-  /// A new ticket. Keeps nothing: a ticket that is never presented costs no
-  /// memory. RecordFull when a presentation would be refused now.
+  /// Issues a ticket. A ticket uses no memory here until it is presented. If
+  /// the ledger is full, returns nullopt and sets the reason to RecordFull.
   std::optional<std::string> issue(const std::string &organisation,
                                    TimePoint now, Error &reason);
 
-  /// Decides on a submission; to be asked before any other check of the offer,
-  /// so that a duplicate of a refused one is known. For Run the record stands
-  /// when this returns, so before anything reaches the server.
+  /// Decides on a submission. Must be called before any other check of the
+  /// offer, so that duplicates of refused submissions are recognised. For Run,
+  /// the record is stored before this returns, that is, before the call can
+  /// reach the server.
   TicketVerdict present(const Presentation &presentation, TimePoint now);
 
-  /// The call was refused or cancelled and surely not handed to the server: it
-  /// may be presented again, but this very submission won't run.
+  /// Removes the record of a call that was refused or cancelled and certainly
+  /// not sent to the server. The call may be presented again, but duplicates of
+  /// this submission are ignored.
   void withdraw(const TicketKey &key, TimePoint now);
 
-  /// The call ended; also with a failure, for which End tells whether it may
-  /// have run. NotRun means withdraw.
+  /// Records that a call completed or failed. The outcome answer.End.Ran tells
+  /// whether a failed call may have run; with NotRun, this is withdraw().
   void finish(const TicketKey &key, StoredAnswer answer, TimePoint now);
 
   size_t records() const { return Records.size(); }
@@ -115,7 +123,8 @@
   const TicketLedgerInit &settings() const { return Init; }
 
 private:
-  /// One submission, so that its duplicate is told from a repeat.
+  /// Identifies one submission, to distinguish a duplicate message from a
+  /// repeated submission.
   struct Submission {
     RequestId Id;
     Attempt Try = 0;
@@ -125,15 +134,15 @@
   struct Record {
     TimePoint ExpiresAt;
     Id128 Call;
-    Submission ExecutedBy; ///< The one that runs or ran.
+    Submission ExecutedBy; ///< The submission that is running or has run.
     bool Running = true;
     Outcome Ran = Outcome::MayHaveRun;
     ErrorKind FailureKind = ErrorKind::None;
     std::shared_ptr<const StoredAnswer> Answer;
-    uint64_t AnswerNumber = 0; ///< Its place in AnswerOrder.
+    uint64_t AnswerNumber = 0; ///< Key in AnswerOrder.
   };
   using RecordTable = std::unordered_map<TicketKey, Record>;
-  /// What a presentation refers to, once its ticket has been checked.
+  /// The call that a presentation refers to, after the check of its ticket.
   struct ResolvedCall {
     TicketKey Key;
     TimePoint ExpiresAt;
@@ -161,8 +170,8 @@
   TimePoint LatestTime;
   RecordTable Records;
   using Expiry = std::pair<TimePoint, TicketKey>;
-  std::set<Expiry> Expiries;                 ///< One for each record.
-  std::map<uint64_t, TicketKey> AnswerOrder; ///< Oldest kept answer first.
+  std::set<Expiry> Expiries;                 ///< One entry for each record.
+  std::map<uint64_t, TicketKey> AnswerOrder; ///< Oldest stored answer first.
   uint64_t NextAnswerNumber = 1;
   size_t AnswerBytes = 0;
   std::set<Submission> Withdrawn;
--- a/tests/once/at_most_once_test.cpp
+++ b/tests/once/at_most_once_test.cpp
@@ -41,7 +41,8 @@
   return out;
 }
 
-/// Schedules until the defect shows; 0 when none of them shows it.
+/// Number of random schedules until the defect causes a violation; 0 if none of
+/// them does.
 size_t schedulesUntilViolation(Defect defect, size_t maxSchedules) {
   std::mt19937_64 random(20261202);
   for (size_t i = 1; i <= maxSchedules; ++i)
--- a/tests/once/once_world.cpp
+++ b/tests/once/once_world.cpp
@@ -65,7 +65,7 @@
   Presentation out;
   out.Id = {0xF00D, ++Requests};
   out.Try = 1;
-  // Mostly the same organisation and body, so that repeats meet.
+  // Mostly the same organisation and body, so that submissions repeat calls.
   out.Organisation = Organisations[choice % 16 == 7 ? 1 : 0];
   uint64_t body = choice % 16 == 11 ? 2 : 1;
   out.Call = {body, body};
@@ -183,7 +183,8 @@
   auto message = takeAt(InFlight, step.Choice);
   if (!message)
     return;
-  // The links' one assumption: a message isn't older than a ticket's life.
+  // Without a ticket, the guarantee assumes that no message is delayed by
+  // TicketLife or longer.
   if (message->Submission.Ticket.empty() && Now - message->SentAt >= TicketLife)
     return;
   bool drained = step.Kind == StepKind::DeliverToDrained ||
--- a/tests/once/once_world.h
+++ b/tests/once/once_world.h
@@ -1,6 +1,7 @@
-/// A few entries and agents around a key-value service and a server that counts
-/// what it runs. Every order of deliveries, losses, restarts and passing time
-/// is one list of steps, so that a property test can search it.
+/// A simulation of a few entries and agents with a key-value service and a
+/// server that counts the calls it runs. A list of steps determines the order
+/// of deliveries, losses, restarts and clock advances, so that property tests
+/// can search the orders.
 #pragma once
 
 #include "once/key_binding.h"
@@ -21,20 +22,21 @@
   SubmitTicket,
   SubmitOpaqueKey,
   SubmitWithoutKey,
-  ServeKv,      ///< The oldest waiting call is applied and answered.
-  LoseKvAnswer, ///< Applied, but the answer is lost.
-  DelayKvWrite, ///< Answered as unknown; applied by a later ServeKv.
-  RefuseKv,     ///< The service is down: surely not applied.
-  Deliver,      ///< A message reaches its agent.
-  DeliverTwice, ///< It stays in flight as well: duplicated, crossed or late.
-  DeliverToOtherAgent, ///< It reaches another agent.
-  DeliverToDrained,    ///< The agent refuses it for a reason of its own.
+  ServeKv,      ///< Applies and answers the oldest waiting call.
+  LoseKvAnswer, ///< Applies the call but loses the answer.
+  DelayKvWrite, ///< Answers Unknown; the next step of the service applies the
+                ///< write.
+  RefuseKv,     ///< Answers Unavailable; the call is not applied.
+  Deliver,      ///< Delivers a message to its agent.
+  DeliverTwice, ///< Also keeps it in flight, as a duplicate or late message.
+  DeliverToOtherAgent, ///< Delivers a message with a ticket to another agent.
+  DeliverToDrained, ///< The agent refuses the call after the ledger allowed it.
   DeliverToDrainedTwice,
   FinishRun,
   FailRun,
-  RestartAgent, ///< Empty, with what was in flight to it still arriving.
+  RestartAgent, ///< Loses the ledger; messages in flight still arrive.
   AdvanceTime,
-  AdvanceTimeToExpiry, ///< To the very moment at which some ticket expires.
+  AdvanceTimeToExpiry, ///< To the expiry of a ticket or just before it.
   Count,
 };
 
@@ -43,7 +45,7 @@
   uint8_t Choice = 0;
 };
 
-/// What a seeded defect breaks, to show that the checks see it.
+/// A defect that is injected on purpose, to show that the checks detect it.
 enum class Defect : uint8_t {
   None,
   RestartKeepsIncarnation,
@@ -57,12 +59,12 @@
 public:
   explicit OnceWorld(Defect defect);
   void apply(const Step &step);
-  /// The first promise found broken; empty when all hold.
+  /// Describes the first violated guarantee; empty if there is none.
   const std::string &violation() const { return Violation; }
   size_t runs() const { return TotalRuns; }
 
 private:
-  /// What must run at most once: a ticket, a key or a submission.
+  /// Identifies what must run at most once: a ticket, a key or a submission.
   using CallName = std::string;
   struct Agent {
     std::string Name;
@@ -82,7 +84,7 @@
   };
   struct Binding {
     KeyBinding Machine;
-    Presentation Submission; ///< Without its ticket.
+    Presentation Submission; ///< Its ticket is not set yet.
     CallName Call;
     BindStep Next;
   };
@@ -90,7 +92,7 @@
     std::string Text;
     TimePoint ExpiresAt;
     size_t Agent = 0;
-    bool BoundToKey = false; ///< Known to entries only, not to callers.
+    bool BoundToKey = false; ///< Only entries know the ticket, callers don't.
   };
 
   static constexpr size_t Agents = 2;
--- a/tests/once/ticket_ledger_test.cpp
+++ b/tests/once/ticket_ledger_test.cpp
@@ -106,7 +106,7 @@
   EXPECT_EQ(late.Ran, Outcome::MayHaveRun);
   EXPECT_EQ(ledger.records(), 0U);
   EXPECT_EQ(ledger.answerBytes(), 0U);
-  // A clock that went back doesn't revive it.
+  // The ticket stays expired if the clock goes back.
   EXPECT_EQ(ledger.present(submission(ticket), at(50)).Reason.Kind,
             ErrorKind::TicketExpired);
 }
@@ -144,7 +144,8 @@
   EXPECT_EQ(reason.Kind, ErrorKind::RecordFull);
   for (const auto &it : run)
     EXPECT_EQ(ledger.present(submission(it), at(3)).Decision, Action::Replay);
-  // Room comes back; the refused submission's duplicate still doesn't run.
+  // All records have expired; a duplicate of the refused submission is still
+  // ignored.
   EXPECT_EQ(ledger.present(spareSubmission, at(100)).Decision, Action::Ignore);
 }
 
