--- a/src/swap/converge.cpp
+++ b/src/swap/converge.cpp
@@ -60,8 +60,8 @@
   emitEvent(EventKind::OrderRefused, why.Kind, Init.Slot.Instance);
   OrderedVersion.reset();
   SwapActions out;
-  // A higher number than ours: another holder came later. What it ordered will
-  // show in the status.
+  // A conflict means that the slot has a newer holder. The server's status will
+  // show what that holder ordered.
   if (why.Kind == ErrorKind::Conflict ||
       OrderAttempts >= Init.MaxOrderAttempts) {
     RetryNotBefore = now + Init.FailureBackoff;
@@ -83,7 +83,7 @@
   return out;
 }
 
-/// Learns from the server's status what became of the last order.
+/// Updates the state of the last order from the server's status.
 void Converger::observe(TimePoint now) {
   if (OrderedVersion && now >= OrderedAt + Init.LoadTimeout)
     OrderedVersion.reset();
@@ -100,7 +100,7 @@
     OrderAttempts = 0;
     emitEvent(EventKind::LoadFinished, ErrorKind::None, View.Loaded.Version);
   }
-  // Whoever loaded it: what configuration asks for is what is expected.
+  // The configured version is expected, whichever process ordered it.
   if (!OrderedVersion && !View.Loading && View.Loaded == View.Desired)
     Guard.expect(View.Loaded.Version, View.Loaded.Adapter);
 }
@@ -119,15 +119,16 @@
     releaseSlot(now, out);
     return SwapState::Unreachable;
   }
-  // A load that runs is waited for, whoever ordered it and whether or not the
-  // slot still stands: a lapsed one costs speed only.
+  // Wait for a running load, whichever process ordered it and even if the slot
+  // has expired: an expired slot only allows more servers to load at once.
   if (View.Loading || OrderedVersion)
     return SwapState::Loading;
   return Slot.isHeld(now) ? decideWithSlot(now, out)
                           : decideWithoutSlot(now, out);
 }
 
-/// Servers that may be out of service at once without going below the floor.
+/// Number of servers that may be out of service at once without leaving fewer
+/// than MinServers in service.
 uint32_t Converger::usableSlots() const {
   if (!View.InService)
     return Init.Slots;
@@ -161,8 +162,8 @@
   Error reason;
   if (!fence || !Guard.admit(*fence, reason) ||
       OrderAttempts >= Init.MaxOrderAttempts) {
-    // Too near to the lease's end, or overtaken: begin anew with a higher
-    // number.
+    // The lease is about to expire, there is a newer holder, or too many orders
+    // failed. Claim a slot again, which gives a higher fencing token.
     if (fence)
       RetryNotBefore = now + Init.FailureBackoff;
     releaseSlot(now, out);
--- a/src/swap/converge.h
+++ b/src/swap/converge.h
@@ -1,6 +1,7 @@
-/// Brings one agent's server to the weight version that configuration names.
-/// There is no leader: every agent converges its own server, and the load slots
-/// keep the servers of a model from doing it all at once. See docs/SWAPS.md.
+/// Brings one agent's backend server to the weight version that the
+/// configuration names. There is no leader: each agent converges its own
+/// server, and the load slots limit how many servers of a model swap at once.
+/// See docs/SWAPS.md.
 #pragma once
 
 #include "daisytack/event.h"
@@ -14,33 +15,35 @@
 
 namespace daisytack::swap {
 
-/// What a server runs, or should run.
+/// The weights and adapter that a server runs or should run.
 struct WeightVersion {
   std::string Version;
   std::string Adapter;
   auto operator<=>(const WeightVersion &) const = default;
 };
 
-/// What the agent knows when it decides.
+/// The agent's view of its server and the configuration.
 struct SwapView {
-  WeightVersion Desired; ///< Version empty: unknown to configuration, any will
-                         ///< do.
+  /// An empty version means that the configuration names none; the server is
+  /// then left as it is.
+  WeightVersion Desired;
   uint32_t MinServers = 1;
-  uint32_t ServersInService = 1; ///< Of the model, this one among them when it
-                                 ///< is in service.
-  uint32_t ServersOfModel = 1;   ///< In service or not.
-  bool InService = true;         ///< Not drained by an operator.
-  bool Leaving = false;          ///< The process is about to end.
+  /// Servers of the model that are in service, including this one if it is.
+  uint32_t ServersInService = 1;
+  uint32_t ServersOfModel = 1; ///< All servers, in service or not.
+  bool InService = true;       ///< The server is not drained by an operator.
+  bool Leaving = false;        ///< The agent process is shutting down.
 
   bool ServerReachable = false;
   WeightVersion Loaded;
   bool Loading = false;
-  uint64_t ServerFence = 0;
-  uint32_t ActiveRuns = 0; ///< Runs at the server that were not ended yet.
+  uint64_t ServerFence = 0; ///< Fencing token that the server reports; 0: none.
+  uint32_t ActiveRuns = 0;  ///< Accepted runs that have not ended.
   bool operator==(const SwapView &) const = default;
 };
 
-/// Order the server to load; its answer is given to onOrder().
+/// An order to the server to load weights. The caller passes the server's
+/// answer to onOrder().
 struct LoadOrder {
   WeightVersion Target;
   uint64_t Fence = 0;
@@ -50,49 +53,52 @@
 using SwapAction = std::variant<SlotCall, LoadOrder>;
 using SwapActions = std::vector<SwapAction>;
 
-/// Where a server stands; for queries and events.
+/// Progress of a server; reported in queries and events.
 enum class SwapState : uint8_t {
   Converged,
   Unreachable, ///< The server does not answer.
-  BelowFloor,  ///< Taking it out would leave fewer than MinServers.
+  BelowFloor,  ///< A swap would leave fewer than MinServers in service.
   WaitingForSlot,
-  Draining, ///< Holds a slot; accepted runs finish first.
+  Draining, ///< Holds a slot and waits for accepted runs to finish.
   Loading,
-  Leaving,
+  Leaving, ///< The agent process is shutting down.
 };
-/// Stable lower-case name: "waiting_for_slot".
+/// The stable name of a state in lower case, such as "waiting_for_slot".
 std::string_view swapStateName(SwapState state);
 
 struct ConvergerInit {
   LoadSlotInit Slot;
   uint32_t Slots = LoadSlots;
-  /// An order that has not shown in the server's status by then is sent again.
+  /// An order is sent again if the server's status doesn't show the load after
+  /// this time.
   Duration LoadTimeout{15'000'000};
-  /// Orders without success, after which the slot is left to others for a
-  /// while.
+  /// After this many unsuccessful orders the slot is released, and the next
+  /// attempt waits for FailureBackoff.
   uint32_t MaxOrderAttempts = 3;
   Duration FailureBackoff{10'000'000};
 };
 
-/// Not thread-safe; one per agent.
+/// The state machine of one server's swaps. Not thread-safe; one per agent.
 class Converger {
 public:
   Converger(ConvergerInit init, RandomSource random, EventSink events);
 
-  /// Whenever the view changed, and when nextTimer() has come.
+  /// Must be called when the view has changed and at the time nextTimer().
   SwapActions update(const SwapView &view, TimePoint now);
-  /// A call to the key-value service was answered.
+  /// Handles the result of a call to the key-value service.
   SwapActions onSlotResult(const SlotResult &result, TimePoint now);
-  /// The server answered a LoadOrder. Kind Conflict: it has seen `fence`.
+  /// Handles the server's answer to a LoadOrder. `why` is empty on success; its
+  /// kind is Conflict if the server has seen the higher fencing token `fence`.
   SwapActions onOrder(const Error &why, uint64_t fence, TimePoint now);
 
-  /// New requests are refused, so that the server can drain and load.
+  /// Whether the agent must refuse new requests, because the server drains or
+  /// loads.
   bool refusesNewRequests() const;
   SwapState state() const { return CurrentState; }
   std::optional<TimePoint> nextTimer() const;
-  /// The version that the server surely runs; nothing while it is loading, or
-  /// when it was changed by somebody else. Without it, no kept context may be
-  /// imported.
+  /// The version that the server certainly runs. Empty while the server is
+  /// unreachable or loading, or if another process changed its version. Kept
+  /// context must not be imported then.
   std::optional<WeightVersion> confirmedVersion() const;
   const FenceGuard &fenceGuard() const { return Guard; }
 
@@ -114,11 +120,11 @@
   FenceGuard Guard;
   SwapView View;
   SwapState CurrentState = SwapState::Unreachable;
-  std::optional<WeightVersion>
-      OrderedVersion; ///< Sent, and not seen as loaded yet.
+  /// Version of the last order, until the server's status shows it as loaded.
+  std::optional<WeightVersion> OrderedVersion;
   TimePoint OrderedAt;
   uint32_t OrderAttempts = 0;
-  std::optional<TimePoint> RetryNotBefore; ///< After too many failed orders.
+  std::optional<TimePoint> RetryNotBefore; ///< End of the backoff.
   bool HadSlot = false;
 };
 
--- a/src/swap/fence.h
+++ b/src/swap/fence.h
@@ -1,7 +1,7 @@
-/// Fencing numbers of orders to one backend server. The number is the revision
-/// at which the key-value service created the holder's load slot, so it grows
-/// with every holder. A server that checks it refuses an older one by itself;
-/// for one that doesn't, this guard in its agent is the only check.
+/// Fencing tokens of orders to one backend server. The token is the revision at
+/// which the key-value service created the holder's load slot, so it grows with
+/// every holder. A server that checks tokens refuses outdated ones itself; for
+/// a server that doesn't, the FenceGuard of its agent is the only check.
 #pragma once
 
 #include "daisytack/error.h"
@@ -11,21 +11,24 @@
 
 namespace daisytack::swap {
 
-/// Not thread-safe; one per agent.
+/// Tracks the highest fencing token and the expected version of one server. Not
+/// thread-safe; one per agent.
 class FenceGuard {
 public:
-  /// Whether an order under this number may be sent; Conflict otherwise. The
-  /// number counts as sent from now on.
+  /// Whether an order with this token may be sent. If so, the token counts as
+  /// sent; otherwise sets the reason to Conflict.
   bool admit(uint64_t fence, Error &reason);
-  /// The server's status or its refusal of an order named a number.
+  /// Records a token that the server named in its status or in a refusal.
   void observe(uint64_t fence);
-  /// The highest number seen.
+  /// The highest token sent or observed; 0 if there was none.
   uint64_t highest() const { return Highest; }
 
-  /// What the server should be running after our last order was done. A server
-  /// that says otherwise without a newer order from here was given one by
-  /// another process, for instance by a predecessor that woke up.
+  /// Sets the version that the server should run after this agent's last order.
+  /// If the server reports another one without a newer order of this agent,
+  /// another process sent an order, for instance an earlier agent process that
+  /// resumed after a pause.
   void expect(std::string version, std::string adapter);
+  /// Whether the version differs from the expected one; false if none is set.
   bool isUnexpected(const std::string &version,
                     const std::string &adapter) const;
 
--- a/src/swap/lease.cpp
+++ b/src/swap/lease.cpp
@@ -29,7 +29,8 @@
                                             Init.DriftShare));
   EndsAt = askedAt + term - drift;
   ActUntil = EndsAt - Init.PauseMargin;
-  // Twice at least while it may act, so that one answer may be lost.
+  // At least two renewals while the holder may act, so that one answer may be
+  // lost.
   Duration acting = std::max(ActUntil - askedAt, Duration(0));
   RenewAt = askedAt + std::min(term / RenewalsPerTerm, acting / 2);
 }
--- a/src/swap/lease.h
+++ b/src/swap/lease.h
@@ -1,10 +1,11 @@
-/// A holder's own view of a lease in the key-value service, by its monotonic
-/// clock.
+/// The holder's view of a lease in the key-value service, on the holder's
+/// monotonic clock.
 ///
 /// The service counts a lease from when it grants or renews it, which is after
-/// the holder asked. A holder that counts from when it asked, and gives up a
-/// margin for clocks that run at different rates and for a pause between its
-/// check and its act, stops before the service gives the lease to another.
+/// the holder sent the request. The holder counts from when it sent the request
+/// and subtracts margins for clock drift and for a pause between a check and
+/// the action, so it stops before the service can give the lease to another
+/// holder.
 #pragma once
 
 #include "daisytack/types.h"
@@ -15,36 +16,39 @@
 
 struct LeaseInit {
   Duration TimeToLive{10'000'000};
-  /// Share of the time to live by which clocks may drift apart within it.
+  /// Maximum clock drift within the time to live, as a share of it.
   double DriftShare = 0.05;
-  /// Longest pause between a check and the act that it permits. A longer one
-  /// must be harmless by the act's fencing number.
+  /// Longest tolerated pause between a check and the action that it permits.
+  /// After a longer one, only the action's fencing token prevents harm.
   Duration PauseMargin{1'000'000};
 };
 
-/// Immutable between grants and renewals; the present time is an argument.
+/// Changes only by grants, renewals and loss; the current time is always an
+/// argument.
 class Lease {
 public:
   explicit Lease(LeaseInit init) : Init(init) {}
 
-  /// The service granted it; TimeLeft is what the service said, askedAt when
-  /// the request was sent.
+  /// Records that the service granted the lease. `timeLeft` is the time to live
+  /// in the service's answer, `askedAt` the time when the request was sent.
   void granted(uint64_t id, Duration timeLeft, TimePoint askedAt);
-  /// A renewal was answered. An answer for another lease, or without time left,
-  /// ends it.
+  /// Handles the answer to a renewal. The lease is lost if the answer is for
+  /// another lease or leaves no time.
   void renewed(uint64_t id, Duration timeLeft, TimePoint askedAt);
+  /// Records that the lease is lost or given up.
   void lost() { Id = 0; }
 
-  /// The id; 0 when there is none.
+  /// The lease's id; 0 if no lease is held.
   uint64_t id() const { return Id; }
-  /// Whether an act that follows within the pause margin is covered.
+  /// Whether the lease covers an action that follows within PauseMargin.
   bool mayAct(TimePoint now) const { return Id != 0 && now < ActUntil; }
-  /// Whether the service may have given it to another by now.
+  /// Whether the service may have given the lease to another holder.
   bool hasLapsed(TimePoint now) const { return Id == 0 || now >= EndsAt; }
-  /// When to ask for the next renewal: after a third of its time, or half of
-  /// that in which the holder may act.
+  /// When to request the next renewal: after a third of the time to live, or
+  /// half of the time in which the holder may act, whichever is earlier. Empty
+  /// without a lease.
   std::optional<TimePoint> renewAt() const;
-  /// When the service may have given it to another; nothing without a lease.
+  /// When hasLapsed() becomes true; empty without a lease.
   std::optional<TimePoint> endsAt() const;
   const LeaseInit &settings() const { return Init; }
 
--- a/src/swap/load_slots.cpp
+++ b/src/swap/load_slots.cpp
@@ -8,7 +8,8 @@
 
 constexpr std::string_view SlotPrefix = "/daisytack/slots/";
 
-/// Half to one and a half times the mean, so that servers don't try in step.
+/// Returns a random duration of 0.5 to 1.5 times the mean, so that servers
+/// don't retry at the same time.
 Duration jittered(Duration mean, const RandomSource &random) {
   constexpr uint64_t Steps = 1024;
   auto share = static_cast<int64_t>(random() % Steps);
@@ -70,8 +71,9 @@
   return std::nullopt;
 }
 
-/// A read first: reads are cheaper for the service than leases, and most tries
-/// of a large model find no slot free.
+/// Handles the list of claimed slots. The list is read before a lease is
+/// granted because reads cost the service less, and most attempts find no free
+/// slot if the model has many servers.
 std::optional<SlotCall> LoadSlot::onSlotList(const edge::KvRangeResult &result,
                                              TimePoint now) {
   if (result.Header.Status != edge::KvStatus::Ok)
@@ -113,8 +115,9 @@
   return startCall(State::VerifyingClaim, std::move(range), now);
 }
 
-/// A claim whose answer was lost holds only if it can be seen. One that is
-/// applied later fails with its lease, which giveUp() revokes.
+/// Handles the read after a claim whose answer was lost. The slot is held only
+/// if the read shows the claim. A claim that is applied later fails because
+/// giveUp() revokes its lease.
 std::optional<SlotCall>
 LoadSlot::onVerification(const edge::KvRangeResult &result, TimePoint now) {
   if (result.Header.Status != edge::KvStatus::Ok || result.Entries.empty() ||
@@ -136,7 +139,7 @@
 }
 
 void LoadSlot::onRenewal(const edge::KvLeaseResult &result, TimePoint now) {
-  // Without an answer the lease stands as it is and runs out by itself.
+  // Without an answer the lease keeps its end time, and the renewal is retried.
   NextRenewal = now + Init.MinRetryDelay;
   if (result.Header.Status != edge::KvStatus::Ok)
     return;
--- a/src/swap/load_slots.h
+++ b/src/swap/load_slots.h
@@ -1,10 +1,11 @@
-/// One agent's hold of one of its model's load slots: a key in the key-value
-/// service, created by compare-and-swap under a lease. At most as many servers
-/// of a model load weights, or drain for it, as it has slots.
+/// Claims and holds one of a model's load slots for an agent. A slot is a key
+/// in the key-value service that is created by compare-and-swap under a lease.
+/// The number of slots limits how many servers of a model load weights, or
+/// drain before loading, at once.
 ///
-/// A state machine: every function returns the next call to make, and each
-/// call's result is given to on(). At most one call is awaited at a time;
-/// results of others are ignored.
+/// LoadSlot is a state machine: its functions return the next call to make, if
+/// any, and the caller passes the result of each call to onResult(). At most
+/// one call is awaited at a time; results of other calls are ignored.
 #pragma once
 
 #include "daisytack/error.h"
@@ -26,13 +27,13 @@
   uint64_t Lease = 0;
   bool operator==(const KeepLease &) const = default;
 };
-/// Nobody waits for its result: a lease that isn't revoked lapses.
+/// The result is not awaited: a lease that isn't revoked expires.
 struct RevokeLease {
   uint64_t Lease = 0;
   bool operator==(const RevokeLease &) const = default;
 };
 
-/// A call to the key-value service; its result carries the same number.
+/// A call to the key-value service. Its SlotResult carries the same number.
 struct SlotCall {
   uint64_t Number = 0;
   std::variant<edge::KvRange, edge::KvTransaction, GrantLease, KeepLease,
@@ -52,36 +53,39 @@
   std::string Instance;
   Incarnation Process;
   LeaseInit LeaseSettings;
-  /// Attempts of all servers of the model together to take a slot, per second.
+  /// Rate of attempts to claim a slot, of all servers of the model together.
   double AttemptsPerSecond = 8;
   Duration MinRetryDelay{250'000};
-  /// A call without result counts as unknown after this.
+  /// A call without a result after this time is given up.
   Duration CallTimeout{5'000'000};
 };
 
-/// "/daisytack/slots/MODEL/".
+/// The prefix of the keys of a model's slots: "/daisytack/slots/MODEL/".
 std::string slotPrefix(std::string_view model);
 
-/// Not thread-safe.
+/// The state machine of one agent's slot. Not thread-safe.
 class LoadSlot {
 public:
   LoadSlot(LoadSlotInit init, RandomSource random);
 
-  /// Tries to take one of the first `usable` slots, when it is time for a try.
-  /// Waiting is the number of servers that compete for them.
+  /// Starts to claim one of the first `usableSlots` slots, unless a claim is in
+  /// progress, a slot is held or the delay after the last failure has not
+  /// passed. `competitors` is the number of servers that compete for the slots.
   std::optional<SlotCall> acquire(uint32_t usableSlots, uint32_t competitors,
                                   TimePoint now);
   std::optional<SlotCall> onResult(const SlotResult &result, TimePoint now);
-  /// Renews when it is due, and gives up on a call that was never answered.
+  /// Renews the lease when that is due, and gives up an unanswered call after
+  /// CallTimeout and a slot whose lease has expired.
   std::optional<SlotCall> onTimer(TimePoint now);
+  /// Releases the slot, or cancels the claim, and revokes the lease.
   std::optional<SlotCall> release(TimePoint now);
 
-  /// The fencing number while the slot is held and an act is covered by the
-  /// lease.
+  /// The fencing token; empty unless the slot is held and the lease covers an
+  /// action that follows at once.
   std::optional<uint64_t> fence(TimePoint now) const;
-  /// Number of the slot that is held or tried for.
+  /// Number of the slot that is held or being claimed, from 0.
   uint32_t slot() const { return Slot; }
-  /// True from the first call of a try until it is released or lapses.
+  /// Whether a slot is held or being claimed.
   bool isBusy() const { return CurrentState != State::Idle; }
   bool isHeld(TimePoint now) const {
     return CurrentState == State::Held && !SlotLease.hasLapsed(now);
@@ -123,8 +127,8 @@
   uint32_t Slot = 0;
   uint64_t Fence = 0;
   uint64_t LastCallNumber = 0;
-  std::optional<uint64_t>
-      AwaitedCall; ///< Number of the call whose result counts.
+  /// Number of the call whose result is awaited; empty if there is none.
+  std::optional<uint64_t> AwaitedCall;
   TimePoint AskedAt;
   TimePoint NextAttempt;
   TimePoint NextRenewal;
--- a/tests/swap/converge_test.cpp
+++ b/tests/swap/converge_test.cpp
@@ -98,7 +98,7 @@
   fleet.run(60 * Second);
   EXPECT_EQ(fleet.orders(), 0U);
   EXPECT_EQ(fleet.minInService(), 12U);
-  // All servers of the model together, not each.
+  // The rate limit of attempts applies to all servers of the model together.
   EXPECT_LE(fleet.calls(), 60U * 10U);
   down = false;
   EXPECT_TRUE(fleet.runUntilConverged(60 * Second));
@@ -228,7 +228,8 @@
   SwapFleet fleet(init);
   fleet.setDesired("v2");
   fleet.run(Second);
-  // Another holder's higher number: every order of ours is refused.
+  // A newer holder's fencing token, so that all orders of the fleet are
+  // refused.
   fleet.sendForeignOrder(0, "v1", 1'000'000);
   fleet.sendForeignOrder(1, "v1", 1'000'000);
   fleet.run(60 * Second);
--- a/tests/swap/lease_test.cpp
+++ b/tests/swap/lease_test.cpp
@@ -33,7 +33,8 @@
 TEST(Lease, MayNotActAfterALongPause) {
   Lease lease = granted();
   EXPECT_FALSE(lease.mayAct(at(3600)));
-  // A renewal asked for before the pause says nothing of the time after it.
+  // A renewal that was requested before the pause doesn't cover the time after
+  // it.
   lease.renewed(7, 10 * Second, at(103));
   EXPECT_FALSE(lease.mayAct(at(3600)));
 }
--- a/tests/swap/swap_fleet.cpp
+++ b/tests/swap/swap_fleet.cpp
@@ -15,7 +15,7 @@
   return out;
 }
 
-/// The same kind of result, without an answer in it.
+/// A failed result of the same type as the given one.
 decltype(SlotResult::Response) failedResult(const SlotResult &answered,
                                             CallFate fate) {
   if (std::holds_alternative<edge::KvRangeResult>(answered.Response))
--- a/tests/swap/swap_fleet.h
+++ b/tests/swap/swap_fleet.h
@@ -1,5 +1,5 @@
-/// Some agents with their servers and one key-value service, stepped through
-/// time. Watches what must hold of a swap at every step.
+/// A simulation of agents with their servers and one key-value service. It
+/// advances in fixed steps of time and records the extremes that tests check.
 #pragma once
 
 #include "fakes/fake_kv.h"
@@ -13,7 +13,7 @@
 
 namespace daisytack::test {
 
-/// What becomes of one call to the service.
+/// What happens to one call to the key-value service.
 enum class CallFate : uint8_t { Answered, AnswerLost, NeverSent };
 
 struct FleetInit {
@@ -30,15 +30,16 @@
   explicit SwapFleet(FleetInit init);
 
   void setDesired(std::string version) { Desired = std::move(version); }
-  /// Chooses the fate of each call from now on; none: answered.
+  /// Chooses what happens to each call. If empty, all calls are answered.
   std::function<CallFate()> Fate;
   void pause(size_t agent, bool paused) { Agents[agent].Paused = paused; }
   void setActiveRuns(size_t agent, uint32_t runs) {
     Agents[agent].ActiveRuns = runs;
   }
-  /// Steps until the time has passed.
+  /// Advances the simulation by the given time.
   void run(Duration time);
-  /// Steps until all servers run the desired version; false after the limit.
+  /// Advances until all servers run the desired version. Returns false if they
+  /// don't within the limit.
   bool runUntilConverged(Duration limit);
 
   size_t agents() const { return Agents.size(); }
@@ -52,13 +53,14 @@
   uint64_t calls() const { return Calls; }
   uint64_t orders() const { return Orders; }
   uint64_t staleOrdersExecuted() const { return StaleOrdersExecuted; }
-  /// Updates after which a timer was wanted for a time that has passed: its
-  /// owner would spin.
+  /// Number of updates after which nextTimer() was not in the future. The owner
+  /// of such a timer would loop without waiting.
   uint64_t overdueTimers() const { return OverdueTimers; }
   void setReachable(size_t agent, bool reachable) {
     Agents[agent].Reachable = reachable;
   }
-  /// Sends an order past the core, as a predecessor that woke up would.
+  /// Sends an order that the Converger knows nothing of, like an earlier agent
+  /// process that resumes after a pause.
   void sendForeignOrder(size_t agent, const std::string &version,
                         uint64_t fence) {
     order(Agents[agent], {{version, ""}, fence});
@@ -74,7 +76,8 @@
     uint32_t ActiveRuns = 0;
     bool Paused = false;
     bool Reachable = true;
-    swap::SwapView ReportedView; ///< Lags behind the truth.
+    /// The view that the agent sees; up to StatusLag old.
+    swap::SwapView ReportedView;
     TimePoint ReportedAt;
     std::vector<swap::SlotResult> Answers;
   };
