--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -165,12 +165,13 @@
 
 void reportMessages(Loaded &to) {
   TimePoint now = monotonicNow();
-  Rumour rumour;
-  rumour.Config = to.State.config().deltaAfter(to.State.config().content() - 1);
+  StateUpdate rumour;
+  rumour.Config =
+      to.State.config().deltaAfter(to.State.config().lastChange() - 1);
   std::string change = wire::encode(PeerMessage(rumour));
   rumour.Config.reset();
   rumour.Members =
-      to.State.members().deltaAfter(to.State.members().content() - 1);
+      to.State.members().deltaAfter(to.State.members().lastChange() - 1);
   std::string member = wire::encode(PeerMessage(rumour));
   rumour.Members.reset();
   rumour.Signals.push_back({{memberNumbered(5).Name, {}}, 0});
--- a/src/control/command.h
+++ b/src/control/command.h
@@ -24,7 +24,7 @@
   ObjectEdit Edit;
   /// Revision of the object that the operator saw; without one, the one in
   /// force in this process. 0: the object must not exist.
-  std::optional<uint64_t> Expected;
+  std::optional<uint64_t> ExpectedRevision;
 };
 
 enum class CommandOutcome : uint8_t {
--- a/src/control/command_run.cpp
+++ b/src/control/command_run.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr Duration FirstPause{50'000};
-constexpr uint32_t MostDoublings = 5;
+constexpr Duration InitialDelay{50'000};
+constexpr uint32_t MaxDoublings = 5;
 
 CommandStep done(CommandResult result) {
   CommandStep out;
-  out.What = CommandStep::Kind::Done;
+  out.Action = CommandStep::Kind::Done;
   out.Result = std::move(result);
   return out;
 }
@@ -25,11 +25,11 @@
 }
 
 CommandStep applied(uint64_t revision,
-                    std::optional<OtherChange> onTop = std::nullopt) {
+                    std::optional<OtherChange> laterChange = std::nullopt) {
   CommandResult result;
   result.Outcome = CommandOutcome::Applied;
   result.Revision = revision;
-  result.Other = std::move(onTop);
+  result.Other = std::move(laterChange);
   return done(std::move(result));
 }
 
@@ -54,16 +54,18 @@
 } // namespace
 
 CommandRun::CommandRun(Command command, std::optional<ReplicaEntry> base,
-                       TimePoint giveUpAt)
-    : Asked(std::move(command)), Base(std::move(base)), GiveUpAt(giveUpAt) {}
+                       TimePoint deadline)
+    : Requested(std::move(command)), Base(std::move(base)), Deadline(deadline) {
+}
 
 CommandStep CommandRun::begin() {
-  uint64_t known = Base ? Base->Revision : 0;
+  uint64_t knownRevision = Base ? Base->Revision : 0;
   bool exists = Base && !Base->Deleted;
-  bool seen = !Asked.Expected || *Asked.Expected == known ||
-              (*Asked.Expected == 0 && !exists);
+  bool isBaseCurrent = !Requested.ExpectedRevision ||
+                       *Requested.ExpectedRevision == knownRevision ||
+                       (*Requested.ExpectedRevision == 0 && !exists);
   // Another state than the operator saw: ask the service which one is newer.
-  return seen ? prepare() : read();
+  return isBaseCurrent ? prepare() : read();
 }
 
 CommandStep CommandRun::prepare() {
@@ -72,45 +74,45 @@
     std::optional<StoredObject> stored = decode(Base->Value, reason);
     if (!stored)
       return done(CommandOutcome::Refused, reason.Kind, reason.Detail);
-    Before = std::move(*stored);
+    BaseObject = std::move(*stored);
   }
-  StoredObject after = Before;
-  if (!Asked.Edit(after.Object, reason))
+  StoredObject after = BaseObject;
+  if (!Requested.Edit(after.Object, reason))
     return done(CommandOutcome::Refused, reason.Kind, reason.Detail);
-  if (after.Object == Before.Object)
+  if (after.Object == BaseObject.Object)
     return done({CommandOutcome::Unchanged, Base ? Base->Revision : 0, {}, {}});
   if (after.Object) {
     std::vector<FieldError> errors = validate(*after.Object);
-    if (keyOf(*after.Object) != Asked.Key)
+    if (keyOf(*after.Object) != Requested.Key)
       errors.push_back({"name", keyOf(*after.Object).Name, "keep the name"});
     if (!errors.empty())
       return done(CommandOutcome::Refused, ErrorKind::BadValue, joined(errors));
   }
-  after.Trail.insert(after.Trail.begin(), {Asked.Id, Asked.Operator});
+  after.Trail.insert(after.Trail.begin(), {Requested.Id, Requested.Operator});
   after.Trail.resize(std::min(after.Trail.size(), MaxCommandTrail));
   after.Schema = std::max(after.Schema, SchemaVersion);
-  Text = encodeStored(after);
-  if (Text.size() > MaxValueBytes)
+  EncodedValue = encodeStored(after);
+  if (EncodedValue.size() > MaxValueBytes)
     return done(CommandOutcome::Refused, ErrorKind::BadValue,
                 "object too large: shorten it");
   return commit();
 }
 
 CommandStep CommandRun::commit() {
-  std::string key = toText(Asked.Key);
+  std::string key = toText(Requested.Key);
   CommandStep out;
-  out.What = CommandStep::Kind::Commit;
+  out.Action = CommandStep::Kind::Commit;
   out.Transaction.If.push_back(
       {key, edge::KvCompare::Target::ModRevision, Base ? Base->Revision : 0});
-  out.Transaction.Then.push_back({key, Text, 0, false});
+  out.Transaction.Then.push_back({key, EncodedValue, 0, false});
   out.Transaction.ReadOnFailure.push_back(key);
   return out;
 }
 
 CommandStep CommandRun::read() const {
   CommandStep out;
-  out.What = CommandStep::Kind::Read;
-  out.Range.Begin = toText(Asked.Key);
+  out.Action = CommandStep::Kind::Read;
+  out.Range.Begin = toText(Requested.Key);
   return out;
 }
 
@@ -124,7 +126,7 @@
       return done(CommandOutcome::Conflict, ErrorKind::Conflict,
                   "the object's key was deleted by hand in the key-value "
                   "service: create the object anew");
-    return judgeAfterLoss(result.Current.front(), now);
+    return resolveOutcome(result.Current.front(), now);
   case edge::KvStatus::Unavailable:
     if (!MayBeApplied)
       return done(CommandOutcome::Unavailable, ErrorKind::ServiceUnavailable,
@@ -132,7 +134,7 @@
     return waitOrGiveUp(result.Header.Reason, now);
   case edge::KvStatus::Unknown:
     MayBeApplied = true;
-    return now < GiveUpAt ? read() : waitOrGiveUp(result.Header.Reason, now);
+    return now < Deadline ? read() : waitOrGiveUp(result.Header.Reason, now);
   }
   return {};
 }
@@ -140,20 +142,20 @@
 CommandStep CommandRun::onRead(const edge::KvRangeResult &result,
                                TimePoint now) {
   if (!MayBeApplied)
-    return judgeBase(result, now);
+    return checkBase(result, now);
   if (result.Header.Status != edge::KvStatus::Ok)
     return waitOrGiveUp(result.Header.Reason, now);
   edge::KvEntry current;
   if (!result.Entries.empty())
     current = result.Entries.front();
-  return judgeAfterLoss(current, now);
+  return resolveOutcome(current, now);
 }
 
 CommandStep CommandRun::onWaited() { return read(); }
 
-CommandStep CommandRun::judgeBase(const edge::KvRangeResult &result,
+CommandStep CommandRun::checkBase(const edge::KvRangeResult &result,
                                   TimePoint now) {
-  if (result.Header.Status != edge::KvStatus::Ok || now >= GiveUpAt)
+  if (result.Header.Status != edge::KvStatus::Ok || now >= Deadline)
     return done(CommandOutcome::Unavailable, ErrorKind::ServiceUnavailable,
                 result.Header.Reason.Detail);
   edge::KvEntry current;
@@ -164,7 +166,7 @@
   if (current.ModRevision != 0)
     stored = decode(current.Value, reason);
   bool exists = stored && stored->Object;
-  if (*Asked.Expected != (exists ? current.ModRevision : 0))
+  if (*Requested.ExpectedRevision != (exists ? current.ModRevision : 0))
     return conflict(current);
   Base.reset();
   if (current.ModRevision != 0)
@@ -173,13 +175,13 @@
   return prepare();
 }
 
-CommandStep CommandRun::judgeAfterLoss(const edge::KvEntry &current,
+CommandStep CommandRun::resolveOutcome(const edge::KvEntry &current,
                                        TimePoint now) {
   if (current.ModRevision == (Base ? Base->Revision : 0)) {
     // Not applied so far, but the lost write may still arrive. Sending the
     // same compare again settles it.
-    Error silent{ErrorKind::ServiceUnknown, "no answer to the write in time"};
-    return now < GiveUpAt ? commit() : waitOrGiveUp(silent, now);
+    Error noAnswer{ErrorKind::ServiceUnknown, "no answer to the write in time"};
+    return now < Deadline ? commit() : waitOrGiveUp(noAnswer, now);
   }
   Error reason;
   std::optional<StoredObject> stored = decode(current.Value, reason);
@@ -190,26 +192,26 @@
                 reason.Detail);
   auto ours = std::find_if(
       stored->Trail.begin(), stored->Trail.end(),
-      [&](const CommandStamp &stamp) { return stamp.Command == Asked.Id; });
+      [&](const CommandStamp &stamp) { return stamp.Command == Requested.Id; });
   if (ours != stored->Trail.end() && ours == stored->Trail.begin())
     return applied(current.ModRevision);
   if (ours != stored->Trail.end())
     return applied(0, otherChange(*stored, current));
-  if (!MayBeApplied || seesAllSinceBase(*stored, current))
+  if (!MayBeApplied || trailCoversBase(*stored, current))
     return conflict(current);
   return done(CommandOutcome::Unknown, ErrorKind::ServiceUnknown,
               "the answer was lost, and the object has changed too often "
               "since to tell: look at the object");
 }
 
-bool CommandRun::seesAllSinceBase(const StoredObject &stored,
-                                  const edge::KvEntry &current) const {
+bool CommandRun::trailCoversBase(const StoredObject &stored,
+                                 const edge::KvEntry &current) const {
   if (current.Version <= stored.Trail.size())
     return true;
-  if (Before.Trail.empty())
+  if (BaseObject.Trail.empty())
     return false;
   return std::find(stored.Trail.begin(), stored.Trail.end(),
-                   Before.Trail.front()) != stored.Trail.end();
+                   BaseObject.Trail.front()) != stored.Trail.end();
 }
 
 CommandStep CommandRun::conflict(const edge::KvEntry &current) const {
@@ -223,7 +225,7 @@
   const std::string &by = result.Other->Stamp.Operator;
   result.Reason = {ErrorKind::Conflict,
                    (by.empty() ? "another writer" : "operator " + by) +
-                       " changed " + toText(Asked.Key) + " at revision " +
+                       " changed " + toText(Requested.Key) + " at revision " +
                        std::to_string(current.ModRevision) +
                        ": look at it and issue the command again"};
   return done(std::move(result));
@@ -231,17 +233,17 @@
 
 std::optional<StoredObject> CommandRun::decode(std::string_view value,
                                                Error &reason) const {
-  return decodeStored(Asked.Key, value, reason);
+  return decodeStored(Requested.Key, value, reason);
 }
 
 CommandStep CommandRun::waitOrGiveUp(const Error &why, TimePoint now) {
-  if (now >= GiveUpAt)
+  if (now >= Deadline)
     return done(CommandOutcome::Unknown, ErrorKind::ServiceUnknown,
                 why.Detail + ": look at the object before issuing the command "
                              "again");
   CommandStep out;
-  out.What = CommandStep::Kind::Wait;
-  out.Pause = FirstPause * (1U << std::min(Pauses++, MostDoublings));
+  out.Action = CommandStep::Kind::Wait;
+  out.Delay = InitialDelay * (1U << std::min(WaitCount++, MaxDoublings));
   return out;
 }
 
--- a/src/control/command_run.h
+++ b/src/control/command_run.h
@@ -17,10 +17,10 @@
 /// What the shell has to do next.
 struct CommandStep {
   enum class Kind : uint8_t { Commit, Read, Wait, Done };
-  Kind What = Kind::Done;
+  Kind Action = Kind::Done;
   edge::KvTransaction Transaction; ///< Commit.
   edge::KvRange Range;             ///< Read.
-  Duration Pause{0};               ///< Wait.
+  Duration Delay{0};               ///< Wait.
   CommandResult Result;            ///< Done.
 };
 
@@ -29,7 +29,7 @@
 public:
   /// Base is the object's state in force in this process, when it has one.
   CommandRun(Command command, std::optional<ReplicaEntry> base,
-             TimePoint giveUpAt);
+             TimePoint deadline);
 
   CommandStep begin();
   CommandStep onCommitted(const edge::KvTransactionResult &result,
@@ -42,21 +42,21 @@
   CommandStep commit();
   CommandStep read() const;
   CommandStep waitOrGiveUp(const Error &why, TimePoint now);
-  CommandStep judgeBase(const edge::KvRangeResult &result, TimePoint now);
-  CommandStep judgeAfterLoss(const edge::KvEntry &current, TimePoint now);
-  bool seesAllSinceBase(const StoredObject &stored,
-                        const edge::KvEntry &current) const;
+  CommandStep checkBase(const edge::KvRangeResult &result, TimePoint now);
+  CommandStep resolveOutcome(const edge::KvEntry &current, TimePoint now);
+  bool trailCoversBase(const StoredObject &stored,
+                       const edge::KvEntry &current) const;
   CommandStep conflict(const edge::KvEntry &current) const;
   std::optional<StoredObject> decode(std::string_view value,
                                      Error &reason) const;
 
-  Command Asked;
+  Command Requested;
   std::optional<ReplicaEntry> Base;
-  TimePoint GiveUpAt;
-  StoredObject Before;
-  std::string Text;
+  TimePoint Deadline;
+  StoredObject BaseObject;
+  std::string EncodedValue;
   bool MayBeApplied = false; ///< A write was sent and its answer lost.
-  uint32_t Pauses = 0;
+  uint32_t WaitCount = 0;
 };
 
 } // namespace daisytack::control
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -45,7 +45,7 @@
 ControlState::ControlState(ControlStateInit init, EventSink events)
     : Events(std::move(events)), Config(init.MaxTombstones),
       Members(init.MaxTombstones),
-      Board(init.SignalLife, init.ObservationLife) {}
+      Signals(init.SignalLifetime, init.ObservationLifetime) {}
 
 bool ControlState::mergeConfig(const ReplicaDelta &delta) {
   Replica::MergeResult result = Config.merge(delta);
@@ -61,20 +61,20 @@
   return !result.Changed.empty();
 }
 
-bool ControlState::hear(const AgedSignal &signal, TimePoint now) {
-  if (!Board.hear(signal, now))
+bool ControlState::mergeSignal(const AgedSignal &signal, TimePoint now) {
+  if (!Signals.merge(signal, now))
     return false;
-  applyMember(signal.Said.Instance);
+  applyMember(signal.Message.Instance);
   return true;
 }
 
 void ControlState::observeLeaving(const std::string &instance, TimePoint now) {
-  Board.observeLeaving(instance, now);
+  Signals.observeLeaving(instance, now);
   applyMember(instance);
 }
 
 bool ControlState::expire(TimePoint now) {
-  std::vector<std::string> names = Board.expire(now);
+  std::vector<std::string> names = Signals.expire(now);
   for (const std::string &name : names)
     applyMember(name);
   return !names.empty();
@@ -114,11 +114,11 @@
   Dirty = true;
   if (Builder.applyConfig(key, exists ? entry->Value : std::string_view(),
                           reason)) {
-    NotUnderstood.erase(key);
+    RejectedConfig.erase(key);
     Events(makeEvent(EventKind::ConfigApplied, ErrorKind::None, key));
     return;
   }
-  NotUnderstood[key] = reason.Detail;
+  RejectedConfig[key] = reason.Detail;
   Events(makeEvent(EventKind::ConfigApplied, reason.Kind, key));
 }
 
@@ -133,7 +133,7 @@
   if (!listed)
     return;
   Member &member = listed->Instance;
-  member.State = std::max(member.State, Board.stateOf(name));
+  member.State = std::max(member.State, Signals.stateOf(name));
   if (!Builder.applyMember(member))
     return;
   Dirty = true;
@@ -141,9 +141,9 @@
 }
 
 std::shared_ptr<const Snapshot> ControlState::takeSnapshot() {
-  bool moved = Config.watermark() != TakenRevision ||
-               Members.watermark() != TakenVersion;
-  if (!Dirty && !moved)
+  bool advanced = Config.watermark() != TakenRevision ||
+                  Members.watermark() != TakenVersion;
+  if (!Dirty && !advanced)
     return nullptr;
   Dirty = false;
   TakenRevision = Config.watermark();
--- a/src/control/control_state.h
+++ b/src/control/control_state.h
@@ -4,7 +4,7 @@
 
 #include "control/instance_codec.h"
 #include "control/replica.h"
-#include "control/signal_board.h"
+#include "control/signal_table.h"
 #include "control/snapshot_builder.h"
 #include "daisytack/event.h"
 #include "edge/kv.h"
@@ -19,8 +19,8 @@
 
 struct ControlStateInit {
   size_t MaxTombstones = 4096; ///< Per replica.
-  Duration SignalLife{300'000'000};
-  Duration ObservationLife{10'000'000};
+  Duration SignalLifetime{300'000'000};
+  Duration ObservationLifetime{10'000'000};
 };
 
 /// Not thread-safe; its owner serialises access.
@@ -31,7 +31,7 @@
   /// Each returns whether anything changed.
   bool mergeConfig(const ReplicaDelta &delta);
   bool mergeMembers(const ReplicaDelta &delta);
-  bool hear(const AgedSignal &signal, TimePoint now);
+  bool mergeSignal(const AgedSignal &signal, TimePoint now);
   void observeLeaving(const std::string &instance, TimePoint now);
   bool expire(TimePoint now);
 
@@ -45,7 +45,7 @@
 
   const Replica &config() const { return Config; }
   const Replica &members() const { return Members; }
-  const SignalBoard &signals() const { return Board; }
+  const SignalTable &signals() const { return Signals; }
   uint64_t clusterId() const { return Cluster; }
   /// Merged from list, signals and observations; gone ones are left out.
   const std::map<std::string, Member> &memberTable() const {
@@ -53,8 +53,8 @@
   }
   /// Configuration keys whose value can't be acted on, and why. The last
   /// understood value is in force.
-  const std::map<std::string, std::string> &notUnderstood() const {
-    return NotUnderstood;
+  const std::map<std::string, std::string> &rejectedConfig() const {
+    return RejectedConfig;
   }
 
   /// The snapshot when it differs from the last one taken.
@@ -67,9 +67,9 @@
   EventSink Events;
   Replica Config;
   Replica Members;
-  SignalBoard Board;
+  SignalTable Signals;
   SnapshotBuilder Builder;
-  std::map<std::string, std::string> NotUnderstood;
+  std::map<std::string, std::string> RejectedConfig;
   uint64_t Cluster = 0;
   bool Dirty = false;
   uint64_t TakenRevision = 0;
--- a/src/control/field_text.cpp
+++ b/src/control/field_text.cpp
@@ -51,16 +51,16 @@
 
 /// Microseconds of ".5Z" or "Z"; nothing when it is neither.
 std::optional<int64_t> parseFraction(std::string_view text) {
-  constexpr size_t MostDigits = 6;
+  constexpr size_t MaxDigits = 6;
   if (text == "Z")
     return 0;
   if (text.size() < 3 || text.front() != '.' || text.back() != 'Z')
     return std::nullopt;
   std::string digits(text.substr(1, text.size() - 2));
-  if (digits.size() > MostDigits)
+  if (digits.size() > MaxDigits)
     return std::nullopt;
-  digits.resize(MostDigits, '0');
-  int micros = digitsAt(digits, 0, MostDigits);
+  digits.resize(MaxDigits, '0');
+  int micros = digitsAt(digits, 0, MaxDigits);
   if (micros < 0)
     return std::nullopt;
   return micros;
@@ -124,21 +124,23 @@
   return time.has_value();
 }
 
-std::string_view fieldForm(const std::string &) { return "text"; }
-std::string_view fieldForm(bool) { return "true or false"; }
-std::string_view fieldForm(uint32_t) { return "a whole number from 0"; }
-std::string_view fieldForm(uint64_t) { return "bytes, such as 64k, 16M or 1G"; }
-std::string_view fieldForm(double) { return "a number"; }
-std::string_view fieldForm(Duration) {
+std::string_view fieldFormat(const std::string &) { return "text"; }
+std::string_view fieldFormat(bool) { return "true or false"; }
+std::string_view fieldFormat(uint32_t) { return "a whole number from 0"; }
+std::string_view fieldFormat(uint64_t) {
+  return "bytes, such as 64k, 16M or 1G";
+}
+std::string_view fieldFormat(double) { return "a number"; }
+std::string_view fieldFormat(Duration) {
   return "a duration, such as 10ms, 3s, 5m, 2h or 7d";
 }
-std::string_view fieldForm(KeepRule) {
+std::string_view fieldFormat(KeepRule) {
   return "one of never, second_sight, always";
 }
-std::string_view fieldForm(OperatorRole) {
+std::string_view fieldFormat(OperatorRole) {
   return "one of viewer, operator, administrator";
 }
-std::string_view fieldForm(const std::optional<WallTime> &) {
+std::string_view fieldFormat(const std::optional<WallTime> &) {
   return "a time in UTC, such as 2026-12-02T06:30:00Z, or none";
 }
 
@@ -171,11 +173,11 @@
 
 std::optional<WallTime> parseWallTime(std::string_view text) {
   using namespace std::chrono;
-  constexpr std::string_view Shape = "0000-00-00T00:00:00";
-  if (text.size() <= Shape.size())
+  constexpr std::string_view Layout = "0000-00-00T00:00:00";
+  if (text.size() <= Layout.size())
     return std::nullopt;
-  for (size_t i = 0; i < Shape.size(); ++i)
-    if (Shape[i] != '0' && Shape[i] != text[i])
+  for (size_t i = 0; i < Layout.size(); ++i)
+    if (Layout[i] != '0' && Layout[i] != text[i])
       return std::nullopt;
   int hour = digitsAt(text, 11, 2);
   int minute = digitsAt(text, 14, 2);
@@ -183,7 +185,7 @@
   year_month_day date{year(digitsAt(text, 0, 4)),
                       month(static_cast<unsigned>(digitsAt(text, 5, 2))),
                       day(static_cast<unsigned>(digitsAt(text, 8, 2)))};
-  std::optional<int64_t> fraction = parseFraction(text.substr(Shape.size()));
+  std::optional<int64_t> fraction = parseFraction(text.substr(Layout.size()));
   bool clockValid = hour >= 0 && hour < 24 && minute >= 0 && minute < 60 &&
                     second >= 0 && second < 60;
   if (!date.ok() || static_cast<int>(date.year()) < 1970 || !clockValid ||
--- a/src/control/field_text.h
+++ b/src/control/field_text.h
@@ -33,15 +33,15 @@
 bool parseField(std::string_view text, std::optional<WallTime> &value);
 
 /// What a field of that type is to be written as: one short phrase.
-std::string_view fieldForm(const std::string &);
-std::string_view fieldForm(bool);
-std::string_view fieldForm(uint32_t);
-std::string_view fieldForm(uint64_t);
-std::string_view fieldForm(double);
-std::string_view fieldForm(Duration);
-std::string_view fieldForm(KeepRule);
-std::string_view fieldForm(OperatorRole);
-std::string_view fieldForm(const std::optional<WallTime> &);
+std::string_view fieldFormat(const std::string &);
+std::string_view fieldFormat(bool);
+std::string_view fieldFormat(uint32_t);
+std::string_view fieldFormat(uint64_t);
+std::string_view fieldFormat(double);
+std::string_view fieldFormat(Duration);
+std::string_view fieldFormat(KeepRule);
+std::string_view fieldFormat(OperatorRole);
+std::string_view fieldFormat(const std::optional<WallTime> &);
 
 /// "2026-12-02T06:30:00Z", with a fraction of a second when there is one.
 std::string wallTimeText(WallTime time);
--- a/src/control/gossip.cpp
+++ b/src/control/gossip.cpp
@@ -18,15 +18,15 @@
 constexpr size_t MaxSignalMessages = 4;
 /// How long the signals may differ from every peer's before a process fetches
 /// all of them: datagrams are too slow when very many are new.
-constexpr Duration SignalsPatience{5'000'000};
+constexpr Duration SignalsMismatchTimeout{5'000'000};
 /// News of signals that may wait; anti-entropy finds what is left out.
-constexpr size_t MaxFreshSignals = 1024;
+constexpr size_t MaxPendingSignals = 1024;
 /// Bytes that the network adds to a payload: IP, UDP and the seal.
 constexpr size_t DatagramOverhead = 28 + 44;
 constexpr double BurstSeconds = 4;
 /// News leaves this share of a full budget to digests and answers: without them
 /// no process that missed something could catch up.
-constexpr double AnswerShare = 0.25;
+constexpr double AnswerReserveShare = 0.25;
 /// Values of a page; one value may be longer.
 constexpr size_t PageBytes = 256U << 10;
 
@@ -41,12 +41,12 @@
       std::clamp<int64_t>(age, 0, int64_t{NeverMillis} - 1));
 }
 
-TimePoint sinceAge(uint32_t age, TimePoint now) {
+TimePoint timeOfAge(uint32_t age, TimePoint now) {
   return age == NeverMillis ? NeverTime : now - milliseconds(age);
 }
 
 /// Cuts a delta into consecutive parts of bounded size.
-std::vector<ReplicaDelta> cut(ReplicaDelta delta) {
+std::vector<ReplicaDelta> splitDelta(ReplicaDelta delta) {
   std::vector<ReplicaDelta> out;
   out.push_back({delta.From, delta.Through, {}});
   size_t bytes = 0;
@@ -73,7 +73,7 @@
 
 } // namespace
 
-void joinPage(Rumour &whole, const Page &page) {
+void joinPage(StateUpdate &whole, const Page &page) {
   whole.Header = page.Part.Header;
   joinDelta(whole.Config, page.Part.Config);
   joinDelta(whole.Members, page.Part.Members);
@@ -92,25 +92,26 @@
   Peers = PeerTable(State.memberTable(), Init.Self, Init.Seeds);
 }
 
-void Gossip::say(const Signal &signal, TimePoint now) {
-  takeSignal({signal, 0}, now);
+void Gossip::publishSignal(const Signal &signal, TimePoint now) {
+  mergeSignal({signal, 0}, now);
 }
 
-void Gossip::takeSignal(const AgedSignal &signal, TimePoint now) {
-  if (State.hear(signal, now) && FreshSignals.size() < MaxFreshSignals)
-    FreshSignals.push_back(signal.Said);
+void Gossip::mergeSignal(const AgedSignal &signal, TimePoint now) {
+  if (State.mergeSignal(signal, now) &&
+      PendingSignals.size() < MaxPendingSignals)
+    PendingSignals.push_back(signal.Message);
 }
 
-void Gossip::noteTry(bool reached, TimePoint now) {
-  LastTry = now;
-  if (reached)
-    LastReached = now;
+void Gossip::recordPlatformCall(bool answered, TimePoint now) {
+  LastPlatformCall = now;
+  if (answered)
+    LastPlatformAnswer = now;
 }
 
 GossipActions Gossip::onTick(TimePoint now) {
   GossipActions out;
-  tellNews(now, out);
-  compare(now, out);
+  sendPendingUpdate(now, out);
+  sendDueDigest(now, out);
   return out;
 }
 
@@ -118,7 +119,7 @@
                                 const PeerMessage &message, TimePoint now) {
   GossipActions out;
   std::visit([&](const auto &m) { on(from, m, now, out); }, message);
-  tellNews(now, out);
+  sendPendingUpdate(now, out);
   return out;
 }
 
@@ -126,240 +127,247 @@
   PeerHeader out;
   out.Lineage = Init.Lineage;
   out.ClusterId = State.clusterId();
-  out.ConfigContent = State.config().content();
-  out.ConfigThrough = State.config().watermark();
-  out.MemberContent = State.members().content();
-  out.MemberThrough = State.members().watermark();
+  out.ConfigLastChange = State.config().lastChange();
+  out.ConfigWatermark = State.config().watermark();
+  out.MemberLastChange = State.members().lastChange();
+  out.MemberWatermark = State.members().watermark();
   out.SignalsHash = State.signals().hash();
-  out.TriedMillis = ageMillis(LastTry, now);
-  out.ReachedMillis = ageMillis(LastReached, now);
+  out.PlatformCallMillis = ageMillis(LastPlatformCall, now);
+  out.PlatformAnswerMillis = ageMillis(LastPlatformAnswer, now);
   return out;
 }
 
-bool Gossip::takeHeader(const PeerHeader &header, TimePoint now) {
+bool Gossip::acceptHeader(const PeerHeader &header, TimePoint now) {
   Error reason;
   if (header.Lineage != Init.Lineage ||
       !State.acceptPeer(header.ClusterId, reason)) {
-    ++Stats.OtherState;
+    ++Stats.StateMismatches;
     return false;
   }
   if (header.SignalsHash == State.signals().hash())
-    SignalsEqualAt = now;
-  LastTry = std::max(LastTry, sinceAge(header.TriedMillis, now));
-  LastReached = std::max(LastReached, sinceAge(header.ReachedMillis, now));
+    SignalsMatchedAt = now;
+  LastPlatformCall =
+      std::max(LastPlatformCall, timeOfAge(header.PlatformCallMillis, now));
+  LastPlatformAnswer =
+      std::max(LastPlatformAnswer, timeOfAge(header.PlatformAnswerMillis, now));
   return true;
 }
 
 bool Gossip::isAhead(const PeerHeader &peer) const {
-  return peer.ConfigContent > State.config().watermark() ||
-         peer.MemberContent > State.members().watermark();
+  return peer.ConfigLastChange > State.config().watermark() ||
+         peer.MemberLastChange > State.members().watermark();
 }
 
 bool Gossip::isBehind(const PeerHeader &peer) const {
-  return State.config().content() > peer.ConfigThrough ||
-         State.members().content() > peer.MemberThrough;
+  return State.config().lastChange() > peer.ConfigWatermark ||
+         State.members().lastChange() > peer.MemberWatermark;
 }
 
 void Gossip::on(const Endpoint &from, const Digest &m, TimePoint now,
                 GossipActions &out) {
-  if (!takeHeader(m.Header, now))
+  if (!acceptHeader(m.Header, now))
     return;
   if (isBehind(m.Header) || m.Header.SignalsHash != State.signals().hash())
-    answer(from, m.Header, now, out);
+    sendMissingState(from, m.Header, now, out);
   if (isAhead(m.Header))
-    pull(from, now, out);
-  if (now - SignalsEqualAt > SignalsPatience) {
-    SignalsEqualAt = now;
+    sendPull(from, now, out);
+  if (now - SignalsMatchedAt > SignalsMismatchTimeout) {
+    SignalsMatchedAt = now;
     out.Fetch = from;
   }
 }
 
-void Gossip::on(const Endpoint &from, const Rumour &m, TimePoint now,
+void Gossip::on(const Endpoint &from, const StateUpdate &m, TimePoint now,
                 GossipActions &out) {
-  if (!takeHeader(m.Header, now))
+  if (!acceptHeader(m.Header, now))
     return;
-  takeRumour(m, now);
+  mergeUpdate(m, now);
   if (isAhead(m.Header))
-    pull(from, now, out);
+    sendPull(from, now, out);
   if (!m.SignalBuckets.empty())
-    returnSignals(from, m, now, out);
+    sendDifferingSignals(from, m, now, out);
 }
 
 void Gossip::on(const Endpoint &from, const Pull &m, TimePoint now,
                 GossipActions &out) {
-  if (takeHeader(m.Header, now) && isBehind(m.Header))
-    answer(from, m.Header, now, out);
+  if (acceptHeader(m.Header, now) && isBehind(m.Header))
+    sendMissingState(from, m.Header, now, out);
 }
 
 void Gossip::on(const Endpoint &from, const TooLarge &m, TimePoint now,
                 GossipActions &out) {
-  if (takeHeader(m.Header, now) && isAhead(m.Header))
+  if (acceptHeader(m.Header, now) && isAhead(m.Header))
     out.Fetch = from;
 }
 
-void Gossip::returnSignals(const Endpoint &to, const Rumour &asked,
-                           TimePoint now, GossipActions &out) {
-  std::vector<AgedSignal> lacking =
-      State.signals().differing(asked.SignalBuckets, now);
-  lacking.resize(
-      std::min(lacking.size(), SignalsPerMessage * MaxSignalMessages));
-  Rumour back;
-  back.Header = header(now);
-  if (asked.Answer)
-    back.SignalBuckets = State.signals().buckets();
-  for (size_t i = 0; i == 0 || i < lacking.size(); i += SignalsPerMessage) {
-    size_t end = std::min(i + SignalsPerMessage, lacking.size());
-    back.Signals.assign(lacking.begin() + static_cast<ptrdiff_t>(i),
-                        lacking.begin() + static_cast<ptrdiff_t>(end));
-    if (!back.Signals.empty() || !back.SignalBuckets.empty())
-      send(to, wire::encode(PeerMessage(back)), now, out);
-    back.SignalBuckets.clear();
+void Gossip::sendDifferingSignals(const Endpoint &to,
+                                  const StateUpdate &request, TimePoint now,
+                                  GossipActions &out) {
+  std::vector<AgedSignal> missing =
+      State.signals().differing(request.SignalBuckets, now);
+  missing.resize(
+      std::min(missing.size(), SignalsPerMessage * MaxSignalMessages));
+  StateUpdate reply;
+  reply.Header = header(now);
+  if (request.Answer)
+    reply.SignalBuckets = State.signals().buckets();
+  for (size_t i = 0; i == 0 || i < missing.size(); i += SignalsPerMessage) {
+    size_t end = std::min(i + SignalsPerMessage, missing.size());
+    reply.Signals.assign(missing.begin() + static_cast<ptrdiff_t>(i),
+                         missing.begin() + static_cast<ptrdiff_t>(end));
+    if (!reply.Signals.empty() || !reply.SignalBuckets.empty())
+      send(to, wire::encode(PeerMessage(reply)), now, out);
+    reply.SignalBuckets.clear();
   }
 }
 
-void Gossip::takeRumour(const Rumour &rumour, TimePoint now) {
-  if (rumour.Config)
-    State.mergeConfig(*rumour.Config);
-  if (rumour.Members)
-    State.mergeMembers(*rumour.Members);
-  for (const AgedSignal &signal : rumour.Signals)
-    takeSignal(signal, now);
+void Gossip::mergeUpdate(const StateUpdate &update, TimePoint now) {
+  if (update.Config)
+    State.mergeConfig(*update.Config);
+  if (update.Members)
+    State.mergeMembers(*update.Members);
+  for (const AgedSignal &signal : update.Signals)
+    mergeSignal(signal, now);
 }
 
-void Gossip::onFetched(const Rumour &whole, TimePoint now) {
-  if (!takeHeader(whole.Header, now))
+void Gossip::onFetched(const StateUpdate &whole, TimePoint now) {
+  if (!acceptHeader(whole.Header, now))
     return;
-  takeRumour(whole, now);
+  mergeUpdate(whole, now);
 }
 
-void Gossip::skipFirstImages() {
+void Gossip::skipInitialImages() {
   if (!ConfigStarted && State.config().watermark() != 0) {
     ConfigStarted = true;
-    ToldConfig = State.config().content();
+    SentConfig = State.config().lastChange();
   }
   if (!MembersStarted && State.members().watermark() != 0) {
     MembersStarted = true;
-    ToldMembers = State.members().content();
+    SentMembers = State.members().lastChange();
   }
 }
 
-void Gossip::tellNews(TimePoint now, GossipActions &out) {
-  skipFirstImages();
-  bool config = State.config().content() > ToldConfig;
-  bool members = State.members().content() > ToldMembers;
-  if ((!config && !members && FreshSignals.empty()) || now < NextRound)
+void Gossip::sendPendingUpdate(TimePoint now, GossipActions &out) {
+  skipInitialImages();
+  bool config = State.config().lastChange() > SentConfig;
+  bool members = State.members().lastChange() > SentMembers;
+  if ((!config && !members && PendingSignals.empty()) || now < NextUpdate)
     return;
-  Rumour news;
-  news.Header = header(now);
+  StateUpdate update;
+  update.Header = header(now);
   if (config)
-    news.Config = State.config().deltaAfter(ToldConfig);
+    update.Config = State.config().deltaAfter(SentConfig);
   if (members)
-    news.Members = State.members().deltaAfter(ToldMembers);
-  size_t signals = std::min(FreshSignals.size(), SignalsPerMessage);
+    update.Members = State.members().deltaAfter(SentMembers);
+  size_t signals = std::min(PendingSignals.size(), SignalsPerMessage);
   std::vector<AgedSignal> known = State.signals().signals(now);
   for (size_t i = 0; i < signals; ++i)
     for (const AgedSignal &signal : known)
-      if (signal.Said == FreshSignals[i])
-        news.Signals.push_back(signal);
-  NextRound = now + Init.RumourInterval;
+      if (signal.Message == PendingSignals[i])
+        update.Signals.push_back(signal);
+  NextUpdate = now + Init.UpdateInterval;
   std::vector<Endpoint> to = Peers.choose(Init.Fanout, Random);
-  std::string payload = fit(news, Digest{header(now)});
+  std::string payload = encodeOrFallback(update, Digest{header(now)});
   // When the budget is spent the news stays news for a later round.
-  if (!spend(payload.size() * to.size(), to.size(), AnswerShare, now))
+  if (!takeBudget(payload.size() * to.size(), to.size(), AnswerReserveShare,
+                  now))
     return;
   for (const Endpoint &peer : to)
     out.Sends.push_back({peer, payload});
-  ++Stats.Rounds;
+  ++Stats.UpdateRounds;
   FollowUpsDue = Init.FollowUps;
-  NextCompare = std::min(NextCompare, now + untilNextCompare());
-  ToldConfig = State.config().content();
-  ToldMembers = State.members().content();
-  FreshSignals.erase(FreshSignals.begin(),
-                     FreshSignals.begin() + static_cast<ptrdiff_t>(signals));
+  NextDigest = std::min(NextDigest, now + nextDigestDelay());
+  SentConfig = State.config().lastChange();
+  SentMembers = State.members().lastChange();
+  PendingSignals.erase(PendingSignals.begin(),
+                       PendingSignals.begin() +
+                           static_cast<ptrdiff_t>(signals));
 }
 
-Duration Gossip::untilNextCompare() {
-  Duration around = Init.AntiEntropyInterval;
+Duration Gossip::nextDigestDelay() {
+  Duration interval = Init.AntiEntropyInterval;
   if (FollowUpsDue > 0) {
     --FollowUpsDue;
-    around = std::min(around, Init.FollowUpInterval);
+    interval = std::min(interval, Init.FollowUpInterval);
   }
   // Between half and one and a half of it, so that processes that started
   // together fall out of step.
   constexpr int64_t Steps = 1024;
   auto draw = static_cast<int64_t>(Random() % Steps);
-  return around / 2 + around * draw / Steps;
+  return interval / 2 + interval * draw / Steps;
 }
 
-void Gossip::compare(TimePoint now, GossipActions &out) {
-  if (now < NextCompare)
+void Gossip::sendDueDigest(TimePoint now, GossipActions &out) {
+  if (now < NextDigest)
     return;
-  NextCompare = now + untilNextCompare();
+  NextDigest = now + nextDigestDelay();
   for (const Endpoint &peer : Peers.choose(1, Random))
     if (send(peer, wire::encode(PeerMessage(Digest{header(now)})), now, out))
-      ++Stats.Compared;
+      ++Stats.DigestsSent;
 }
 
-void Gossip::answer(const Endpoint &to, const PeerHeader &peer, TimePoint now,
-                    GossipActions &out) {
-  Rumour reply;
+void Gossip::sendMissingState(const Endpoint &to, const PeerHeader &peer,
+                              TimePoint now, GossipActions &out) {
+  StateUpdate reply;
   reply.Header = header(now);
   reply.Answer = true;
-  if (State.config().content() > peer.ConfigThrough)
-    reply.Config = State.config().deltaAfter(peer.ConfigThrough);
-  if (State.members().content() > peer.MemberThrough)
-    reply.Members = State.members().deltaAfter(peer.MemberThrough);
+  if (State.config().lastChange() > peer.ConfigWatermark)
+    reply.Config = State.config().deltaAfter(peer.ConfigWatermark);
+  if (State.members().lastChange() > peer.MemberWatermark)
+    reply.Members = State.members().deltaAfter(peer.MemberWatermark);
   if (peer.SignalsHash != State.signals().hash())
     reply.SignalBuckets = State.signals().buckets();
-  send(to, fit(reply, TooLarge{header(now)}), now, out);
+  send(to, encodeOrFallback(reply, TooLarge{header(now)}), now, out);
 }
 
-void Gossip::pull(const Endpoint &from, TimePoint now, GossipActions &out) {
+void Gossip::sendPull(const Endpoint &from, TimePoint now, GossipActions &out) {
   if (now < NextPull)
     return;
   NextPull = now + PullInterval;
-  ++Stats.Pulled;
+  ++Stats.PullsSent;
   send(from, wire::encode(PeerMessage(pullMessage(now))), now, out);
 }
 
-std::string Gossip::fit(const PeerMessage &message,
-                        const PeerMessage &instead) const {
+std::string Gossip::encodeOrFallback(const PeerMessage &message,
+                                     const PeerMessage &fallback) const {
   std::string payload = wire::encode(message);
-  return payload.size() <= Init.MaxPayload ? payload : wire::encode(instead);
+  return payload.size() <= Init.MaxPayload ? payload : wire::encode(fallback);
 }
 
 bool Gossip::send(const Endpoint &to, std::string payload, TimePoint now,
                   GossipActions &out) {
-  if (!spend(payload.size(), 1, 0, now))
+  if (!takeBudget(payload.size(), 1, 0, now))
     return false;
   out.Sends.push_back({to, std::move(payload)});
   return true;
 }
 
-bool Gossip::spend(size_t bytes, size_t datagrams, double reservedShare,
-                   TimePoint now) {
+bool Gossip::takeBudget(size_t bytes, size_t datagrams, double reservedShare,
+                        TimePoint now) {
   auto cost = static_cast<double>(bytes + datagrams * DatagramOverhead);
   double reserve =
       static_cast<double>(Init.BytesPerSecond) * BurstSeconds * reservedShare;
   if (Bytes.take(cost, reserve, now))
     return true;
-  ++Stats.Held;
+  ++Stats.RateLimited;
   return false;
 }
 
 std::vector<Page> Gossip::pagesFor(const Pull &pull, TimePoint now) const {
   std::vector<Page> out;
-  auto add = [&](std::optional<ReplicaDelta> Rumour::*part,
+  auto add = [&](std::optional<ReplicaDelta> StateUpdate::*part,
                  ReplicaDelta delta) {
-    for (ReplicaDelta &piece : cut(std::move(delta))) {
+    for (ReplicaDelta &piece : splitDelta(std::move(delta))) {
       Page &page = out.emplace_back();
       page.More = true;
       page.Part.Header = header(now);
       page.Part.*part = std::move(piece);
     }
   };
-  add(&Rumour::Config, State.config().deltaAfter(pull.Header.ConfigThrough));
-  add(&Rumour::Members, State.members().deltaAfter(pull.Header.MemberThrough));
+  add(&StateUpdate::Config,
+      State.config().deltaAfter(pull.Header.ConfigWatermark));
+  add(&StateUpdate::Members,
+      State.members().deltaAfter(pull.Header.MemberWatermark));
   out.back().Part.Signals = State.signals().signals(now);
   out.back().More = false;
   return out;
--- a/src/control/gossip.h
+++ b/src/control/gossip.h
@@ -24,7 +24,7 @@
   std::vector<Endpoint> Seeds;
   uint32_t Lineage = 0;
   Duration AntiEntropyInterval{1'000'000};
-  Duration RumourInterval{20'000}; ///< Least between two rounds of news.
+  Duration UpdateInterval{20'000}; ///< Least between two rounds of news.
   size_t Fanout = 3;               ///< Peers told in a round.
   /// Digests sent soon after a round of news. Each costs a fraction of the news
   /// and finds a peer that the news has missed.
@@ -49,15 +49,15 @@
 
 /// Figures of one process. Only grow.
 struct GossipStats {
-  uint64_t Rounds = 0;     ///< Rounds of news.
-  uint64_t Compared = 0;   ///< Anti-entropy digests sent.
-  uint64_t Pulled = 0;     ///< Asked a peer that was ahead.
-  uint64_t Held = 0;       ///< Messages held back by the budget of bytes.
-  uint64_t OtherState = 0; ///< Messages of another lineage or service.
+  uint64_t UpdateRounds = 0;    ///< Rounds of news.
+  uint64_t DigestsSent = 0;     ///< Anti-entropy digests sent.
+  uint64_t PullsSent = 0;       ///< Asked a peer that was ahead.
+  uint64_t RateLimited = 0;     ///< Messages held back by the budget of bytes.
+  uint64_t StateMismatches = 0; ///< Messages of another lineage or service.
 };
 
 /// Adds a page to those before it; the joined deltas are taken as one.
-void joinPage(Rumour &whole, const Page &page);
+void joinPage(StateUpdate &whole, const Page &page);
 
 /// Not thread-safe; its owner serialises access.
 class Gossip {
@@ -67,9 +67,9 @@
   /// After a change of members.
   void refreshPeers();
   /// A signal of this process, or one that was learned here first.
-  void say(const Signal &signal, TimePoint now);
+  void publishSignal(const Signal &signal, TimePoint now);
   /// This process called the platform.
-  void noteTry(bool reached, TimePoint now);
+  void recordPlatformCall(bool answered, TimePoint now);
 
   /// To be called about every RumourInterval.
   GossipActions onTick(TimePoint now);
@@ -78,40 +78,41 @@
   /// Everything above the watermarks in pages of a bounded size.
   std::vector<Page> pagesFor(const Pull &pull, TimePoint now) const;
   /// What a fetch by TCP has brought, joined.
-  void onFetched(const Rumour &whole, TimePoint now);
+  void onFetched(const StateUpdate &whole, TimePoint now);
   Pull pullMessage(TimePoint now) const { return {header(now)}; }
 
   /// When any reader last called the platform, and was last answered.
-  TimePoint lastTry() const { return LastTry; }
-  TimePoint lastReached() const { return LastReached; }
+  TimePoint lastPlatformCall() const { return LastPlatformCall; }
+  TimePoint lastPlatformAnswer() const { return LastPlatformAnswer; }
   size_t peers() const { return Peers.size(); }
   const GossipStats &stats() const { return Stats; }
 
 private:
   PeerHeader header(TimePoint now) const;
-  bool takeHeader(const PeerHeader &header, TimePoint now);
+  bool acceptHeader(const PeerHeader &header, TimePoint now);
   bool isAhead(const PeerHeader &peer) const;
   bool isBehind(const PeerHeader &peer) const;
-  void returnSignals(const Endpoint &to, const Rumour &asked, TimePoint now,
-                     GossipActions &out);
-  void takeRumour(const Rumour &rumour, TimePoint now);
-  void takeSignal(const AgedSignal &signal, TimePoint now);
-  void tellNews(TimePoint now, GossipActions &out);
-  Duration untilNextCompare();
-  void compare(TimePoint now, GossipActions &out);
-  void answer(const Endpoint &to, const PeerHeader &peer, TimePoint now,
-              GossipActions &out);
-  void pull(const Endpoint &from, TimePoint now, GossipActions &out);
-  void skipFirstImages();
-  std::string fit(const PeerMessage &message, const PeerMessage &instead) const;
+  void sendDifferingSignals(const Endpoint &to, const StateUpdate &request,
+                            TimePoint now, GossipActions &out);
+  void mergeUpdate(const StateUpdate &update, TimePoint now);
+  void mergeSignal(const AgedSignal &signal, TimePoint now);
+  void sendPendingUpdate(TimePoint now, GossipActions &out);
+  Duration nextDigestDelay();
+  void sendDueDigest(TimePoint now, GossipActions &out);
+  void sendMissingState(const Endpoint &to, const PeerHeader &peer,
+                        TimePoint now, GossipActions &out);
+  void sendPull(const Endpoint &from, TimePoint now, GossipActions &out);
+  void skipInitialImages();
+  std::string encodeOrFallback(const PeerMessage &message,
+                               const PeerMessage &fallback) const;
   bool send(const Endpoint &to, std::string payload, TimePoint now,
             GossipActions &out);
-  bool spend(size_t bytes, size_t datagrams, double reservedShare,
-             TimePoint now);
+  bool takeBudget(size_t bytes, size_t datagrams, double reservedShare,
+                  TimePoint now);
 
   void on(const Endpoint &from, const Digest &m, TimePoint now,
           GossipActions &out);
-  void on(const Endpoint &from, const Rumour &m, TimePoint now,
+  void on(const Endpoint &from, const StateUpdate &m, TimePoint now,
           GossipActions &out);
   void on(const Endpoint &from, const Pull &m, TimePoint now,
           GossipActions &out);
@@ -129,16 +130,16 @@
   /// A first image is old news to everybody else.
   bool ConfigStarted = false;
   bool MembersStarted = false;
-  uint64_t ToldConfig = 0; ///< Content that was told, or need not be.
-  uint64_t ToldMembers = 0;
-  std::vector<Signal> FreshSignals;
-  TimePoint NextCompare;
+  uint64_t SentConfig = 0; ///< Content that was told, or need not be.
+  uint64_t SentMembers = 0;
+  std::vector<Signal> PendingSignals;
+  TimePoint NextDigest;
   int FollowUpsDue = 0;
-  TimePoint NextRound;
+  TimePoint NextUpdate;
   TimePoint NextPull;
-  TimePoint SignalsEqualAt; ///< When a peer last had the same signals.
-  TimePoint LastTry = NeverTime;
-  TimePoint LastReached = NeverTime;
+  TimePoint SignalsMatchedAt; ///< When a peer last had the same signals.
+  TimePoint LastPlatformCall = NeverTime;
+  TimePoint LastPlatformAnswer = NeverTime;
 };
 
 } // namespace daisytack::control
--- a/src/control/object_codec.cpp
+++ b/src/control/object_codec.cpp
@@ -117,7 +117,9 @@
          take(SchemaField,
               [&](const json::value &v) { return fromJson(v, out.Schema); }) &&
          take(NeedsField,
-              [&](const json::value &v) { return fromJson(v, out.Needs); }) &&
+              [&](const json::value &v) {
+                return fromJson(v, out.MinReaderSchema);
+              }) &&
          take(CommandsField,
               [&](const json::value &v) { return readTrail(v, out.Trail); });
 }
@@ -232,7 +234,7 @@
   if (!stored.Unknown.empty())
     out = json::parse(stored.Unknown).as_object();
   out[SchemaField] = stored.Schema;
-  out[NeedsField] = stored.Needs;
+  out[NeedsField] = stored.MinReaderSchema;
   out[CommandsField] = trailToJson(stored.Trail);
   if (!stored.Object) {
     out[DeletedField] = true;
@@ -269,10 +271,10 @@
     reason = badValue("bad common field in the value of " + toText(key));
     return std::nullopt;
   }
-  if (out.Needs > SchemaVersion) {
+  if (out.MinReaderSchema > SchemaVersion) {
     reason = badValue("value of " + toText(key) + " needs schema " +
-                      std::to_string(out.Needs) + ", this build has " +
-                      std::to_string(SchemaVersion));
+                      std::to_string(out.MinReaderSchema) +
+                      ", this build has " + std::to_string(SchemaVersion));
     return std::nullopt;
   }
   ConfigObject object = defaultObject(key);
@@ -293,13 +295,13 @@
   bool known = false;
   bool parsed = false;
   std::string names;
-  std::string_view form;
+  std::string_view format;
   auto set = [&](std::string_view name, auto &member) {
     names += (names.empty() ? "" : ", ") + std::string(name);
     if (name != field)
       return;
     known = true;
-    form = fieldForm(member);
+    format = fieldFormat(member);
     parsed = parseField(text, member);
   };
   std::visit([&](auto &o) { visitFields(o, set); }, object);
@@ -307,7 +309,7 @@
     return true;
   reason.Field = field;
   reason.Value = field == "key_hash" ? "(hidden)" : std::string(text);
-  reason.Remedy = known ? "write it as " + std::string(form)
+  reason.Remedy = known ? "write it as " + std::string(format)
                         : "no such field: use one of " + names;
   return false;
 }
--- a/src/control/object_codec.h
+++ b/src/control/object_codec.h
@@ -72,7 +72,7 @@
   std::vector<CommandStamp> Trail;    ///< Newest first, at most
                                       ///< MaxCommandTrail.
   uint32_t Schema = SchemaVersion;    ///< Of its writer.
-  uint32_t Needs = 1;
+  uint32_t MinReaderSchema = 1;
   std::string Unknown; ///< JSON object of the fields that this build does not
                        ///< know; empty for none.
   auto operator<=>(const StoredObject &) const = default;
--- a/src/control/object_validation.cpp
+++ b/src/control/object_validation.cpp
@@ -13,23 +13,23 @@
 constexpr uint32_t MaxCount = 10'000'000;
 constexpr uint64_t MaxQuotaBytes = 1ULL << 50;
 constexpr uint32_t MaxPriority = 9;
-constexpr Duration LeastDeadline{10'000};
-constexpr Duration MostDeadline{24LL * 3600 * 1'000'000};
-constexpr Duration LeastKeep{1'000'000};
-constexpr Duration MostKeep{365LL * 24 * 3600 * 1'000'000};
+constexpr Duration MinDeadline{10'000};
+constexpr Duration MaxDeadline{24LL * 3600 * 1'000'000};
+constexpr Duration MinKeepFor{1'000'000};
+constexpr Duration MaxKeepFor{365LL * 24 * 3600 * 1'000'000};
 constexpr size_t KeyHashDigits = 64;
 
 /// Collects the mistakes of one object.
 class Checker {
 public:
   template <class T>
-  void range(std::string_view field, const T &value, const T &least,
-             const T &most) {
+  void range(std::string_view field, const T &value, const T &min,
+             const T &max) {
     // Written so that a NaN is out of range.
-    if (value >= least && value <= most)
+    if (value >= min && value <= max)
       return;
     add(field, fieldText(value),
-        "use " + fieldText(least) + " to " + fieldText(most));
+        "use " + fieldText(min) + " to " + fieldText(max));
   }
 
   void name(std::string_view field, const std::string &value) {
@@ -80,20 +80,20 @@
 void check(const RequestClass &o, Checker &to) {
   to.name("name", o.Name);
   to.range<uint32_t>("priority", o.Priority, 0, MaxPriority);
-  to.range("deadline", o.Deadline, LeastDeadline, MostDeadline);
+  to.range("deadline", o.Deadline, MinDeadline, MaxDeadline);
 }
 
 void check(const ReusePolicy &o, Checker &to) {
   to.name("organisation", o.Organisation);
   if (o.Class != "*")
     to.name("class", o.Class);
-  to.range("keep_for", o.KeepFor, LeastKeep, MostKeep);
+  to.range("keep_for", o.KeepFor, MinKeepFor, MaxKeepFor);
   to.range<uint64_t>("max_bytes", o.MaxBytes, 0, MaxQuotaBytes);
 }
 
 void check(const PlainService &o, Checker &to) {
   to.name("name", o.Name);
-  to.range("deadline", o.Deadline, LeastDeadline, MostDeadline);
+  to.range("deadline", o.Deadline, MinDeadline, MaxDeadline);
 }
 
 void check(const ServerOverride &o, Checker &to) { to.name("name", o.Name); }
--- a/src/control/peer_messages.h
+++ b/src/control/peer_messages.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "control/replica.h"
-#include "control/signal_board.h"
+#include "control/signal_table.h"
 #include "decide/limit_messages.h"
 
 #include <cstdint>
@@ -21,18 +21,18 @@
 struct PeerHeader {
   uint32_t Lineage = 0;
   uint64_t ClusterId = 0; ///< Of the key-value service; 0 when none is known.
-  uint64_t ConfigContent = 0; ///< Replica::content of the configuration.
-  uint64_t ConfigThrough = 0; ///< Replica::watermark of it.
-  uint64_t MemberContent = 0;
-  uint64_t MemberThrough = 0;
+  uint64_t ConfigLastChange = 0; ///< Replica::content of the configuration.
+  uint64_t ConfigWatermark = 0;  ///< Replica::watermark of it.
+  uint64_t MemberLastChange = 0;
+  uint64_t MemberWatermark = 0;
   uint64_t SignalsHash = 0;
-  uint32_t TriedMillis = NeverMillis;   ///< Since a reader last called the
-                                        ///< platform, as far as known.
-  uint32_t ReachedMillis = NeverMillis; ///< Since one was answered.
+  uint32_t PlatformCallMillis = NeverMillis; ///< Since a reader last called the
+                                             ///< platform, as far as known.
+  uint32_t PlatformAnswerMillis = NeverMillis; ///< Since one was answered.
   bool operator==(const PeerHeader &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Lineage, ClusterId, ConfigContent, ConfigThrough, MemberContent,
-       MemberThrough, SignalsHash, TriedMillis, ReachedMillis);
+    ar(Lineage, ClusterId, ConfigLastChange, ConfigWatermark, MemberLastChange,
+       MemberWatermark, SignalsHash, PlatformCallMillis, PlatformAnswerMillis);
   }
 };
 
@@ -45,7 +45,7 @@
 };
 
 /// News, or the answer to a Digest or Pull.
-struct Rumour {
+struct StateUpdate {
   PeerHeader Header;
   std::optional<ReplicaDelta> Config;
   std::optional<ReplicaDelta> Members;
@@ -54,7 +54,7 @@
   /// has in other buckets.
   std::vector<uint32_t> SignalBuckets;
   bool Answer = false; ///< Of a Digest: the receiver returns its buckets too.
-  bool operator==(const Rumour &) const = default;
+  bool operator==(const StateUpdate &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Header, Config, Members, Signals, SignalBuckets, Answer);
   }
@@ -78,23 +78,23 @@
 /// Part of the answer to a Pull by TCP. The receiver joins the entries of all
 /// pages and takes them as one delta.
 struct Page {
-  Rumour Part;
+  StateUpdate Part;
   bool More = false; ///< Another page follows.
   bool operator==(const Page &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(Part, More); }
 };
 
 /// Asks which configuration revision is in force.
-struct ForceProbe {
+struct RevisionProbe {
   uint64_t Nonce = 0; ///< Repeated by the answer.
-  bool operator==(const ForceProbe &) const = default;
+  bool operator==(const RevisionProbe &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(Nonce); }
 };
 
-struct ForceAnswer {
+struct RevisionAnswer {
   uint64_t Nonce = 0;
   uint64_t ConfigRevision = 0;
-  bool operator==(const ForceAnswer &) const = default;
+  bool operator==(const RevisionAnswer &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Nonce, ConfigRevision);
   }
@@ -102,7 +102,7 @@
 
 /// Every message. The order is part of the protocol: append only.
 using PeerMessage =
-    std::variant<Digest, Rumour, Pull, TooLarge, Page, ForceProbe, ForceAnswer,
-                 QuotaRequest, QuotaGrant>;
+    std::variant<Digest, StateUpdate, Pull, TooLarge, Page, RevisionProbe,
+                 RevisionAnswer, QuotaRequest, QuotaGrant>;
 
 } // namespace daisytack::control
--- a/src/control/peer_table.cpp
+++ b/src/control/peer_table.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 /// Of 100 messages, to the own failure domain and to the rest of the region.
-constexpr uint64_t DomainShare = 45;
-constexpr uint64_t RegionShare = 30;
+constexpr uint64_t DomainPercent = 45;
+constexpr uint64_t RegionPercent = 30;
 
 } // namespace
 
@@ -51,9 +51,9 @@
 const std::vector<Endpoint> &
 PeerTable::chooseGroup(const RandomSource &random) const {
   uint64_t draw = random() % 100;
-  if (draw < DomainShare && !SameDomain.empty())
+  if (draw < DomainPercent && !SameDomain.empty())
     return SameDomain;
-  if (draw < DomainShare + RegionShare && !SameRegion.empty())
+  if (draw < DomainPercent + RegionPercent && !SameRegion.empty())
     return SameRegion;
   if (!Elsewhere.empty())
     return Elsewhere;
--- a/src/control/readers.cpp
+++ b/src/control/readers.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr Duration SilenceBeforeStandIn{10'000'000};
-constexpr Duration SilencePerRank{1'000'000};
-constexpr Duration StandInTime{30'000'000};
+constexpr Duration FallbackDelay{10'000'000};
+constexpr Duration FallbackDelayPerRank{1'000'000};
+constexpr Duration FallbackDuration{30'000'000};
 /// Processes that the list does not show wait like this one.
-constexpr size_t LastRank = 60;
+constexpr size_t MaxRank = 60;
 
 std::pair<uint64_t, std::string_view> orderOf(const std::string &name) {
   return {hashName(name), name};
@@ -39,12 +39,12 @@
 bool ReaderChoice::shouldRead(TimePoint lastTry, TimePoint now) {
   if (Rank && *Rank < ReadersPerDomain)
     return true;
-  size_t place = std::min(Rank.value_or(LastRank), LastRank);
-  Duration patience =
-      SilenceBeforeStandIn + SilencePerRank * static_cast<int64_t>(place);
-  if (now - lastTry > patience)
-    StandInUntil = now + StandInTime;
-  return now < StandInUntil;
+  size_t rank = std::min(Rank.value_or(MaxRank), MaxRank);
+  Duration timeout =
+      FallbackDelay + FallbackDelayPerRank * static_cast<int64_t>(rank);
+  if (now - lastTry > timeout)
+    FallbackUntil = now + FallbackDuration;
+  return now < FallbackUntil;
 }
 
 } // namespace daisytack::control
--- a/src/control/readers.h
+++ b/src/control/readers.h
@@ -30,7 +30,7 @@
 
 private:
   std::optional<size_t> Rank;
-  TimePoint StandInUntil;
+  TimePoint FallbackUntil;
 };
 
 } // namespace daisytack::control
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -12,13 +12,13 @@
   for (const ReplicaEntry &entry : delta.Entries)
     if (mergeEntry(entry))
       out.Changed.push_back(entry.Key);
-  if (delta.From > Complete) {
+  if (delta.From > Watermark) {
     out.Gap = true;
     return out;
   }
-  if (delta.From == 0 && delta.Through >= Complete)
+  if (delta.From == 0 && delta.Through >= Watermark)
     dropAbsent(delta, out.Changed);
-  Complete = std::max(Complete, delta.Through);
+  Watermark = std::max(Watermark, delta.Through);
   trimTombstones();
   return out;
 }
@@ -28,7 +28,7 @@
   if (it == Entries.end()) {
     // Complete through the watermark and yet without the key: its deletion was
     // seen, and the tombstone dropped since.
-    if (entry.Revision <= Complete)
+    if (entry.Revision <= Watermark)
       return false;
   } else {
     if (entry.Revision <= it->second.Revision)
@@ -74,7 +74,7 @@
   while (Tombstones.size() > MaxTombstones) {
     RevisionKey oldest = *Tombstones.begin();
     // One above the watermark may still be needed against an older image.
-    if (oldest.first > Complete)
+    if (oldest.first > Watermark)
       return;
     DroppedThrough = std::max(DroppedThrough, oldest.first);
     erase(oldest.second);
@@ -83,15 +83,15 @@
 
 ReplicaDelta Replica::deltaAfter(uint64_t revision) const {
   ReplicaDelta out;
-  out.From = revision < DroppedThrough ? 0 : contentAt(revision);
-  out.Through = Complete;
+  out.From = revision < DroppedThrough ? 0 : lastChangeAt(revision);
+  out.Through = Watermark;
   auto it = ByRevision.lower_bound({out.From + 1, std::string_view()});
   for (; it != ByRevision.end(); ++it)
     out.Entries.push_back(Entries.find(it->second)->second);
   return out;
 }
 
-uint64_t Replica::contentAt(uint64_t revision) const {
+uint64_t Replica::lastChangeAt(uint64_t revision) const {
   auto it = ByRevision.lower_bound({revision + 1, std::string_view()});
   uint64_t latest = it != ByRevision.begin() ? std::prev(it)->first : 0;
   return DroppedThrough <= revision ? std::max(latest, DroppedThrough) : latest;
--- a/src/control/replica.h
+++ b/src/control/replica.h
@@ -59,10 +59,10 @@
   MergeResult merge(const ReplicaDelta &delta);
 
   /// Complete through this revision; 0 before the first image.
-  uint64_t watermark() const { return Complete; }
+  uint64_t watermark() const { return Watermark; }
   /// Revision of the latest change at or below the watermark. Two replicas with
   /// the same content differ at most in how far they know it to be complete.
-  uint64_t content() const { return contentAt(Complete); }
+  uint64_t lastChange() const { return lastChangeAt(Watermark); }
   /// Everything after the revision, or an image when tombstones after it were
   /// already dropped. From is the lowest one that costs no further entry.
   ReplicaDelta deltaAfter(uint64_t revision) const;
@@ -78,14 +78,14 @@
 private:
   using RevisionKey = std::pair<uint64_t, std::string_view>;
 
-  uint64_t contentAt(uint64_t revision) const;
+  uint64_t lastChangeAt(uint64_t revision) const;
   bool mergeEntry(const ReplicaEntry &entry);
   void dropAbsent(const ReplicaDelta &image, std::vector<std::string> &changed);
   void erase(std::string_view key);
   void trimTombstones();
 
   size_t MaxTombstones;
-  uint64_t Complete = 0;
+  uint64_t Watermark = 0;
   uint64_t DroppedThrough = 0; ///< Highest revision of a dropped tombstone.
   std::map<std::string, ReplicaEntry, std::less<>> Entries;
   std::set<RevisionKey> ByRevision; ///< Views into the keys of Entries.
--- a/src/control/force_gather.cpp
+++ b/src/control/rollout_check.cpp
@@ -1,4 +1,4 @@
-#include "control/force_gather.h"
+#include "control/rollout_check.h"
 
 #include <algorithm>
 
@@ -6,14 +6,14 @@
 
 namespace {
 
-constexpr Duration RoundInterval{300'000};
+constexpr Duration ProbeInterval{300'000};
 
 } // namespace
 
-ForceGather::ForceGather(const std::map<std::string, Member> &members,
-                         const std::string &self, uint64_t revision,
-                         TimePoint until, const RandomSource &random)
-    : Revision(revision), Until(until) {
+RolloutCheck::RolloutCheck(const std::map<std::string, Member> &members,
+                           const std::string &self, uint64_t revision,
+                           TimePoint deadline, const RandomSource &random)
+    : Revision(revision), Deadline(deadline) {
   std::vector<const Member *> others;
   for (const auto &[name, member] : members) {
     if (member.State != MemberState::Live)
@@ -22,38 +22,38 @@
     if (name != self)
       others.push_back(&member);
   }
-  size_t asked = std::min(others.size(), MaxAsked);
-  for (size_t i = 0; i < asked; ++i) {
+  size_t sampled = std::min(others.size(), MaxSampled);
+  for (size_t i = 0; i < sampled; ++i) {
     std::swap(others[i], others[i + random() % (others.size() - i)]);
     Targets[random()] = {others[i]->Name, others[i]->Peer, false};
   }
 }
 
-std::vector<ForceGather::Probe> ForceGather::onTick(TimePoint now) {
+std::vector<RolloutCheck::Probe> RolloutCheck::onTick(TimePoint now) {
   std::vector<Probe> out;
-  if (now < NextRound)
+  if (now < NextProbe)
     return out;
-  NextRound = now + RoundInterval;
+  NextProbe = now + ProbeInterval;
   for (const auto &[nonce, target] : Targets)
     if (!target.InForce)
       out.push_back({target.Peer, {nonce}});
   return out;
 }
 
-void ForceGather::onAnswer(const ForceAnswer &answer) {
+void RolloutCheck::onAnswer(const RevisionAnswer &answer) {
   auto it = Targets.find(answer.Nonce);
   if (it != Targets.end() && answer.ConfigRevision >= Revision)
     it->second.InForce = true;
 }
 
-bool ForceGather::isOver(TimePoint now) const {
-  return now >= Until ||
+bool RolloutCheck::isOver(TimePoint now) const {
+  return now >= Deadline ||
          std::all_of(Targets.begin(), Targets.end(),
                      [](const auto &row) { return row.second.InForce; });
 }
 
-ForceReport ForceGather::report(uint64_t own) const {
-  ForceReport out;
+RolloutReport RolloutCheck::report(uint64_t own) const {
+  RolloutReport out;
   out.Members = Members;
   out.Asked = Targets.size() + 1;
   out.InForce = own >= Revision ? 1 : 0;
--- a/src/control/force_gather.h
+++ b/src/control/rollout_check.h
@@ -14,36 +14,36 @@
 namespace daisytack::control {
 
 /// How far a revision got.
-struct ForceReport {
+struct RolloutReport {
   size_t Members = 0; ///< Live members known here.
   size_t Asked = 0;   ///< All of them, or a random sample of a large fleet.
   size_t InForce = 0; ///< Of those asked, have the revision in force.
   std::vector<std::string> Missing; ///< A few that haven't, or don't answer.
-  bool operator==(const ForceReport &) const = default;
+  bool operator==(const RolloutReport &) const = default;
 };
 
 /// Not thread-safe; its owner serialises access.
-class ForceGather {
+class RolloutCheck {
 public:
-  static constexpr size_t MaxAsked = 256;
+  static constexpr size_t MaxSampled = 256;
   static constexpr size_t MaxMissing = 8;
 
   /// One member to be asked.
   struct Probe {
     Endpoint To;
-    ForceProbe Message;
+    RevisionProbe Message;
   };
 
-  ForceGather(const std::map<std::string, Member> &members,
-              const std::string &self, uint64_t revision, TimePoint until,
-              const RandomSource &random);
+  RolloutCheck(const std::map<std::string, Member> &members,
+               const std::string &self, uint64_t revision, TimePoint deadline,
+               const RandomSource &random);
 
   /// Who is to be asked now.
   std::vector<Probe> onTick(TimePoint now);
-  void onAnswer(const ForceAnswer &answer);
+  void onAnswer(const RevisionAnswer &answer);
   bool isOver(TimePoint now) const;
   /// Own: the revision in force in this process.
-  ForceReport report(uint64_t own) const;
+  RolloutReport report(uint64_t own) const;
 
 private:
   struct Target {
@@ -53,8 +53,8 @@
   };
 
   uint64_t Revision;
-  TimePoint Until;
-  TimePoint NextRound;
+  TimePoint Deadline;
+  TimePoint NextProbe;
   size_t Members = 0;
   std::map<uint64_t, Target> Targets; ///< By nonce.
 };
--- a/src/control/signal_board.cpp
+++ b/src/control/signal_table.cpp
@@ -1,4 +1,4 @@
-#include "control/signal_board.h"
+#include "control/signal_table.h"
 
 #include "base/digest.h"
 
@@ -18,21 +18,23 @@
 }
 
 size_t bucketOf(const std::string &instance) {
-  return hashName(instance) % SignalBoard::BucketCount;
+  return hashName(instance) % SignalTable::BucketCount;
 }
 
 } // namespace
 
-SignalBoard::SignalBoard(Duration signalLife, Duration observationLife)
-    : SignalLife(signalLife), ObservationLife(observationLife) {}
+SignalTable::SignalTable(Duration signalLifetime, Duration observationLifetime)
+    : SignalLifetime(signalLifetime), ObservationLifetime(observationLifetime) {
+}
 
-bool SignalBoard::hear(const AgedSignal &signal, TimePoint now) {
-  const auto &[instance, content] = signal.Said;
+bool SignalTable::merge(const AgedSignal &signal, TimePoint now) {
+  const auto &[instance, content] = signal.Message;
   TimePoint until =
-      now + SignalLife - std::chrono::milliseconds(signal.AgeMillis);
+      now + SignalLifetime - std::chrono::milliseconds(signal.AgeMillis);
   if (until <= now)
     return false;
-  auto [it, added] = Signals.try_emplace(instance, Heard{content, until});
+  auto [it, added] =
+      Signals.try_emplace(instance, StoredSignal{content, until});
   if (!added) {
     if (content <= it->second.Content)
       return false;
@@ -46,11 +48,11 @@
   return true;
 }
 
-void SignalBoard::observeLeaving(const std::string &instance, TimePoint now) {
-  Observed[instance] = now + ObservationLife;
+void SignalTable::observeLeaving(const std::string &instance, TimePoint now) {
+  Observed[instance] = now + ObservationLifetime;
 }
 
-std::vector<std::string> SignalBoard::expire(TimePoint now) {
+std::vector<std::string> SignalTable::expire(TimePoint now) {
   std::vector<std::string> out;
   std::erase_if(Signals, [&](const auto &row) {
     if (row.second.Until > now)
@@ -68,42 +70,42 @@
   return out;
 }
 
-MemberState SignalBoard::stateOf(const std::string &instance) const {
+MemberState SignalTable::stateOf(const std::string &instance) const {
   MemberState out =
       Observed.contains(instance) ? MemberState::Leaving : MemberState::Live;
   auto it = Signals.find(instance);
   return it != Signals.end() ? std::max(out, it->second.Content.State) : out;
 }
 
-std::vector<AgedSignal> SignalBoard::signals(TimePoint now) const {
+std::vector<AgedSignal> SignalTable::signals(TimePoint now) const {
   std::vector<AgedSignal> out;
   out.reserve(Signals.size());
-  for (const auto &[instance, heard] : Signals) {
+  for (const auto &[instance, stored] : Signals) {
     auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
-        now + SignalLife - heard.Until);
-    out.push_back({{instance, heard.Content},
+        now + SignalLifetime - stored.Until);
+    out.push_back({{instance, stored.Content},
                    static_cast<uint32_t>(std::max<int64_t>(age.count(), 0))});
   }
   return out;
 }
 
-std::vector<uint32_t> SignalBoard::buckets() const {
+std::vector<uint32_t> SignalTable::buckets() const {
   std::vector<uint32_t> out(BucketCount, 0);
-  for (const auto &[instance, heard] : Signals)
+  for (const auto &[instance, stored] : Signals)
     out[bucketOf(instance)] ^=
-        static_cast<uint32_t>(hashOf(instance, heard.Content));
+        static_cast<uint32_t>(hashOf(instance, stored.Content));
   return out;
 }
 
 std::vector<AgedSignal>
-SignalBoard::differing(const std::vector<uint32_t> &theirs,
+SignalTable::differing(const std::vector<uint32_t> &theirs,
                        TimePoint now) const {
   if (theirs.size() != BucketCount)
     return {};
   std::vector<uint32_t> ours = buckets();
   std::vector<AgedSignal> out = signals(now);
   std::erase_if(out, [&](const AgedSignal &signal) {
-    size_t bucket = bucketOf(signal.Said.Instance);
+    size_t bucket = bucketOf(signal.Message.Instance);
     return ours[bucket] == theirs[bucket];
   });
   std::sort(out.begin(), out.end(),
@@ -114,7 +116,7 @@
 }
 
 std::optional<SignalContent>
-SignalBoard::find(const std::string &instance) const {
+SignalTable::find(const std::string &instance) const {
   auto it = Signals.find(instance);
   if (it == Signals.end())
     return std::nullopt;
--- a/src/control/signal_board.h
+++ b/src/control/signal_table.h
@@ -41,22 +41,24 @@
 /// A signal on its way, with the time since its process said it. A peer that
 /// has forgotten an old signal does not learn it anew for a full life.
 struct AgedSignal {
-  Signal Said;
+  Signal Message;
   uint32_t AgeMillis = 0;
   bool operator==(const AgedSignal &) const = default;
-  template <class Archive> void serialize(Archive &ar) { ar(Said, AgeMillis); }
+  template <class Archive> void serialize(Archive &ar) {
+    ar(Message, AgeMillis);
+  }
 };
 
 /// Not thread-safe; its owner serialises access.
-class SignalBoard {
+class SignalTable {
 public:
   /// Signals and observations are forgotten after their life; by then the
   /// instance list shows the same.
-  SignalBoard(Duration signalLife, Duration observationLife);
+  SignalTable(Duration signalLifetime, Duration observationLifetime);
 
   /// Whether the signal is news; older, repeated or expired ones change
   /// nothing.
-  bool hear(const AgedSignal &signal, TimePoint now);
+  bool merge(const AgedSignal &signal, TimePoint now);
   /// A request was refused because the instance is leaving.
   void observeLeaving(const std::string &instance, TimePoint now);
   /// Names whose state may have changed because something expired.
@@ -79,14 +81,14 @@
   uint64_t hash() const { return Hash; }
 
 private:
-  struct Heard {
+  struct StoredSignal {
     SignalContent Content;
     TimePoint Until;
   };
 
-  Duration SignalLife;
-  Duration ObservationLife;
-  std::map<std::string, Heard> Signals;
+  Duration SignalLifetime;
+  Duration ObservationLifetime;
+  std::map<std::string, StoredSignal> Signals;
   std::map<std::string, TimePoint> Observed; ///< Leaving, until.
   uint64_t Hash = 0;
 };
--- a/src/control/snapshot.cpp
+++ b/src/control/snapshot.cpp
@@ -82,7 +82,7 @@
   return std::tuple<bool, std::string_view>(pool.IsService, pool.Name) < key;
 }
 
-bool takesWork(const Server &server) {
+bool isRoutable(const Server &server) {
   return server.State == MemberState::Live && !server.Drained;
 }
 
@@ -170,7 +170,7 @@
     if (it == Pools.end() || it->IsService != server.IsService ||
         it->Name != server.Serves)
       it = Pools.insert(it, {server.Serves, server.IsService, {}});
-    if (takesWork(server))
+    if (isRoutable(server))
       it->Servers.push_back(ServerHandle{i});
   }
 }
--- a/src/runtime/command_runner.cpp
+++ b/src/runtime/command_runner.cpp
@@ -24,13 +24,13 @@
 
 private:
   void take(CommandStep step) {
-    switch (step.What) {
+    switch (step.Action) {
     case CommandStep::Kind::Commit:
       return commit(std::move(step.Transaction));
     case CommandStep::Kind::Read:
       return read(std::move(step.Range));
     case CommandStep::Kind::Wait:
-      return wait(step.Pause);
+      return wait(step.Delay);
     case CommandStep::Kind::Done:
       return Done(std::move(step.Result));
     }
--- a/src/runtime/control_metrics.cpp
+++ b/src/runtime/control_metrics.cpp
@@ -50,8 +50,8 @@
   NotUnderstood.set(static_cast<int64_t>(stats.NotUnderstood));
   raiseTo(Sent, stats.BytesSent);
   raiseTo(Received, stats.BytesReceived);
-  raiseTo(Held, stats.Talk.Held);
-  raiseTo(OtherState, stats.Talk.OtherState);
+  raiseTo(Held, stats.Talk.RateLimited);
+  raiseTo(OtherState, stats.Talk.StateMismatches);
 }
 
 void ControlMetrics::countRejected(ErrorKind kind) {
--- a/src/runtime/control_process.cpp
+++ b/src/runtime/control_process.cpp
@@ -148,7 +148,7 @@
     Reader->setActive(!waitForSeeds);
     return;
   }
-  TimePoint lastTry = std::max(Talk.lastTry(), Started);
+  TimePoint lastTry = std::max(Talk.lastPlatformCall(), Started);
   Reader->setActive(Choice.shouldRead(lastTry, now));
 }
 
@@ -161,19 +161,19 @@
   if (shadowed) {
     // The last process of this name left; its clock may have been ahead.
     Own.Generation = std::max(Own.Generation, heard->Generation + 1);
-    Talk.say({Init.Self.Name, Own}, now);
+    Talk.publishSignal({Init.Self.Name, Own}, now);
     changed();
   }
   if (Own.State == MemberState::Leaving && now >= NextRenewal) {
     NextRenewal = now + RenewalInterval;
     ++Own.Renewal;
-    Talk.say({Init.Self.Name, Own}, now);
+    Talk.publishSignal({Init.Self.Name, Own}, now);
   }
 }
 
 void ControlProcess::onServiceAttempt(const Error &reason) {
   bool reached = !reason;
-  Talk.noteTry(reached, monotonicNow());
+  Talk.recordPlatformCall(reached, monotonicNow());
   ServiceProblem = reason.Detail;
   if (reached != std::exchange(ServiceReached, reached))
     Events(makeControlEvent(reached ? EventKind::ServiceBack
@@ -200,28 +200,30 @@
 void ControlProcess::fetchFrom(const Endpoint &peer) {
   if (std::exchange(Fetching, true))
     return;
-  Peers->fetch(
-      peer, Talk.pullMessage(monotonicNow()),
-      [self = shared_from_this()](const std::optional<control::Rumour> &whole,
-                                  const Error &error) {
-        self->Fetching = false;
-        self->PeerProblem = error.Detail;
-        if (self->Stopped)
-          return;
-        if (whole)
-          self->Talk.onFetched(*whole, monotonicNow());
-        self->changed();
-      });
+  Peers->fetch(peer, Talk.pullMessage(monotonicNow()),
+               [self = shared_from_this()](
+                   const std::optional<control::StateUpdate> &whole,
+                   const Error &error) {
+                 self->Fetching = false;
+                 self->PeerProblem = error.Detail;
+                 if (self->Stopped)
+                   return;
+                 if (whole)
+                   self->Talk.onFetched(*whole, monotonicNow());
+                 self->changed();
+               });
 }
 
 void ControlProcess::onMessage(const Endpoint &from,
                                const control::PeerMessage &message) {
   if (Stopped)
     return;
-  if (const auto *probe = std::get_if<control::ForceProbe>(&message)) {
-    control::ForceAnswer answer{probe->Nonce, Current.load()->ConfigRevision};
+  if (const auto *probe = std::get_if<control::RevisionProbe>(&message)) {
+    control::RevisionAnswer answer{probe->Nonce,
+                                   Current.load()->ConfigRevision};
     Peers->send(from, wire::encode(control::PeerMessage(answer)));
-  } else if (const auto *force = std::get_if<control::ForceAnswer>(&message)) {
+  } else if (const auto *force =
+                 std::get_if<control::RevisionAnswer>(&message)) {
     for (auto &[number, gathering] : Gatherings)
       gathering.State.onAnswer(*force);
   } else if (const auto *asked = std::get_if<QuotaRequest>(&message)) {
@@ -304,9 +306,9 @@
   View.Reader = Reader && Reader->isActive();
   View.ServiceReached = ServiceReached;
   View.SinceReached.reset();
-  if (Talk.lastReached() != control::NeverTime)
-    View.SinceReached = monotonicNow() - Talk.lastReached();
-  View.NotUnderstood = State.notUnderstood().size();
+  if (Talk.lastPlatformAnswer() != control::NeverTime)
+    View.SinceReached = monotonicNow() - Talk.lastPlatformAnswer();
+  View.NotUnderstood = State.rejectedConfig().size();
   View.Talk = Talk.stats();
   View.BytesSent = Peers->bytesSent();
   View.BytesReceived = Peers->bytesReceived();
@@ -317,13 +319,13 @@
   Own.State = std::max(Own.State, state);
   TimePoint now = monotonicNow();
   NextRenewal = now + RenewalInterval;
-  Talk.say({Init.Self.Name, Own}, now);
+  Talk.publishSignal({Init.Self.Name, Own}, now);
   act(Talk.onTick(now));
   changed();
 }
 
 void ControlProcess::hearSignal(const control::Signal &signal) {
-  Talk.say(signal, monotonicNow());
+  Talk.publishSignal(signal, monotonicNow());
   changed();
 }
 
--- a/src/runtime/control_process.h
+++ b/src/runtime/control_process.h
@@ -38,7 +38,7 @@
   void reportDraining(const std::string &instance);
   void propose(control::Command command, CommandDone done);
   void gatherInForce(uint64_t revision, Duration timeout,
-                     std::function<void(control::ForceReport)> done);
+                     std::function<void(control::RolloutReport)> done);
   void requestAllotment(const Endpoint &peer, const QuotaRequest &request);
   void setKeys(net::PeerKeys keys);
 
@@ -56,8 +56,8 @@
 private:
   /// A question how far a revision got.
   struct Gathering {
-    control::ForceGather State;
-    std::function<void(control::ForceReport)> Done;
+    control::RolloutCheck State;
+    std::function<void(control::RolloutReport)> Done;
   };
 
   ServiceReaderHooks readerHooks();
--- a/src/runtime/control_requests.cpp
+++ b/src/runtime/control_requests.cpp
@@ -59,9 +59,9 @@
 
 void ControlProcess::gatherInForce(
     uint64_t revision, Duration timeout,
-    std::function<void(control::ForceReport)> done) {
-  control::ForceGather gather(State.memberTable(), Init.Self.Name, revision,
-                              monotonicNow() + timeout, Random);
+    std::function<void(control::RolloutReport)> done) {
+  control::RolloutCheck gather(State.memberTable(), Init.Self.Name, revision,
+                               monotonicNow() + timeout, Random);
   Gatherings.emplace(++NextGathering,
                      Gathering{std::move(gather), std::move(done)});
 }
@@ -74,7 +74,8 @@
       it = Gatherings.erase(it);
       continue;
     }
-    for (const control::ForceGather::Probe &probe : gathering.State.onTick(now))
+    for (const control::RolloutCheck::Probe &probe :
+         gathering.State.onTick(now))
       Peers->send(probe.To, wire::encode(control::PeerMessage(probe.Message)));
     ++it;
   }
--- a/src/runtime/control_runtime.cpp
+++ b/src/runtime/control_runtime.cpp
@@ -79,7 +79,7 @@
 
 void ControlRuntime::gatherInForce(
     uint64_t revision, Duration timeout,
-    std::function<void(control::ForceReport)> done) {
+    std::function<void(control::RolloutReport)> done) {
   Self->post([revision, timeout, done = std::move(done)](ControlProcess &self) {
     self.gatherInForce(revision, timeout, done);
   });
--- a/src/runtime/control_runtime.h
+++ b/src/runtime/control_runtime.h
@@ -5,8 +5,8 @@
 #include "base/metrics.h"
 #include "base/rcu.h"
 #include "control/command.h"
-#include "control/force_gather.h"
 #include "control/gossip.h"
+#include "control/rollout_check.h"
 #include "control/snapshot.h"
 #include "daisytack/event.h"
 #include "decide/limit_messages.h"
@@ -111,7 +111,7 @@
 
   /// Asks live members which revision they have in force.
   void gatherInForce(uint64_t revision, Duration timeout,
-                     std::function<void(control::ForceReport)> done);
+                     std::function<void(control::RolloutReport)> done);
 
 private:
   std::shared_ptr<class ControlProcess> Self;
--- a/src/runtime/operator_command.cpp
+++ b/src/runtime/operator_command.cpp
@@ -34,7 +34,7 @@
          outcome == CommandOutcome::Unchanged;
 }
 
-json::object forceToJson(const control::ForceReport &report) {
+json::object forceToJson(const control::RolloutReport &report) {
   json::array missing;
   for (const std::string &name : report.Missing)
     missing.emplace_back(name);
@@ -199,7 +199,7 @@
                           : Init.Control.Snapshots()->ConfigRevision;
   Init.Control.GatherInForce(
       revision, timeout,
-      [this, answer, until, done](control::ForceReport report) {
+      [this, answer, until, done](control::RolloutReport report) {
         CommandAnswer next = answer;
         bool isEverywhere = report.InForce == report.Asked;
         next.InForce = std::move(report);
--- a/src/runtime/operator_command.h
+++ b/src/runtime/operator_command.h
@@ -18,7 +18,7 @@
   size_t Changes = 0; ///< Applied, of a command that makes several.
   size_t Planned = 0;
   std::optional<uint64_t> Stopped; ///< Requests, by a stop command.
-  std::optional<control::ForceReport>
+  std::optional<control::RolloutReport>
       InForce; ///< When the operator waits for it.
 };
 
--- a/src/runtime/operator_http.h
+++ b/src/runtime/operator_http.h
@@ -62,7 +62,7 @@
                      std::function<void(control::CommandResult)>)>
       Propose;
   std::function<void(uint64_t revision, Duration timeout,
-                     std::function<void(control::ForceReport)>)>
+                     std::function<void(control::RolloutReport)>)>
       GatherInForce;
 };
 OperatorControl controlHooks(ControlRuntime &control);
--- a/src/runtime/peer_link.cpp
+++ b/src/runtime/peer_link.cpp
@@ -13,7 +13,7 @@
 using control::Page;
 using control::PeerMessage;
 using control::Pull;
-using control::Rumour;
+using control::StateUpdate;
 
 constexpr size_t DatagramOverhead = 28 + 44;
 constexpr size_t FrameOverhead = 40 + 48;
@@ -68,7 +68,7 @@
 
   void fail(const Error &error) { finish(std::nullopt, error); }
 
-  void finish(std::optional<Rumour> whole, const Error &error) {
+  void finish(std::optional<StateUpdate> whole, const Error &error) {
     if (!Done)
       return;
     Timer.cancel();
@@ -81,7 +81,7 @@
   net::Timer Timer;
   std::function<void(size_t)> Count;
   std::shared_ptr<net::FrameLink> Link;
-  Rumour Whole;
+  StateUpdate Whole;
   size_t Bytes = 0;
 };
 
--- a/src/runtime/peer_link.h
+++ b/src/runtime/peer_link.h
@@ -49,7 +49,7 @@
   /// Asks a peer for all above the watermarks; done is called once, on the
   /// strand.
   using Fetched =
-      std::function<void(std::optional<control::Rumour>, const Error &)>;
+      std::function<void(std::optional<control::StateUpdate>, const Error &)>;
   void fetch(const Endpoint &to, const control::Pull &pull, Fetched done);
 
   /// Bytes with the overhead of the seal and of IP.
--- a/tests/control/command_run_test.cpp
+++ b/tests/control/command_run_test.cpp
@@ -10,7 +10,7 @@
 
 const ObjectKey Key{ObjectKind::Model, "m"};
 constexpr TimePoint Start{};
-constexpr Duration GiveUp{10'000'000};
+constexpr Duration CommandTimeout{10'000'000};
 
 /// One key of the key-value service, with writes that arrive late.
 struct FakeService {
@@ -90,10 +90,10 @@
 
 /// Runs a command to its end against the service, without faults.
 CommandResult runPlain(FakeService &service, Command command) {
-  CommandRun run(std::move(command), service.base(), Start + GiveUp);
+  CommandRun run(std::move(command), service.base(), Start + CommandTimeout);
   CommandStep step = run.begin();
-  while (step.What != CommandStep::Kind::Done)
-    step = step.What == CommandStep::Kind::Commit
+  while (step.Action != CommandStep::Kind::Done)
+    step = step.Action == CommandStep::Kind::Commit
                ? run.onCommitted(service.commit(step.Transaction), Start)
                : run.onRead(service.read(), Start);
   return step.Result;
@@ -119,11 +119,11 @@
 TEST(CommandRun, TwoOperatorsAtOnceConflictShowsTheOther) {
   FakeService service;
   runPlain(service, setVersion(1, "v1"));
-  CommandRun slow(setVersion(2, "v2"), service.base(), Start + GiveUp);
+  CommandRun slow(setVersion(2, "v2"), service.base(), Start + CommandTimeout);
   CommandStep step = slow.begin();
   runPlain(service, setVersion(3, "v3"));
   step = slow.onCommitted(service.commit(step.Transaction), Start);
-  ASSERT_EQ(step.What, CommandStep::Kind::Done);
+  ASSERT_EQ(step.Action, CommandStep::Kind::Done);
   EXPECT_EQ(step.Result.Outcome, CommandOutcome::Conflict);
   ASSERT_TRUE(step.Result.Other);
   EXPECT_EQ(step.Result.Other->Stamp.Operator, "operator3");
@@ -132,11 +132,11 @@
 
 TEST(CommandRun, LostAnswerOfAppliedWriteIsApplied) {
   FakeService service;
-  CommandRun run(setVersion(1, "v1"), service.base(), Start + GiveUp);
+  CommandRun run(setVersion(1, "v1"), service.base(), Start + CommandTimeout);
   CommandStep step = run.begin();
   service.commit(step.Transaction);
   step = run.onCommitted(lostAnswer(), Start);
-  ASSERT_EQ(step.What, CommandStep::Kind::Read);
+  ASSERT_EQ(step.Action, CommandStep::Kind::Read);
   step = run.onRead(service.read(), Start);
   EXPECT_EQ(step.Result.Outcome, CommandOutcome::Applied);
   EXPECT_EQ(step.Result.Revision, service.Revision);
@@ -144,7 +144,7 @@
 
 TEST(CommandRun, AppliedThenOverwrittenIsAppliedAndShowsWhatCameOnTop) {
   FakeService service;
-  CommandRun run(setVersion(1, "v1"), service.base(), Start + GiveUp);
+  CommandRun run(setVersion(1, "v1"), service.base(), Start + CommandTimeout);
   CommandStep step = run.begin();
   service.commit(step.Transaction);
   runPlain(service, setVersion(2, "v2"));
@@ -157,20 +157,20 @@
 
 TEST(CommandRun, SilentServiceIsUnknownNotRetriedBlindly) {
   FakeService service;
-  CommandRun run(setVersion(1, "v1"), service.base(), Start + GiveUp);
+  CommandRun run(setVersion(1, "v1"), service.base(), Start + CommandTimeout);
   run.begin();
   CommandStep step = run.onCommitted(lostAnswer(), Start);
   edge::KvRangeResult down;
   step = run.onRead(down, Start);
-  EXPECT_EQ(step.What, CommandStep::Kind::Wait);
+  EXPECT_EQ(step.Action, CommandStep::Kind::Wait);
   run.onWaited();
-  step = run.onRead(down, Start + GiveUp);
+  step = run.onRead(down, Start + CommandTimeout);
   EXPECT_EQ(step.Result.Outcome, CommandOutcome::Unknown);
 }
 
 TEST(CommandRun, DownServiceIsUnavailable) {
   FakeService service;
-  CommandRun run(setVersion(1, "v1"), service.base(), Start + GiveUp);
+  CommandRun run(setVersion(1, "v1"), service.base(), Start + CommandTimeout);
   run.begin();
   CommandStep step = run.onCommitted({}, Start);
   EXPECT_EQ(step.Result.Outcome, CommandOutcome::Unavailable);
@@ -180,9 +180,9 @@
   FakeService service;
   runPlain(service, setVersion(1, "v1"));
   Command command = setVersion(2, "v2");
-  command.Expected = 0;
+  command.ExpectedRevision = 0;
   EXPECT_EQ(runPlain(service, command).Outcome, CommandOutcome::Conflict);
-  command.Expected = service.Entry.ModRevision;
+  command.ExpectedRevision = service.Entry.ModRevision;
   EXPECT_EQ(runPlain(service, command).Outcome, CommandOutcome::Applied);
 }
 
@@ -194,20 +194,21 @@
   const Id128 ours{1000, 1000};
   if (*rc::gen::arbitrary<bool>())
     runPlain(service, setVersion(1, "v0"));
-  CommandRun run(setVersion(1000, "v1"), service.base(), Start + GiveUp);
+  CommandRun run(setVersion(1000, "v1"), service.base(),
+                 Start + CommandTimeout);
   CommandStep step = run.begin();
   TimePoint now = Start;
   uint64_t other = 1;
-  while (step.What != CommandStep::Kind::Done) {
+  while (step.Action != CommandStep::Kind::Done) {
     now += Duration(*rc::gen::inRange<int64_t>(0, 1'000'000));
     for (int i = *rc::gen::inRange(0, 3); i > 0; --i, ++other)
       runPlain(service, setVersion(other + 1, "o" + std::to_string(other)));
     if (*rc::gen::arbitrary<bool>())
       service.deliverDelayed();
     int fault = *rc::gen::inRange<int>(None, Down + 1);
-    if (step.What == CommandStep::Kind::Wait) {
+    if (step.Action == CommandStep::Kind::Wait) {
       step = run.onWaited();
-    } else if (step.What == CommandStep::Kind::Read) {
+    } else if (step.Action == CommandStep::Kind::Read) {
       step = run.onRead(fault == Down ? edge::KvRangeResult{} : service.read(),
                         now);
     } else if (fault == None) {
--- a/tests/control/fleet.h
+++ b/tests/control/fleet.h
@@ -23,7 +23,7 @@
     Member Self;
     bool Down = false;
     std::unique_ptr<ControlState> State;
-    std::unique_ptr<Gossip> Talk;
+    std::unique_ptr<Gossip> Gossiper;
   };
 
   /// Whether a message is lost.
@@ -66,13 +66,13 @@
     init.Lineage = Lineage;
     node.State = std::make_unique<ControlState>(ControlStateInit{},
                                                 [](const Event &) {});
-    node.Talk = std::make_unique<Gossip>(
+    node.Gossiper = std::make_unique<Gossip>(
         init, *node.State, [this] { return mix64(Draws += 0x9E3779B9); });
     schedule(i, Now + Duration(static_cast<int64_t>(mix64(++Draws) % 20'000)));
   }
 
   /// Gives every process the list of all.
-  void introduce() {
+  void distributeMemberList() {
     ReplicaDelta list{0, Nodes.size(), {}};
     for (size_t i = 0; i < Nodes.size(); ++i)
       list.Entries.push_back({Nodes[i].Self.Name,
@@ -80,7 +80,7 @@
                               false});
     for (Node &node : Nodes) {
       node.State->mergeMembers(list);
-      node.Talk->refreshPeers();
+      node.Gossiper->refreshPeers();
     }
   }
 
@@ -152,7 +152,7 @@
     if (to.Down)
       return;
     if (message.From == message.To)
-      return act(message.To, to.Talk->onTick(Now));
+      return apply(message.To, to.Gossiper->onTick(Now));
     Node &from = Nodes[message.From];
     if (from.Down || Lost(from, to))
       return;
@@ -162,19 +162,20 @@
     std::optional<PeerMessage> decoded =
         wire::decode<PeerMessage>(message.Payload, reason);
     if (decoded)
-      act(message.To, to.Talk->onMessage(from.Self.Peer, *decoded, Now));
+      apply(message.To, to.Gossiper->onMessage(from.Self.Peer, *decoded, Now));
   }
 
   void fetch(Node &from, Node &to) {
     ++Fetches;
-    Rumour whole;
-    for (const Page &page : from.Talk->pagesFor(to.Talk->pullMessage(Now), Now))
+    StateUpdate whole;
+    for (const Page &page :
+         from.Gossiper->pagesFor(to.Gossiper->pullMessage(Now), Now))
       joinPage(whole, page);
-    to.Talk->onFetched(whole, Now);
-    to.Talk->refreshPeers();
+    to.Gossiper->onFetched(whole, Now);
+    to.Gossiper->refreshPeers();
   }
 
-  void act(size_t i, GossipActions actions) {
+  void apply(size_t i, GossipActions actions) {
     for (PeerSend &send : actions.Sends) {
       ++Sent;
       SentBytes += send.Payload.size();
--- a/tests/control/gossip_test.cpp
+++ b/tests/control/gossip_test.cpp
@@ -17,7 +17,7 @@
 /// All know one another and the first revision.
 struct StartedFleet : Fleet {
   explicit StartedFleet(size_t count) : Fleet(count, Domains, Regions, Seed) {
-    introduce();
+    distributeMemberList();
     for (size_t i = 0; i < count; ++i)
       change(i, "m", 10, "v1");
     run(seconds(2));
@@ -151,8 +151,8 @@
   fleet.change(0, "m", 99, "restored");
   fleet.run(seconds(5));
   EXPECT_EQ(fleet.reached(99), 1U);
-  EXPECT_GT(fleet.Nodes[0].Talk->stats().OtherState +
-                fleet.Nodes[1].Talk->stats().OtherState,
+  EXPECT_GT(fleet.Nodes[0].Gossiper->stats().StateMismatches +
+                fleet.Nodes[1].Gossiper->stats().StateMismatches,
             0U);
   Error reason;
   EXPECT_TRUE(fleet.Nodes[1].State->acceptPeer(7, reason));
@@ -163,29 +163,29 @@
 TEST(Gossip, LeavingReachesEveryProcessAheadOfTheList) {
   StartedFleet fleet(100);
   Signal leaving{"n7", {1000, {1, 1}, MemberState::Leaving, 0}};
-  fleet.Nodes[7].Talk->say(leaving, fleet.Now);
-  auto knowing = [&] {
+  fleet.Nodes[7].Gossiper->publishSignal(leaving, fleet.Now);
+  auto leavingCount = [&] {
     size_t out = 0;
     for (const Fleet::Node &node : fleet.Nodes)
       out += node.State->memberTable().at("n7").State == MemberState::Leaving;
     return out;
   };
   fleet.run(seconds(3));
-  EXPECT_EQ(knowing(), 100U);
+  EXPECT_EQ(leavingCount(), 100U);
   // The next process of that name is told apart from the one that left.
   Signal live{"n7", {2000, {2, 2}, MemberState::Live, 0}};
-  fleet.Nodes[7].Talk->say(live, fleet.Now);
+  fleet.Nodes[7].Gossiper->publishSignal(live, fleet.Now);
   fleet.run(seconds(3));
-  EXPECT_EQ(knowing(), 0U);
-  fleet.Nodes[9].Talk->say(leaving, fleet.Now);
+  EXPECT_EQ(leavingCount(), 0U);
+  fleet.Nodes[9].Gossiper->publishSignal(leaving, fleet.Now);
   fleet.run(seconds(3));
-  EXPECT_EQ(knowing(), 0U) << "the old process's word came late";
+  EXPECT_EQ(leavingCount(), 0U) << "the old process's word came late";
 }
 
 TEST(Gossip, ManyLeavingAtOnceAreKnownToAllWithinSeconds) {
   StartedFleet fleet(200);
   for (size_t i = 0; i < 60; ++i)
-    fleet.Nodes[i].Talk->say(
+    fleet.Nodes[i].Gossiper->publishSignal(
         {fleet.Nodes[i].Self.Name, {1, {i + 1, 1}, MemberState::Leaving, 0}},
         fleet.Now);
   fleet.run(seconds(5));
@@ -201,8 +201,8 @@
 
 TEST(Gossip, SignalsExpireEverywhere) {
   StartedFleet fleet(30);
-  fleet.Nodes[7].Talk->say({"n7", {1, {1, 1}, MemberState::Leaving, 0}},
-                           fleet.Now);
+  fleet.Nodes[7].Gossiper->publishSignal(
+      {"n7", {1, {1, 1}, MemberState::Leaving, 0}}, fleet.Now);
   for (int i = 0; i < 400; ++i) {
     fleet.run(seconds(1));
     for (Fleet::Node &node : fleet.Nodes)
@@ -228,14 +228,15 @@
 
 TEST(Gossip, HostileMessagesChangeNothing) {
   StartedFleet fleet(2);
-  Rumour rumour;
-  rumour.Config = ReplicaDelta{0, UINT64_MAX, {{"", "x", UINT64_MAX, false}}};
-  rumour.Header.ClusterId = 12345;
+  StateUpdate update;
+  update.Config = ReplicaDelta{0, UINT64_MAX, {{"", "x", UINT64_MAX, false}}};
+  update.Header.ClusterId = 12345;
   Error reason;
   ASSERT_TRUE(fleet.Nodes[0].State->acceptPeer(7, reason));
-  fleet.Nodes[0].Talk->onMessage(fleet.Nodes[1].Self.Peer, rumour, fleet.Now);
+  fleet.Nodes[0].Gossiper->onMessage(fleet.Nodes[1].Self.Peer, update,
+                                     fleet.Now);
   EXPECT_EQ(fleet.Nodes[0].State->config().watermark(), 10U);
-  std::string bytes = wire::encode(PeerMessage(rumour));
+  std::string bytes = wire::encode(PeerMessage(update));
   for (size_t n = 0; n < bytes.size(); ++n)
     EXPECT_FALSE(wire::decode<PeerMessage>(bytes.substr(0, n), reason));
 }
--- a/tests/control/replica_test.cpp
+++ b/tests/control/replica_test.cpp
@@ -100,7 +100,7 @@
 TEST(Replica, DeltaStartsAtTheLatestContent) {
   Replica replica(FewTombstones);
   replica.merge({0, 100, {put("a", 3)}});
-  EXPECT_EQ(replica.content(), 3U);
+  EXPECT_EQ(replica.lastChange(), 3U);
   EXPECT_EQ(replica.deltaAfter(100).From, 3U);
   EXPECT_TRUE(replica.deltaAfter(100).Entries.empty());
 }
--- a/tests/control/runtime_peers_test.cpp
+++ b/tests/control/runtime_peers_test.cpp
@@ -13,9 +13,9 @@
 using control::CommandOutcome;
 using control::FakeKv;
 using control::FakeList;
-using control::ForceReport;
 using control::ObjectKey;
 using control::ObjectKind;
+using control::RolloutReport;
 
 const ObjectKey ModelKey{ObjectKind::Model, "m"};
 const net::PeerKeys OldKeys{{"a", "old secret"}};
@@ -25,7 +25,7 @@
 protected:
   struct Process {
     Member Self;
-    std::unique_ptr<Metrics> Numbers;
+    std::unique_ptr<Metrics> ProcessMetrics;
     std::unique_ptr<ControlRuntime> Control;
   };
 
@@ -51,9 +51,9 @@
     init.AntiEntropyInterval = Duration(100'000);
     Process &out = Processes.emplace_back();
     out.Self = init.Self;
-    out.Numbers = std::make_unique<Metrics>();
+    out.ProcessMetrics = std::make_unique<Metrics>();
     out.Control = std::make_unique<ControlRuntime>(
-        Io, init, Kv.hooks(), List.hooks(), *out.Numbers,
+        Io, init, Kv.hooks(), List.hooks(), *out.ProcessMetrics,
         [this, number](const Event &event) {
           if (number == 0 && event.Kind == EventKind::MemberChanged)
             Changed.push_back(event.Subject);
@@ -130,11 +130,11 @@
   EXPECT_EQ(result.Outcome, CommandOutcome::Applied);
   runUntil([&] { return countWithVersion("v2") == 6; });
 
-  std::optional<ForceReport> report;
+  std::optional<RolloutReport> report;
   Processes[5].Control->gatherInForce(result.Revision, Duration(5'000'000),
-                                      [&](ForceReport r) { report = r; });
+                                      [&](RolloutReport r) { report = r; });
   runUntil([&] { return report.has_value(); });
-  EXPECT_EQ(*report, (ForceReport{6, 6, 6, {}}));
+  EXPECT_EQ(*report, (RolloutReport{6, 6, 6, {}}));
 }
 
 TEST_F(RuntimePeersTest, StartsFromSeedWhileThePlatformIsDown) {
--- a/tests/control/runtime_test.cpp
+++ b/tests/control/runtime_test.cpp
@@ -43,8 +43,8 @@
     init.Process = {1, 1};
     init.Keys = {{"k", "secret"}};
     Runtime = std::make_unique<ControlRuntime>(
-        Io, init, Kv.hooks(), List.hooks(), Numbers, [](const Event &) {},
-        [this] { return mix64(++Drawn); });
+        Io, init, Kv.hooks(), List.hooks(), ProcessMetrics,
+        [](const Event &) {}, [this] { return mix64(++Drawn); });
     Error reason;
     ASSERT_TRUE(Runtime->start(reason)) << reason.Detail;
   }
@@ -75,7 +75,7 @@
   }
 
   boost::asio::io_context Io;
-  Metrics Numbers;
+  Metrics ProcessMetrics;
   FakeKv Kv;
   FakeList List;
   uint64_t Drawn = 0;
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -49,15 +49,15 @@
 std::vector<std::string> peerSeeds() {
   using namespace control;
   PeerHeader header;
-  header.ConfigThrough = 7;
-  Rumour rumour;
+  header.ConfigWatermark = 7;
+  StateUpdate rumour;
   rumour.Header = header;
   rumour.Config = ReplicaDelta{3, 7, {{"key", "value", 5, false}}};
   rumour.Signals.push_back({{"a0", {1, {2, 3}, MemberState::Leaving, 0}}, 9});
   return {wire::encode(PeerMessage(Digest{header})),
           wire::encode(PeerMessage(rumour)),
           wire::encode(PeerMessage(Page{rumour, true})),
-          wire::encode(PeerMessage(ForceProbe{4}))};
+          wire::encode(PeerMessage(RevisionProbe{4}))};
 }
 
 std::vector<std::string> entrySeeds() {
--- a/tests/matrix/control_host.cpp
+++ b/tests/matrix/control_host.cpp
@@ -19,7 +19,7 @@
   GossipInit out;
   out.Self = self;
   out.Seeds = seeds;
-  out.RumourInterval = TickInterval;
+  out.UpdateInterval = TickInterval;
   return out;
 }
 
@@ -50,10 +50,10 @@
 
 void ControlHost::start() {
   Check.processStarted(Self.Name);
-  Talk.say({Self.Name, Own}, On.Now());
+  Talk.publishSignal({Self.Name, Own}, On.Now());
   const Endpoint &seed = Seeds[On.Random() % Seeds.size()];
   On.Fetch(seed, Talk.pullMessage(On.Now()),
-           [this](const Rumour &whole) { takeImage(whole); });
+           [this](const StateUpdate &whole) { takeImage(whole); });
   tick();
 }
 
@@ -63,7 +63,8 @@
   if (!isReady())
     setReading(now - Started >= SeedPatience);
   else
-    setReading(Choice.shouldRead(std::max(Talk.lastTry(), Started), now));
+    setReading(
+        Choice.shouldRead(std::max(Talk.lastPlatformCall(), Started), now));
   act(Talk.onTick(now));
   changed();
   On.After(TickInterval, [this] { tick(); });
@@ -71,7 +72,7 @@
 
 void ControlHost::sayLeaving() {
   Own.State = MemberState::Leaving;
-  Talk.say({Self.Name, Own}, On.Now());
+  Talk.publishSignal({Self.Name, Own}, On.Now());
   act(Talk.onTick(On.Now()));
   changed();
 }
@@ -100,7 +101,7 @@
   auto take = [this, from](const edge::KvRangeResult &result) {
     Error reason;
     bool isOk = result.Header.Status == edge::KvStatus::Ok;
-    Talk.noteTry(isOk, On.Now());
+    Talk.recordPlatformCall(isOk, On.Now());
     if (!isOk || !State.acceptService(result.Header, from, reason))
       return;
     Watched = std::max(Watched, result.Header.Revision);
@@ -147,10 +148,10 @@
   }
   if (actions.Fetch)
     On.Fetch(*actions.Fetch, Talk.pullMessage(On.Now()),
-             [this](const Rumour &whole) { takeImage(whole); });
+             [this](const StateUpdate &whole) { takeImage(whole); });
 }
 
-void ControlHost::takeImage(const Rumour &whole) {
+void ControlHost::takeImage(const StateUpdate &whole) {
   Talk.onFetched(whole, On.Now());
   changed();
 }
@@ -160,7 +161,7 @@
   auto message = wire::decode<PeerMessage>(bytes, reason);
   if (!message)
     return;
-  auto *rumour = std::get_if<Rumour>(&*message);
+  auto *rumour = std::get_if<StateUpdate>(&*message);
   if (LastImageWins && rumour && rumour->Config) {
     // As a replica would that orders by arrival.
     for (const ReplicaEntry &it : rumour->Config->Entries)
@@ -170,8 +171,8 @@
   changed();
 }
 
-Rumour ControlHost::serve(const Pull &pull) const {
-  Rumour whole;
+StateUpdate ControlHost::serve(const Pull &pull) const {
+  StateUpdate whole;
   for (const Page &it : Talk.pagesFor(pull, On.Now()))
     joinPage(whole, it);
   return whole;
@@ -207,11 +208,11 @@
 void ControlHost::run(std::shared_ptr<CommandRun> command,
                       const CommandStep &step,
                       std::function<void(CommandResult)> done) {
-  switch (step.What) {
+  switch (step.Action) {
   case CommandStep::Kind::Done:
     return done(step.Result);
   case CommandStep::Kind::Wait:
-    return On.After(step.Pause, [this, command, done] {
+    return On.After(step.Delay, [this, command, done] {
       run(command, command->onWaited(), done);
     });
   case CommandStep::Kind::Read:
--- a/tests/matrix/control_host.h
+++ b/tests/matrix/control_host.h
@@ -27,7 +27,7 @@
     std::function<void(const Endpoint &peer, std::string bytes)> Send;
     /// Asks a peer over TCP; answered at most once.
     std::function<void(const Endpoint &peer, control::Pull,
-                       std::function<void(control::Rumour)>)>
+                       std::function<void(control::StateUpdate)>)>
         Fetch;
     std::function<void(const Snapshot &)> Published;
     std::function<void(Step)> Reached;
@@ -40,7 +40,7 @@
   void sayLeaving();
   void observeLeaving(const std::string &instance);
   void onPeer(const Endpoint &from, std::string_view bytes);
-  control::Rumour serve(const control::Pull &pull) const;
+  control::StateUpdate serve(const control::Pull &pull) const;
   /// The service's watch has news; with a gap they are lost.
   void onWatch(bool gap);
   void propose(control::Command command,
@@ -58,7 +58,7 @@
   void readConfig(uint64_t reading);
   void readList(uint64_t reading);
   void act(control::GossipActions actions);
-  void takeImage(const control::Rumour &whole);
+  void takeImage(const control::StateUpdate &whole);
   void changed();
   void run(std::shared_ptr<control::CommandRun> command,
            const control::CommandStep &step,
--- a/tests/matrix/world.cpp
+++ b/tests/matrix/world.cpp
@@ -158,8 +158,9 @@
     if (self.Alive && self.Life == life)
       sendPeer(name, ByPeer.at(peer), std::move(bytes));
   };
-  hooks.Fetch = [this, name, life](const Endpoint &peer, control::Pull pull,
-                                   std::function<void(control::Rumour)> done) {
+  hooks.Fetch = [this, name,
+                 life](const Endpoint &peer, control::Pull pull,
+                       std::function<void(control::StateUpdate)> done) {
     fetch(name, life, ByPeer.at(peer), pull, std::move(done));
   };
   hooks.Published = [this, name](const Snapshot &snapshot) {
--- a/tests/matrix/world.h
+++ b/tests/matrix/world.h
@@ -112,7 +112,7 @@
                 std::string bytes);
   void fetch(const std::string &from, uint64_t life, const std::string &to,
              const control::Pull &pull,
-             std::function<void(control::Rumour)> done);
+             std::function<void(control::StateUpdate)> done);
   std::optional<Fault> messageFate(const std::string &from);
 
   // Faults (world_faults.cpp).
--- a/tests/matrix/world_links.cpp
+++ b/tests/matrix/world_links.cpp
@@ -174,10 +174,10 @@
 
 void World::fetch(const std::string &from, uint64_t life, const std::string &to,
                   const control::Pull &pull,
-                  std::function<void(control::Rumour)> done) {
+                  std::function<void(control::StateUpdate)> done) {
   after(to, Processes.at(to).Life, LinkLatency,
         [this, from, life, to, pull, done = std::move(done)] {
-          control::Rumour whole = Processes.at(to).Control->serve(pull);
+          control::StateUpdate whole = Processes.at(to).Control->serve(pull);
           after(from, life, LinkLatency, [done, whole] { done(whole); });
         });
 }
--- a/tests/operators/operator_http_test.cpp
+++ b/tests/operators/operator_http_test.cpp
@@ -92,7 +92,7 @@
     out.GatherInForce = [this](uint64_t revision, Duration, const auto &done) {
       ++ForceAsked;
       ForceRevision = revision;
-      control::ForceReport report{4, 4, ForceAsked < 3 ? 3U : 4U, {}};
+      control::RolloutReport report{4, 4, ForceAsked < 3 ? 3U : 4U, {}};
       done(report);
     };
     return out;
