--- a/src/control/object_codec.cpp
+++ b/src/control/object_codec.cpp
@@ -103,7 +103,8 @@
 }
 
 /// Takes the fields that every value has; what is left belongs to the object.
-bool takeCommon(json::object &fields, StoredObject &out, bool &deleted) {
+bool extractCommonFields(json::object &fields, StoredObject &out,
+                         bool &deleted) {
   auto take = [&](std::string_view name, auto read) {
     auto it = fields.find(name);
     if (it == fields.end())
@@ -125,7 +126,7 @@
 }
 
 /// Takes the object's own fields; the name of the first bad one, or empty.
-std::string takeFields(json::object &fields, ConfigObject &object) {
+std::string extractFields(json::object &fields, ConfigObject &object) {
   std::string bad;
   auto take = [&](std::string_view name, auto &member) {
     auto it = fields.find(name);
@@ -267,7 +268,7 @@
   json::object &fields = parsed.get_object();
   StoredObject out;
   bool deleted = false;
-  if (!takeCommon(fields, out, deleted)) {
+  if (!extractCommonFields(fields, out, deleted)) {
     reason = badValue("bad common field in the value of " + toText(key));
     return std::nullopt;
   }
@@ -278,7 +279,7 @@
     return std::nullopt;
   }
   ConfigObject object = defaultObject(key);
-  std::string bad = takeFields(fields, object);
+  std::string bad = extractFields(fields, object);
   if (!bad.empty()) {
     reason = badValue("field " + bad + " in the value of " + toText(key));
     return std::nullopt;
--- a/src/control/peer_table.cpp
+++ b/src/control/peer_table.cpp
@@ -22,14 +22,14 @@
     else if (member.Region == self.Region)
       SameRegion.push_back(member.Peer);
     else
-      Elsewhere.push_back(member.Peer);
+      OtherRegions.push_back(member.Peer);
   }
   if (size() == 0)
-    Elsewhere = seeds;
+    OtherRegions = seeds;
 }
 
 size_t PeerTable::size() const {
-  return SameDomain.size() + SameRegion.size() + Elsewhere.size();
+  return SameDomain.size() + SameRegion.size() + OtherRegions.size();
 }
 
 std::vector<Endpoint> PeerTable::choose(size_t count,
@@ -55,8 +55,8 @@
     return SameDomain;
   if (draw < DomainPercent + RegionPercent && !SameRegion.empty())
     return SameRegion;
-  if (!Elsewhere.empty())
-    return Elsewhere;
+  if (!OtherRegions.empty())
+    return OtherRegions;
   return SameRegion.empty() ? SameDomain : SameRegion;
 }
 
--- a/src/control/peer_table.h
+++ b/src/control/peer_table.h
@@ -27,7 +27,7 @@
 
   std::vector<Endpoint> SameDomain;
   std::vector<Endpoint> SameRegion; ///< In other failure domains.
-  std::vector<Endpoint> Elsewhere;
+  std::vector<Endpoint> OtherRegions;
 };
 
 } // namespace daisytack::control
--- a/src/control/rollout_check.cpp
+++ b/src/control/rollout_check.cpp
@@ -52,11 +52,11 @@
                      [](const auto &row) { return row.second.InForce; });
 }
 
-RolloutReport RolloutCheck::report(uint64_t own) const {
+RolloutReport RolloutCheck::report(uint64_t ownRevision) const {
   RolloutReport out;
   out.Members = Members;
   out.Asked = Targets.size() + 1;
-  out.InForce = own >= Revision ? 1 : 0;
+  out.InForce = ownRevision >= Revision ? 1 : 0;
   for (const auto &[nonce, target] : Targets) {
     if (target.InForce)
       ++out.InForce;
--- a/src/control/rollout_check.h
+++ b/src/control/rollout_check.h
@@ -43,7 +43,7 @@
   void onAnswer(const RevisionAnswer &answer);
   bool isOver(TimePoint now) const;
   /// Own: the revision in force in this process.
-  RolloutReport report(uint64_t own) const;
+  RolloutReport report(uint64_t ownRevision) const;
 
 private:
   struct Target {
--- a/tests/control/fleet.h
+++ b/tests/control/fleet.h
@@ -27,7 +27,7 @@
   };
 
   /// Whether a message is lost.
-  std::function<bool(const Node &from, const Node &to)> Lost =
+  std::function<bool(const Node &from, const Node &to)> ShouldDrop =
       [](const Node &, const Node &) { return false; };
   std::vector<Node> Nodes;
   uint64_t Sent = 0;
@@ -116,7 +116,7 @@
   }
 
   /// Processes that are up and complete through the revision.
-  size_t reached(uint64_t revision) const {
+  size_t countAtRevision(uint64_t revision) const {
     size_t out = 0;
     for (const Node &node : Nodes)
       out += !node.Down && node.State->config().watermark() >= revision;
@@ -154,7 +154,7 @@
     if (message.From == message.To)
       return apply(message.To, to.Gossiper->onTick(Now));
     Node &from = Nodes[message.From];
-    if (from.Down || Lost(from, to))
+    if (from.Down || ShouldDrop(from, to))
       return;
     if (message.Payload.empty())
       return fetch(from, to);
--- a/tests/control/gossip_test.cpp
+++ b/tests/control/gossip_test.cpp
@@ -35,14 +35,14 @@
   auto [count, lost] = GetParam();
   StartedFleet fleet(count);
   uint64_t draws = 0;
-  fleet.Lost = [&, lost = lost](const auto &, const auto &) {
+  fleet.ShouldDrop = [&, lost = lost](const auto &, const auto &) {
     return mix64(++draws) % 100 < lost;
   };
   fleet.change(0, "m", 20, "v2");
   TimePoint begin = fleet.Now;
   fleet.run(seconds(10),
-            [&] { return fleet.reached(20) == fleet.Nodes.size(); });
-  EXPECT_EQ(fleet.reached(20), count);
+            [&] { return fleet.countAtRevision(20) == fleet.Nodes.size(); });
+  EXPECT_EQ(fleet.countAtRevision(20), count);
   EXPECT_LT(fleet.Now - begin, seconds(3));
 }
 
@@ -72,14 +72,14 @@
   fleet.run(minutes(60));
   fleet.Nodes[3].Down = false;
   fleet.run(seconds(5));
-  EXPECT_EQ(fleet.reached(49), 20U);
+  EXPECT_EQ(fleet.countAtRevision(49), 20U);
   for (size_t i = 0; i < 20; ++i)
     EXPECT_EQ(fleet.versionAt(i, "m"), R"({"version": "w29"})");
 }
 
 TEST(Gossip, RegionsPartedForAnHourRejoin) {
   StartedFleet fleet(40);
-  fleet.Lost = [](const auto &from, const auto &to) {
+  fleet.ShouldDrop = [](const auto &from, const auto &to) {
     return from.Self.Region != to.Self.Region;
   };
   // Both regions have readers, one of them with a slower path to the service.
@@ -87,11 +87,11 @@
   fleet.change(0, "other", 30, "v9");
   fleet.change(1, "m", 20, "v2");
   fleet.run(minutes(60));
-  EXPECT_EQ(fleet.reached(30), 20U);
-  EXPECT_EQ(fleet.reached(20), 40U);
-  fleet.Lost = [](const auto &, const auto &) { return false; };
+  EXPECT_EQ(fleet.countAtRevision(30), 20U);
+  EXPECT_EQ(fleet.countAtRevision(20), 40U);
+  fleet.ShouldDrop = [](const auto &, const auto &) { return false; };
   fleet.run(seconds(5));
-  EXPECT_EQ(fleet.reached(30), 40U);
+  EXPECT_EQ(fleet.countAtRevision(30), 40U);
   EXPECT_EQ(fleet.versionAt(1, "other"), R"({"version": "v9"})");
 }
 
@@ -101,7 +101,7 @@
     fleet.Nodes[i].Down = true;
   fleet.change(0, "m", 20, "v2");
   fleet.run(seconds(5));
-  EXPECT_EQ(fleet.reached(20), 30U);
+  EXPECT_EQ(fleet.countAtRevision(20), 30U);
 }
 
 TEST(Gossip, LostFailureDomainIsKnownOnceTheListShowsIt) {
@@ -111,7 +111,7 @@
   // The list lags by a minute; changes go on spreading meanwhile.
   fleet.change(0, "m", 20, "v2");
   fleet.run(seconds(5));
-  EXPECT_EQ(fleet.reached(20), 60U);
+  EXPECT_EQ(fleet.countAtRevision(20), 60U);
   ReplicaDelta list{80, 100, {}};
   for (const Fleet::Node &node : fleet.Nodes)
     if (node.Down)
@@ -141,7 +141,7 @@
                       fleet.Nodes[(i + 2) % 30].Self.Peer});
     fleet.run(seconds(4));
   }
-  EXPECT_EQ(fleet.reached(10), 30U);
+  EXPECT_EQ(fleet.countAtRevision(10), 30U);
 }
 
 TEST(Gossip, OtherLineageAndOtherServiceAreIgnored) {
@@ -150,7 +150,7 @@
   fleet.restart(0, {fleet.Nodes[1].Self.Peer});
   fleet.change(0, "m", 99, "restored");
   fleet.run(seconds(5));
-  EXPECT_EQ(fleet.reached(99), 1U);
+  EXPECT_EQ(fleet.countAtRevision(99), 1U);
   EXPECT_GT(fleet.Nodes[0].Gossiper->stats().StateMismatches +
                 fleet.Nodes[1].Gossiper->stats().StateMismatches,
             0U);
@@ -221,7 +221,7 @@
     fleet.run(std::chrono::milliseconds(5));
   }
   fleet.run(seconds(5));
-  EXPECT_EQ(fleet.reached(100 + Changes - 1), 30U);
+  EXPECT_EQ(fleet.countAtRevision(100 + Changes - 1), 30U);
   double perSecond = static_cast<double>(fleet.SentBytes) / 30 / 15;
   EXPECT_LT(perSecond, 64 * 1024 * 1.4);
 }
--- a/tests/control/runtime_peers_test.cpp
+++ b/tests/control/runtime_peers_test.cpp
@@ -56,7 +56,7 @@
         Io, init, Kv.hooks(), List.hooks(), *out.ProcessMetrics,
         [this, number](const Event &event) {
           if (number == 0 && event.Kind == EventKind::MemberChanged)
-            Changed.push_back(event.Subject);
+            ChangedMembers.push_back(event.Subject);
         },
         [this] { return mix64(++Drawn); });
     Error reason;
@@ -79,7 +79,8 @@
     });
   }
 
-  std::vector<std::string> Changed; ///< Members, as the first process saw it.
+  std::vector<std::string>
+      ChangedMembers; ///< Members, as the first process saw it.
 
   void runUntil(const std::function<bool()> &condition) {
     while (!condition())
@@ -208,7 +209,7 @@
   startFleet(2);
   // The predecessor's clock was a year ahead when it said that it leaves.
   control::SignalContent ahead{UINT64_MAX / 2, {9, 9}, MemberState::Leaving, 0};
-  Changed.clear();
+  ChangedMembers.clear();
   Processes[0].Control->hearSignal({"n1", ahead});
   auto servers = [&](size_t at) {
     return Processes[at]
@@ -219,7 +220,7 @@
   };
   // Believed, then contradicted. Under load one snapshot may cover both, so
   // the changes are counted where they are made.
-  runUntil([&] { return std::ranges::count(Changed, "n1") >= 2; });
+  runUntil([&] { return std::ranges::count(ChangedMembers, "n1") >= 2; });
   runUntil([&] { return servers(0) == 2 && servers(1) == 2; });
 }
 
