--- a/src/control/object_codec.cpp
+++ b/src/control/object_codec.cpp
@@ -103,7 +103,8 @@
 }
 
 /// Takes the fields that every value has; what is left belongs to the object.
-bool takeCommon(json::object &fields, StoredObject &out, bool &deleted) {
+bool extractCommonFields(json::object &fields, StoredObject &out,
+                         bool &deleted) {
   auto take = [&](std::string_view name, auto read) {
     auto it = fields.find(name);
     if (it == fields.end())
@@ -117,13 +118,15 @@
          take(SchemaField,
               [&](const json::value &v) { return fromJson(v, out.Schema); }) &&
          take(NeedsField,
-              [&](const json::value &v) { return fromJson(v, out.Needs); }) &&
+              [&](const json::value &v) {
+                return fromJson(v, out.MinReaderSchema);
+              }) &&
          take(CommandsField,
               [&](const json::value &v) { return readTrail(v, out.Trail); });
 }
 
 /// Takes the object's own fields; the name of the first bad one, or empty.
-std::string takeFields(json::object &fields, ConfigObject &object) {
+std::string extractFields(json::object &fields, ConfigObject &object) {
   std::string bad;
   auto take = [&](std::string_view name, auto &member) {
     auto it = fields.find(name);
@@ -232,7 +235,7 @@
   if (!stored.Unknown.empty())
     out = json::parse(stored.Unknown).as_object();
   out[SchemaField] = stored.Schema;
-  out[NeedsField] = stored.Needs;
+  out[NeedsField] = stored.MinReaderSchema;
   out[CommandsField] = trailToJson(stored.Trail);
   if (!stored.Object) {
     out[DeletedField] = true;
@@ -265,18 +268,18 @@
   json::object &fields = parsed.get_object();
   StoredObject out;
   bool deleted = false;
-  if (!takeCommon(fields, out, deleted)) {
+  if (!extractCommonFields(fields, out, deleted)) {
     reason = badValue("bad common field in the value of " + toText(key));
     return std::nullopt;
   }
-  if (out.Needs > SchemaVersion) {
+  if (out.MinReaderSchema > SchemaVersion) {
     reason = badValue("value of " + toText(key) + " needs schema " +
-                      std::to_string(out.Needs) + ", this build has " +
-                      std::to_string(SchemaVersion));
+                      std::to_string(out.MinReaderSchema) +
+                      ", this build has " + std::to_string(SchemaVersion));
     return std::nullopt;
   }
   ConfigObject object = defaultObject(key);
-  std::string bad = takeFields(fields, object);
+  std::string bad = extractFields(fields, object);
   if (!bad.empty()) {
     reason = badValue("field " + bad + " in the value of " + toText(key));
     return std::nullopt;
@@ -293,13 +296,13 @@
   bool known = false;
   bool parsed = false;
   std::string names;
-  std::string_view form;
+  std::string_view format;
   auto set = [&](std::string_view name, auto &member) {
     names += (names.empty() ? "" : ", ") + std::string(name);
     if (name != field)
       return;
     known = true;
-    form = fieldForm(member);
+    format = fieldFormat(member);
     parsed = parseField(text, member);
   };
   std::visit([&](auto &o) { visitFields(o, set); }, object);
@@ -307,7 +310,7 @@
     return true;
   reason.Field = field;
   reason.Value = field == "key_hash" ? "(hidden)" : std::string(text);
-  reason.Remedy = known ? "write it as " + std::string(form)
+  reason.Remedy = known ? "write it as " + std::string(format)
                         : "no such field: use one of " + names;
   return false;
 }
--- a/src/control/peer_table.cpp
+++ b/src/control/peer_table.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 /// Of 100 messages, to the own failure domain and to the rest of the region.
-constexpr uint64_t DomainShare = 45;
-constexpr uint64_t RegionShare = 30;
+constexpr uint64_t DomainPercent = 45;
+constexpr uint64_t RegionPercent = 30;
 
 } // namespace
 
@@ -22,14 +22,14 @@
     else if (member.Region == self.Region)
       SameRegion.push_back(member.Peer);
     else
-      Elsewhere.push_back(member.Peer);
+      OtherRegions.push_back(member.Peer);
   }
   if (size() == 0)
-    Elsewhere = seeds;
+    OtherRegions = seeds;
 }
 
 size_t PeerTable::size() const {
-  return SameDomain.size() + SameRegion.size() + Elsewhere.size();
+  return SameDomain.size() + SameRegion.size() + OtherRegions.size();
 }
 
 std::vector<Endpoint> PeerTable::choose(size_t count,
@@ -51,12 +51,12 @@
 const std::vector<Endpoint> &
 PeerTable::chooseGroup(const RandomSource &random) const {
   uint64_t draw = random() % 100;
-  if (draw < DomainShare && !SameDomain.empty())
+  if (draw < DomainPercent && !SameDomain.empty())
     return SameDomain;
-  if (draw < DomainShare + RegionShare && !SameRegion.empty())
+  if (draw < DomainPercent + RegionPercent && !SameRegion.empty())
     return SameRegion;
-  if (!Elsewhere.empty())
-    return Elsewhere;
+  if (!OtherRegions.empty())
+    return OtherRegions;
   return SameRegion.empty() ? SameDomain : SameRegion;
 }
 
--- a/tests/control/runtime_peers_test.cpp
+++ b/tests/control/runtime_peers_test.cpp
@@ -13,9 +13,9 @@
 using control::CommandOutcome;
 using control::FakeKv;
 using control::FakeList;
-using control::ForceReport;
 using control::ObjectKey;
 using control::ObjectKind;
+using control::RolloutReport;
 
 const ObjectKey ModelKey{ObjectKind::Model, "m"};
 const net::PeerKeys OldKeys{{"a", "old secret"}};
@@ -25,7 +25,7 @@
 protected:
   struct Process {
     Member Self;
-    std::unique_ptr<Metrics> Numbers;
+    std::unique_ptr<Metrics> ProcessMetrics;
     std::unique_ptr<ControlRuntime> Control;
   };
 
@@ -51,12 +51,12 @@
     init.AntiEntropyInterval = Duration(100'000);
     Process &out = Processes.emplace_back();
     out.Self = init.Self;
-    out.Numbers = std::make_unique<Metrics>();
+    out.ProcessMetrics = std::make_unique<Metrics>();
     out.Control = std::make_unique<ControlRuntime>(
-        Io, init, Kv.hooks(), List.hooks(), *out.Numbers,
+        Io, init, Kv.hooks(), List.hooks(), *out.ProcessMetrics,
         [this, number](const Event &event) {
           if (number == 0 && event.Kind == EventKind::MemberChanged)
-            Changed.push_back(event.Subject);
+            ChangedMembers.push_back(event.Subject);
         },
         [this] { return mix64(++Drawn); });
     Error reason;
@@ -79,7 +79,8 @@
     });
   }
 
-  std::vector<std::string> Changed; ///< Members, as the first process saw it.
+  std::vector<std::string>
+      ChangedMembers; ///< Members, as the first process saw it.
 
   void runUntil(const std::function<bool()> &condition) {
     while (!condition())
@@ -130,11 +131,11 @@
   EXPECT_EQ(result.Outcome, CommandOutcome::Applied);
   runUntil([&] { return countWithVersion("v2") == 6; });
 
-  std::optional<ForceReport> report;
+  std::optional<RolloutReport> report;
   Processes[5].Control->gatherInForce(result.Revision, Duration(5'000'000),
-                                      [&](ForceReport r) { report = r; });
+                                      [&](RolloutReport r) { report = r; });
   runUntil([&] { return report.has_value(); });
-  EXPECT_EQ(*report, (ForceReport{6, 6, 6, {}}));
+  EXPECT_EQ(*report, (RolloutReport{6, 6, 6, {}}));
 }
 
 TEST_F(RuntimePeersTest, StartsFromSeedWhileThePlatformIsDown) {
@@ -208,7 +209,7 @@
   startFleet(2);
   // The predecessor's clock was a year ahead when it said that it leaves.
   control::SignalContent ahead{UINT64_MAX / 2, {9, 9}, MemberState::Leaving, 0};
-  Changed.clear();
+  ChangedMembers.clear();
   Processes[0].Control->hearSignal({"n1", ahead});
   auto servers = [&](size_t at) {
     return Processes[at]
@@ -219,7 +220,7 @@
   };
   // Believed, then contradicted. Under load one snapshot may cover both, so
   // the changes are counted where they are made.
-  runUntil([&] { return std::ranges::count(Changed, "n1") >= 2; });
+  runUntil([&] { return std::ranges::count(ChangedMembers, "n1") >= 2; });
   runUntil([&] { return servers(0) == 2 && servers(1) == 2; });
 }
 
