--- a/bench/agent.cpp
+++ b/bench/agent.cpp
@@ -61,7 +61,7 @@
 wire::Offer offerOf(uint64_t n) {
   wire::Offer out;
   out.Id = {1, n + 1};
-  out.Try = 1;
+  out.AttemptNumber = 1;
   out.Organisation = "organisation-" + std::to_string(n % 10);
   out.Model = "m";
   out.Version = "v1";
--- a/bench/decide.cpp
+++ b/bench/decide.cpp
@@ -127,7 +127,7 @@
 RunRequest makeRun(uint64_t i, uint64_t organisations) {
   RunRequest out;
   out.Id = {1, i};
-  out.Try = 1;
+  out.AttemptNumber = 1;
   out.Organisation = mix64(i % organisations);
   out.Priority = static_cast<uint8_t>(4 + i % 3);
   out.Deadline = Epoch + Duration(60'000'000 + mix64(i) % 60'000'000);
@@ -157,7 +157,7 @@
   measure("queue: push and cancel", size.c_str(), 5'000, [&](uint64_t i) {
     RunRequest run = makeRun(1'000'000 + i, 10);
     queue.push(run, Epoch);
-    sink += queue.cancel(run.Id, run.Try);
+    sink += queue.cancel(run.Id, run.AttemptNumber);
   });
   uint64_t oldest = 0;
   measure("queue: finish, start, push", size.c_str(), 5'000, [&](uint64_t) {
--- a/bench/policy_agent.h
+++ b/bench/policy_agent.h
@@ -26,8 +26,8 @@
   uint32_t Index = 0;
   uint32_t Server = 0;
   uint32_t Entry = 0;
-  std::map<uint32_t, uint32_t> Places;   ///< Of servers among the candidates.
-  std::map<uint32_t, Duration> Patience; ///< With each of them.
+  std::map<uint32_t, uint32_t> Places;     ///< Of servers among the candidates.
+  std::map<uint32_t, Duration> WaitLimits; ///< With each of them.
   uint32_t Moves = 0;
   bool Accepted = false;
   bool InSlot = false;
--- a/bench/policy_kept.h
+++ b/bench/policy_kept.h
@@ -101,7 +101,7 @@
     job.Imported.push_back(cargo.Piece);
   if (job.FetchesLeft == 0 || --job.FetchesLeft > 0)
     return; // Given up, or more to come.
-  agent.Queue.setContextReady(job.Run.Id, job.Run.Try, Now);
+  agent.Queue.setContextReady(job.Run.Id, job.Run.AttemptNumber, Now);
   pumpQueue(server);
 }
 
@@ -125,7 +125,8 @@
   bool patient = How.Reuse == Context::FetchAll;
   if (!patient && !isWorthWaiting(late, What.Weights))
     return giveUpFetches(job, agent);
-  agent.Queue.setContextReady(job.Run.Id, job.Run.Try, Now + late.Remaining);
+  agent.Queue.setContextReady(job.Run.Id, job.Run.AttemptNumber,
+                              Now + late.Remaining);
   at(Now + late.Remaining, Kind::ReadyDue, index, epoch);
 }
 
@@ -139,7 +140,7 @@
   }
   Out.GivenUp += job.FetchesLeft;
   job.FetchesLeft = 0;
-  agent.Queue.setContextReady(job.Run.Id, job.Run.Try, Now);
+  agent.Queue.setContextReady(job.Run.Id, job.Run.AttemptNumber, Now);
   pumpQueue(job.Server);
 }
 
--- a/bench/policy_steps.h
+++ b/bench/policy_steps.h
@@ -188,7 +188,7 @@
         Members->Servers[it.Server.Index].Name.back() - 'a');
     out.push_back(server);
     Jobs[index].Places[server] = it.Position;
-    Jobs[index].Patience[server] = it.Patience;
+    Jobs[index].WaitLimits[server] = it.WaitLimit;
   }
   return out;
 }
@@ -196,14 +196,14 @@
 inline bool PolicyRun::place(Job &job, uint32_t entry,
                              std::optional<uint32_t> except) {
   // First for a limited wait, then, when all waits are known, for any.
-  bool hasPatience = How.Route == Routing::Ours;
-  for (bool patient : {true, false}) {
-    if (patient && !hasPatience)
+  bool hasWaitLimit = How.Route == Routing::Ours;
+  for (bool limited : {true, false}) {
+    if (limited && !hasWaitLimit)
       continue;
     for (uint32_t server : route(*job.What, job.Index, entry)) {
       if (server == except || !Agents[server]->Up)
         continue;
-      job.Run.Patience = patient ? job.Patience[server] : Duration{0};
+      job.Run.WaitLimit = limited ? job.WaitLimits[server] : Duration{0};
       bool taken = offer(job, server);
       report(server, entry);
       if (taken)
@@ -275,7 +275,7 @@
   startFetches(job, agent);
   agent.Queue.push(job.Run, Now);
   if (job.FetchesLeft == 0)
-    agent.Queue.setContextReady(job.Run.Id, job.Run.Try, Now);
+    agent.Queue.setContextReady(job.Run.Id, job.Run.AttemptNumber, Now);
   else
     at(job.Run.ContextReady, Kind::ReadyDue, job.Index, job.Epoch);
   pumpQueue(server);
@@ -311,7 +311,7 @@
   agent.Predictor.observePrefill(job.Recomputed, Now - job.Started);
   agent.Engine.keep(job.What->Pieces);
   agent.View.markPresent(job.What->Pieces);
-  agent.Queue.markPrefilled(job.Run.Id, job.Run.Try);
+  agent.Queue.markPrefilled(job.Run.Id, job.Run.AttemptNumber);
   pumpQueue(job.Server);
   Record &record = Out.Records[index];
   record.Recomputed += job.Recomputed;
@@ -331,7 +331,7 @@
   const ClassShape &shape = What.Classes[job.What->Class];
   agent.Predictor.observeDecode(shape.AnswerTokens, Now - job.Started);
   --agent.Engine.Running;
-  agent.Queue.finish(job.Run.Id, job.Run.Try);
+  agent.Queue.finish(job.Run.Id, job.Run.AttemptNumber);
   agent.Jobs.erase(index);
   job.Done = true;
   Out.Records[index].Took = Now - job.What->At + NetworkTime;
@@ -355,7 +355,7 @@
       return;
     ++job.Moves;
     Job before = job;
-    agent.Queue.cancel(late->Id, late->Try);
+    agent.Queue.cancel(late->Id, late->AttemptNumber);
     agent.Jobs.erase(job.Index);
     if (place(job, job.Entry, server)) {
       ++Out.Moves;
--- a/bench/spread_node.cpp
+++ b/bench/spread_node.cpp
@@ -64,7 +64,7 @@
         {"calls", stats.ServiceCalls},
         {"sent", stats.BytesSent},
         {"received", stats.BytesReceived},
-        {"held", stats.Talk.Held}};
+        {"held", stats.Gossip.Held}};
     std::lock_guard guard(Lock);
     line["published"] = std::exchange(Published, {});
     std::ofstream(FLAGS_report, std::ios::app) << json::serialize(line) << "\n";
--- a/include/daisytack/event.h
+++ b/include/daisytack/event.h
@@ -91,7 +91,7 @@
   HybridTime At;
   EventKind Kind = EventKind::ProcessStarted;
   RequestId Request;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   ErrorKind Reason = ErrorKind::None;
   std::array<int64_t, MaxScores> Scores{};
   std::string Subject; ///< Name of the organisation, server, object or member
@@ -99,7 +99,7 @@
 
   bool operator==(const Event &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(At, Kind, Request, Try, Reason, Scores, Subject);
+    ar(At, Kind, Request, AttemptNumber, Reason, Scores, Subject);
   }
 };
 
--- a/src/decide/acceptance.cpp
+++ b/src/decide/acceptance.cpp
@@ -67,9 +67,9 @@
     out.Reason.Kind = ErrorKind::DeadlineTooShort;
     return out;
   }
-  if (request.Patience > Duration{0} && out.Wait > request.Patience) {
+  if (request.WaitLimit > Duration{0} && out.Wait > request.WaitLimit) {
     out.Reason.Kind = ErrorKind::Overloaded;
-    out.Reason.RetryAfter = out.Wait - request.Patience;
+    out.Reason.RetryAfter = out.Wait - request.WaitLimit;
     return out;
   }
   Duration headroom{0};
--- a/src/decide/routing.cpp
+++ b/src/decide/routing.cpp
@@ -250,7 +250,7 @@
     Duration margin{0};
     if (i + 1 < out.Count)
       margin = out.Ranked[i + 1].FirstToken - it.FirstToken;
-    it.Patience = std::max(it.Wait + margin, settings.MinPatience);
+    it.WaitLimit = std::max(it.Wait + margin, settings.MinWaitLimit);
   }
   return out;
 }
--- a/src/decide/routing.h
+++ b/src/decide/routing.h
@@ -115,9 +115,9 @@
   /// It is not zero because prompts that their home refuses go to the same next
   /// candidates.
   double NextReuse = 0.5;
-  /// Lower bound of RankedCandidate::Patience: a shorter wait is not worth an
+  /// Lower bound of RankedCandidate::WaitLimit: a shorter wait is not worth an
   /// offer to another server.
-  Duration MinPatience{100'000};
+  Duration MinWaitLimit{100'000};
   /// Added to the predicted first token of a server in another region.
   Duration OtherRegionDelay{50'000};
   bool operator==(const RouterSettings &) const = default;
@@ -133,7 +133,7 @@
   /// that the next candidate is tried. This makes up for outdated or missing
   /// load reports at the price of one round trip per refusal. Offers that are
   /// repeated after all candidates have refused have no such limit.
-  Duration Patience{0};
+  Duration WaitLimit{0};
   uint32_t Position = 0; ///< Position in the CandidateList, for ReuseEstimate.
   bool operator==(const RankedCandidate &) const = default;
 };
--- a/src/decide/run_queue.cpp
+++ b/src/decide/run_queue.cpp
@@ -11,7 +11,7 @@
 constexpr int64_t OverrunDivisor = 10;
 
 bool matches(const RunRequest &request, const RequestId &id, Attempt attempt) {
-  return request.Id == id && request.Try == attempt;
+  return request.Id == id && request.AttemptNumber == attempt;
 }
 
 /// The predicted finish, or a later time for a run that has already passed it.
--- a/src/decide/run_request.h
+++ b/src/decide/run_request.h
@@ -19,7 +19,7 @@
 /// One request in the queue of a server. Time points are absolute.
 struct RunRequest {
   RequestId Id;
-  Attempt Try = 0;           ///< Number of the attempt, from 1.
+  Attempt AttemptNumber = 0; ///< Number of the attempt, from 1.
   uint64_t Organisation = 0; ///< hashName of the organisation.
   uint32_t Weight = 1;       ///< Fair-share weight of the organisation.
   uint8_t Priority = 0;      ///< From 0, the lowest, to MaxPriority.
@@ -27,10 +27,10 @@
   TimePoint Deadline; ///< The whole answer must have been produced by then; the
                       ///< entry's re-run reserve is already subtracted.
   TimePoint ContextReady; ///< Expected end of the fetch of its context.
-  Duration Patience{0}; ///< Longest predicted wait for which the request should
-                        ///< be accepted; zero for no limit.
-  Duration Prefill{0};  ///< Predicted duration, at a high percentile.
-  Duration Decode{0};   ///< Predicted duration, at a high percentile.
+  Duration WaitLimit{0};  ///< Longest predicted wait for which the request
+                          ///< should be accepted; zero for no limit.
+  Duration Prefill{0};    ///< Predicted duration, at a high percentile.
+  Duration Decode{0};     ///< Predicted duration, at a high percentile.
 
   /// Predicted time that the request occupies a slot.
   Duration service() const { return Prefill + Decode; }
--- a/src/edge/run_calls.cpp
+++ b/src/edge/run_calls.cpp
@@ -5,7 +5,8 @@
 namespace daisytack::edge {
 
 size_t RunCalls::Hash::hash(const serve::RunToken &run) {
-  return std::hash<Id128>()(run.Id) + size_t{run.Try} * 31U + run.Start;
+  return std::hash<Id128>()(run.Id) + size_t{run.AttemptNumber} * 31U +
+         run.Start;
 }
 
 void RunCalls::begin(const serve::RunToken &run) {
--- a/src/once/ticket_ledger.cpp
+++ b/src/once/ticket_ledger.cpp
@@ -51,8 +51,8 @@
 }
 
 Presentation presentationOf(const wire::Offer &offer, uint32_t link) {
-  return {offer.Id,     offer.Try,       offer.Organisation,
-          offer.Ticket, callHash(offer), offer.Process,
+  return {offer.Id,     offer.AttemptNumber, offer.Organisation,
+          offer.Ticket, callHash(offer),     offer.Process,
           link};
 }
 
@@ -60,7 +60,7 @@
                                         RequestId id, Attempt attempt) {
   wire::Finished end = answer.End;
   end.Id = id;
-  end.Try = attempt;
+  end.AttemptNumber = attempt;
   end.Chunks = answer.Body.empty() ? 0 : 1;
   std::vector<wire::Message> out;
   if (!answer.Body.empty())
@@ -94,7 +94,8 @@
 TicketVerdict TicketLedger::present(const Presentation &presentation,
                                     TimePoint now) {
   advance(now);
-  Submission submission{presentation.Id, presentation.Try, presentation.Link};
+  Submission submission{presentation.Id, presentation.AttemptNumber,
+                        presentation.Link};
   if (Withdrawn.contains(submission))
     return ignore();
   TicketVerdict out;
@@ -149,7 +150,8 @@
 TicketVerdict
 TicketLedger::answerRepeat(const Record &record,
                            const Presentation &presentation) const {
-  Submission submission{presentation.Id, presentation.Try, presentation.Link};
+  Submission submission{presentation.Id, presentation.AttemptNumber,
+                        presentation.Link};
   if (record.Running && record.ExecutedBy == submission)
     return ignore();
   if (record.Call != presentation.Call)
@@ -173,7 +175,8 @@
 
 TicketVerdict TicketLedger::start(const ResolvedCall &call,
                                   const Presentation &presentation) {
-  Submission submission{presentation.Id, presentation.Try, presentation.Link};
+  Submission submission{presentation.Id, presentation.AttemptNumber,
+                        presentation.Link};
   if (Records.size() >= Init.MaxRecords) {
     rememberWithdrawn(submission);
     return refuse(ErrorKind::RecordFull, Outcome::NotRun,
@@ -276,7 +279,7 @@
   Event event;
   event.Kind = kind;
   event.Request = submission.Id;
-  event.Try = submission.Try;
+  event.AttemptNumber = submission.AttemptNumber;
   event.Reason = reason;
   Events(std::move(event));
 }
--- a/src/once/ticket_ledger.h
+++ b/src/once/ticket_ledger.h
@@ -44,7 +44,7 @@
 /// One submission of a call that may run at most once.
 struct Presentation {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   std::string Organisation; ///< As authenticated by the entry.
   std::string Ticket;       ///< If empty, Id identifies the call.
   Id128 Call;               ///< The callHash() of the offer.
@@ -127,7 +127,7 @@
   /// repeated submission.
   struct Submission {
     RequestId Id;
-    Attempt Try = 0;
+    Attempt AttemptNumber = 0;
     uint32_t Link = 0;
     auto operator<=>(const Submission &) const = default;
   };
--- a/src/query/rows.h
+++ b/src/query/rows.h
@@ -31,7 +31,7 @@
   std::string Model; ///< Or plain service.
   std::string Version;
   std::string Server; ///< Name of the agent's instance.
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   uint32_t Priority = 0;
   Duration Age{0};       ///< Since its arrival in this process.
   Duration Remaining{0}; ///< Until its deadline.
--- a/src/query/tables.cpp
+++ b/src/query/tables.cpp
@@ -135,9 +135,9 @@
           {std::string(instance), idCell(it.Request),
            std::string(requestStateName(it.State)), textCell(it.Organisation),
            textCell(it.Class), textCell(it.Model), textCell(it.Version),
-           textCell(it.Server), integerCell(it.Try), integerCell(it.Priority),
-           it.Age, it.Remaining, integerCell(it.PromptTokens),
-           integerCell(it.GeneratedTokens)});
+           textCell(it.Server), integerCell(it.AttemptNumber),
+           integerCell(it.Priority), it.Age, it.Remaining,
+           integerCell(it.PromptTokens), integerCell(it.GeneratedTokens)});
   return out;
 }
 
@@ -176,7 +176,7 @@
                           integerCell(it.At.Logical),
                           std::string(eventName(it.Kind)),
                           idCell(it.Request),
-                          integerCell(it.Try),
+                          integerCell(it.AttemptNumber),
                           reason,
                           textCell(it.Subject)};
     for (int64_t score : it.Scores)
--- a/src/runtime/command_runner.cpp
+++ b/src/runtime/command_runner.cpp
@@ -17,13 +17,13 @@
 public:
   Runner(Strand strand, edge::KvStore kv, control::CommandRun run,
          Duration timeout, CommandDone done)
-      : On(std::move(strand)), Kv(std::move(kv)), Run(std::move(run)),
-        Timeout(timeout), Done(std::move(done)), Timer(On) {}
+      : Executor(std::move(strand)), Kv(std::move(kv)), Run(std::move(run)),
+        Timeout(timeout), Done(std::move(done)), Timer(Executor) {}
 
-  void start() { take(Run.begin()); }
+  void start() { runStep(Run.begin()); }
 
 private:
-  void take(CommandStep step) {
+  void runStep(CommandStep step) {
     switch (step.What) {
     case CommandStep::Kind::Commit:
       return commit(std::move(step.Transaction));
@@ -37,20 +37,22 @@
   }
 
   void commit(edge::KvTransaction transaction) {
-    Kv.Commit(std::move(transaction), Timeout,
-              [self = shared_from_this()](edge::KvTransactionResult result) {
-                boost::asio::post(self->On, [self, result = std::move(result)] {
-                  self->take(self->Run.onCommitted(result, monotonicNow()));
-                });
-              });
+    Kv.Commit(
+        std::move(transaction), Timeout,
+        [self = shared_from_this()](edge::KvTransactionResult result) {
+          boost::asio::post(self->Executor, [self, result = std::move(result)] {
+            self->runStep(self->Run.onCommitted(result, monotonicNow()));
+          });
+        });
   }
 
   void read(edge::KvRange range) {
     Kv.Range(std::move(range), Timeout,
              [self = shared_from_this()](edge::KvRangeResult result) {
-               boost::asio::post(self->On, [self, result = std::move(result)] {
-                 self->take(self->Run.onRead(result, monotonicNow()));
-               });
+               boost::asio::post(
+                   self->Executor, [self, result = std::move(result)] {
+                     self->runStep(self->Run.onRead(result, monotonicNow()));
+                   });
              });
   }
 
@@ -58,11 +60,11 @@
     Timer.expires_after(pause);
     Timer.async_wait(
         [self = shared_from_this()](const boost::system::error_code &) {
-          self->take(self->Run.onWaited());
+          self->runStep(self->Run.onWaited());
         });
   }
 
-  Strand On;
+  Strand Executor;
   edge::KvStore Kv;
   control::CommandRun Run;
   Duration Timeout;
@@ -75,9 +77,9 @@
 void runCommand(const Strand &strand, const edge::KvStore &kv,
                 control::Command command,
                 std::optional<control::ReplicaEntry> base, Duration callTimeout,
-                Duration giveUpAfter, CommandDone done) {
+                Duration commandTimeout, CommandDone done) {
   control::CommandRun run(std::move(command), std::move(base),
-                          monotonicNow() + giveUpAfter);
+                          monotonicNow() + commandTimeout);
   std::make_shared<Runner>(strand, kv, std::move(run), callTimeout,
                            std::move(done))
       ->start();
--- a/src/runtime/command_runner.h
+++ b/src/runtime/command_runner.h
@@ -13,6 +13,6 @@
 void runCommand(const Strand &strand, const edge::KvStore &kv,
                 control::Command command,
                 std::optional<control::ReplicaEntry> base, Duration callTimeout,
-                Duration giveUpAfter, CommandDone done);
+                Duration commandTimeout, CommandDone done);
 
 } // namespace daisytack::runtime
--- a/src/runtime/control_metrics.cpp
+++ b/src/runtime/control_metrics.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 ControlMetrics::ControlMetrics(Metrics &metrics)
-    : Numbers(metrics),
+    : Registry(metrics),
       Revision(metrics.gauge("daisytack_config_revision",
                              "Revision of the configuration in force")),
       Objects(metrics.gauge("daisytack_config_objects",
@@ -37,7 +37,7 @@
       OtherState(metrics.counter("daisytack_control_other_state_total",
                                  "Messages of another lineage or service")) {}
 
-void ControlMetrics::show(const ControlStats &stats) {
+void ControlMetrics::update(const ControlStats &stats) {
   Revision.set(static_cast<int64_t>(stats.ConfigRevision));
   Objects.set(static_cast<int64_t>(stats.Objects));
   Members.set(static_cast<int64_t>(stats.Members));
@@ -50,12 +50,12 @@
   NotUnderstood.set(static_cast<int64_t>(stats.NotUnderstood));
   raiseTo(Sent, stats.BytesSent);
   raiseTo(Received, stats.BytesReceived);
-  raiseTo(Held, stats.Talk.Held);
-  raiseTo(OtherState, stats.Talk.OtherState);
+  raiseTo(Held, stats.Gossip.Held);
+  raiseTo(OtherState, stats.Gossip.OtherState);
 }
 
 void ControlMetrics::countRejected(ErrorKind kind) {
-  Numbers
+  Registry
       .counter("daisytack_peer_rejected_total",
                "Messages of peers that were refused",
                {{"reason", std::string(errorName(kind))}})
@@ -63,7 +63,7 @@
 }
 
 void ControlMetrics::countCommand(control::CommandOutcome outcome) {
-  Numbers
+  Registry
       .counter("daisytack_commands_total", "Commands by their outcome",
                {{"outcome", std::string(commandOutcomeName(outcome))}})
       .add();
--- a/src/runtime/control_metrics.h
+++ b/src/runtime/control_metrics.h
@@ -12,13 +12,13 @@
   explicit ControlMetrics(Metrics &metrics);
 
   /// Takes the latest figures.
-  void show(const ControlStats &stats);
+  void update(const ControlStats &stats);
   /// A peer's message was refused.
   void countRejected(ErrorKind kind);
   void countCommand(control::CommandOutcome outcome);
 
 private:
-  Metrics &Numbers;
+  Metrics &Registry;
   Gauge &Revision;
   Gauge &Objects;
   Gauge &Members;
--- a/src/runtime/control_process.cpp
+++ b/src/runtime/control_process.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr Duration LeastPublishPause{5'000};
-constexpr Duration MostPublishPause{1'000'000};
+constexpr Duration MinPublishInterval{5'000};
+constexpr Duration MaxPublishInterval{1'000'000};
 /// Building snapshots takes at most one part in this many of the time.
-constexpr int PublishShare = 10;
+constexpr int PublishIntervalFactor = 10;
 constexpr Duration TickInterval{20'000};
 /// With seeds, how long they may take before the platform is asked.
-constexpr Duration SeedPatience{1'500'000};
+constexpr Duration SeedTimeout{1'500'000};
 /// Between figures for operators.
 constexpr Duration ViewInterval{1'000'000};
 /// Within the life of a signal, so that a long drain stays known.
@@ -30,16 +30,17 @@
                                const edge::KvStore &kv,
                                const edge::InstanceList &list, Metrics &metrics,
                                EventSink events, RandomSource random)
-    : Init(std::move(init)), On(boost::asio::make_strand(io)), Numbers(metrics),
-      Budget(std::make_shared<edge::CallBudget>(Init.ServiceCallsPerSecond,
-                                                &monotonicNow, metrics)),
+    : Init(std::move(init)), Executor(boost::asio::make_strand(io)),
+      Series(metrics), Budget(std::make_shared<edge::CallBudget>(
+                           Init.ServiceCallsPerSecond, &monotonicNow, metrics)),
       Kv(edge::withBudget(kv, Budget)), List(edge::withBudget(list, Budget)),
       Events(std::move(events)), Random(std::move(random)), State({}, Events),
-      Talk(gossipInit(), State, Random),
-      Current(std::make_shared<const Snapshot>()), TickTimer(On),
-      PublishTimer(On) {
+      Gossip(gossipInit(), State, Random),
+      Current(std::make_shared<const Snapshot>()), TickTimer(Executor),
+      PublishTimer(Executor) {
   PeerLinkInit link{Init.Self.Peer, Init.Keys, Init.Process};
-  Peers = std::make_shared<PeerLink>(io, On, std::move(link), peerHooks());
+  Peers =
+      std::make_shared<PeerLink>(io, Executor, std::move(link), peerHooks());
 }
 
 control::GossipInit ControlProcess::gossipInit() const {
@@ -56,13 +57,14 @@
   if (!Peers->start(reason))
     return false;
   Started = monotonicNow();
-  Own.Generation = static_cast<uint64_t>(wallNow().time_since_epoch().count());
-  Own.Process = Init.Process;
+  OwnSignal.Generation =
+      static_cast<uint64_t>(wallNow().time_since_epoch().count());
+  OwnSignal.Process = Init.Process;
   ServiceReaderInit reader;
   reader.Timeout = Init.ServiceTimeout;
   reader.ListInterval = Init.ListInterval;
-  Reader = std::make_shared<ServiceReader>(On, reader, Kv, List, readerHooks(),
-                                           Random);
+  Reader = std::make_shared<ServiceReader>(Executor, reader, Kv, List,
+                                           readerHooks(), Random);
   post([](ControlProcess &self) {
     if (!self.Init.Seeds.empty())
       self.fetchFrom(self.Init.Seeds[self.Random() % self.Init.Seeds.size()]);
@@ -72,8 +74,8 @@
 }
 
 void ControlProcess::post(std::function<void(ControlProcess &)> step) {
-  boost::asio::post(
-      On, [self = shared_from_this(), step = std::move(step)] { step(*self); });
+  boost::asio::post(Executor, [self = shared_from_this(),
+                               step = std::move(step)] { step(*self); });
 }
 
 void ControlProcess::stop() {
@@ -91,19 +93,19 @@
   hooks.ConfigWatermark = [this] { return State.config().watermark(); };
   hooks.MemberWatermark = [this] { return State.members().watermark(); };
   hooks.Accept = [this](const edge::KvHeader &header, uint64_t atLeast) {
-    return accept(header, atLeast);
+    return acceptHeader(header, atLeast);
   };
   hooks.Config = [this](const control::ReplicaDelta &delta) {
     State.mergeConfig(delta);
-    act(Talk.onTick(monotonicNow()));
-    changed();
+    applyActions(Gossip.onTick(monotonicNow()));
+    schedulePublish();
   };
   hooks.Members = [this](const control::ReplicaDelta &delta) {
     State.mergeMembers(delta);
-    act(Talk.onTick(monotonicNow()));
-    changed();
+    applyActions(Gossip.onTick(monotonicNow()));
+    schedulePublish();
   };
-  hooks.Attempted = [this](const Error &reason) { onServiceAttempt(reason); };
+  hooks.CallFinished = [this](const Error &reason) { onServiceCall(reason); };
   return hooks;
 }
 
@@ -116,7 +118,7 @@
   };
   hooks.Rejected = [this](ErrorKind kind) { onRejected(kind); };
   hooks.Serve = [this](const control::Pull &pull) {
-    return Talk.pagesFor(pull, monotonicNow());
+    return Gossip.pagesFor(pull, monotonicNow());
   };
   return hooks;
 }
@@ -130,51 +132,52 @@
       });
   TimePoint now = monotonicNow();
   if (State.expire(now))
-    changed();
-  chooseReader(now);
-  keepOwnSignal(now);
-  askForForce(now);
-  act(Talk.onTick(now));
+    schedulePublish();
+  updateReader(now);
+  refreshOwnSignal(now);
+  advanceGatherings(now);
+  applyActions(Gossip.onTick(now));
   if (now < NextView)
     return;
   NextView = now + ViewInterval;
   refreshView();
 }
 
-void ControlProcess::chooseReader(TimePoint now) {
-  if (!judgeReadiness().Ready) {
+void ControlProcess::updateReader(TimePoint now) {
+  if (!computeReadiness().Ready) {
     // Seeds come first; without them, or without their answer, the platform.
-    bool waitForSeeds = !Init.Seeds.empty() && now - Started < SeedPatience;
+    bool waitForSeeds = !Init.Seeds.empty() && now - Started < SeedTimeout;
     Reader->setActive(!waitForSeeds);
     return;
   }
-  TimePoint lastTry = std::max(Talk.lastTry(), Started);
-  Reader->setActive(Choice.shouldRead(lastTry, now));
+  TimePoint lastAttempt = std::max(Gossip.lastTry(), Started);
+  Reader->setActive(Choice.shouldRead(lastAttempt, now));
 }
 
-void ControlProcess::keepOwnSignal(TimePoint now) {
-  std::optional<control::SignalContent> heard =
+void ControlProcess::refreshOwnSignal(TimePoint now) {
+  std::optional<control::SignalContent> known =
       State.signals().find(Init.Self.Name);
-  bool shadowed = heard && heard->Process != Own.Process &&
-                  heard->State > MemberState::Live &&
-                  Own.State == MemberState::Live;
-  if (shadowed) {
+  bool isSuperseded = known && known->Process != OwnSignal.Process &&
+                      known->State > MemberState::Live &&
+                      OwnSignal.State == MemberState::Live;
+  if (isSuperseded) {
     // The last process of this name left; its clock may have been ahead.
-    Own.Generation = std::max(Own.Generation, heard->Generation + 1);
-    Talk.say({Init.Self.Name, Own}, now);
-    changed();
+    OwnSignal.Generation =
+        std::max(OwnSignal.Generation, known->Generation + 1);
+    Gossip.say({Init.Self.Name, OwnSignal}, now);
+    schedulePublish();
   }
-  if (Own.State == MemberState::Leaving && now >= NextRenewal) {
+  if (OwnSignal.State == MemberState::Leaving && now >= NextRenewal) {
     NextRenewal = now + RenewalInterval;
-    ++Own.Renewal;
-    Talk.say({Init.Self.Name, Own}, now);
+    ++OwnSignal.Renewal;
+    Gossip.say({Init.Self.Name, OwnSignal}, now);
   }
 }
 
-void ControlProcess::onServiceAttempt(const Error &reason) {
+void ControlProcess::onServiceCall(const Error &reason) {
   bool reached = !reason;
-  Talk.noteTry(reached, monotonicNow());
-  ServiceProblem = reason.Detail;
+  Gossip.noteTry(reached, monotonicNow());
+  LastServiceError = reason.Detail;
   if (reached != std::exchange(ServiceReached, reached))
     Events(makeControlEvent(reached ? EventKind::ServiceBack
                                     : EventKind::ServiceLost,
@@ -182,15 +185,16 @@
   refreshView();
 }
 
-bool ControlProcess::accept(const edge::KvHeader &header, uint64_t atLeast) {
+bool ControlProcess::acceptHeader(const edge::KvHeader &header,
+                                  uint64_t atLeast) {
   Error reason;
   if (State.acceptService(header, atLeast, reason))
     return true;
-  onServiceAttempt(reason);
+  onServiceCall(reason);
   return false;
 }
 
-void ControlProcess::act(control::GossipActions actions) {
+void ControlProcess::applyActions(control::GossipActions actions) {
   for (control::PeerSend &send : actions.Sends)
     Peers->send(send.To, std::move(send.Payload));
   if (actions.Fetch)
@@ -201,16 +205,16 @@
   if (std::exchange(Fetching, true))
     return;
   Peers->fetch(
-      peer, Talk.pullMessage(monotonicNow()),
+      peer, Gossip.pullMessage(monotonicNow()),
       [self = shared_from_this()](const std::optional<control::Rumour> &whole,
                                   const Error &error) {
         self->Fetching = false;
-        self->PeerProblem = error.Detail;
+        self->LastPeerError = error.Detail;
         if (self->Stopped)
           return;
         if (whole)
-          self->Talk.onFetched(*whole, monotonicNow());
-        self->changed();
+          self->Gossip.onFetched(*whole, monotonicNow());
+        self->schedulePublish();
       });
 }
 
@@ -226,32 +230,32 @@
       gathering.State.onAnswer(*force);
   } else if (const auto *asked = std::get_if<QuotaRequest>(&message)) {
     std::optional<QuotaGrant> grant;
-    if (AllotmentAsked)
-      grant = AllotmentAsked(*asked);
+    if (QuotaRequested)
+      grant = QuotaRequested(*asked);
     if (grant)
       Peers->send(from, wire::encode(control::PeerMessage(*grant)));
   } else if (const auto *grant = std::get_if<QuotaGrant>(&message)) {
     if (Granted)
       Granted(*grant);
   } else {
-    act(Talk.onMessage(from, message, monotonicNow()));
-    changed();
+    applyActions(Gossip.onMessage(from, message, monotonicNow()));
+    schedulePublish();
   }
 }
 
 void ControlProcess::onRejected(ErrorKind kind) {
-  Numbers.countRejected(kind);
+  Series.countRejected(kind);
   Events(makeControlEvent(EventKind::PeerRejected, kind, Init.Self.Name));
 }
 
-void ControlProcess::changed() {
+void ControlProcess::schedulePublish() {
   if (PublishPending || Stopped)
     return;
   PublishPending = true;
-  Duration pause =
-      std::clamp(LastBuild * PublishShare, LeastPublishPause, MostPublishPause);
+  Duration interval = std::clamp(LastBuild * PublishIntervalFactor,
+                                 MinPublishInterval, MaxPublishInterval);
   TimePoint now = monotonicNow();
-  PublishTimer.expires_after(std::max(LastPublish + pause, now) - now);
+  PublishTimer.expires_after(std::max(LastPublish + interval, now) - now);
   PublishTimer.async_wait(
       [self = shared_from_this()](const boost::system::error_code &ec) {
         self->PublishPending = false;
@@ -264,9 +268,9 @@
   TimePoint begin = monotonicNow();
   std::shared_ptr<const Snapshot> next = State.takeSnapshot();
   if (next) {
-    bool membersMoved = next->MemberVersion != Current.load()->MemberVersion;
-    if (membersMoved || Talk.peers() + 1 != State.memberTable().size())
-      Talk.refreshPeers();
+    bool membersChanged = next->MemberVersion != Current.load()->MemberVersion;
+    if (membersChanged || Gossip.peers() + 1 != State.memberTable().size())
+      Gossip.refreshPeers();
     Choice.setRank(control::readerRank(State.memberTable(), Init.Self));
     Current.publish(next);
     LastPublish = monotonicNow();
@@ -277,7 +281,7 @@
     Published(next);
 }
 
-Readiness ControlProcess::judgeReadiness() const {
+Readiness ControlProcess::computeReadiness() const {
   Readiness out;
   if (State.config().watermark() == 0)
     out.Reason = "no configuration yet";
@@ -288,15 +292,15 @@
     return out;
   out.Reason += ": ";
   out.Reason +=
-      ServiceProblem.empty() ? "platform not answered yet" : ServiceProblem;
-  if (!PeerProblem.empty())
-    out.Reason += "; seed peers: " + PeerProblem;
+      LastServiceError.empty() ? "platform not answered yet" : LastServiceError;
+  if (!LastPeerError.empty())
+    out.Reason += "; seed peers: " + LastPeerError;
   return out;
 }
 
 void ControlProcess::refreshView() {
   std::lock_guard guard(ViewLock);
-  Ready = judgeReadiness();
+  Ready = computeReadiness();
   View.ConfigRevision = Current.load()->ConfigRevision;
   View.MemberVersion = Current.load()->MemberVersion;
   View.Objects = State.config().size();
@@ -304,32 +308,32 @@
   View.Reader = Reader && Reader->isActive();
   View.ServiceReached = ServiceReached;
   View.SinceReached.reset();
-  if (Talk.lastReached() != control::NeverTime)
-    View.SinceReached = monotonicNow() - Talk.lastReached();
+  if (Gossip.lastReached() != control::NeverTime)
+    View.SinceReached = monotonicNow() - Gossip.lastReached();
   View.NotUnderstood = State.notUnderstood().size();
-  View.Talk = Talk.stats();
+  View.Gossip = Gossip.stats();
   View.BytesSent = Peers->bytesSent();
   View.BytesReceived = Peers->bytesReceived();
-  Numbers.show(View);
+  Series.update(View);
 }
 
-void ControlProcess::sayState(MemberState state) {
-  Own.State = std::max(Own.State, state);
+void ControlProcess::announceState(MemberState state) {
+  OwnSignal.State = std::max(OwnSignal.State, state);
   TimePoint now = monotonicNow();
   NextRenewal = now + RenewalInterval;
-  Talk.say({Init.Self.Name, Own}, now);
-  act(Talk.onTick(now));
-  changed();
+  Gossip.say({Init.Self.Name, OwnSignal}, now);
+  applyActions(Gossip.onTick(now));
+  schedulePublish();
 }
 
-void ControlProcess::hearSignal(const control::Signal &signal) {
-  Talk.say(signal, monotonicNow());
-  changed();
+void ControlProcess::addSignal(const control::Signal &signal) {
+  Gossip.say(signal, monotonicNow());
+  schedulePublish();
 }
 
 void ControlProcess::reportDraining(const std::string &instance) {
   State.observeLeaving(instance, monotonicNow());
-  changed();
+  schedulePublish();
 }
 
 void ControlProcess::setKeys(net::PeerKeys keys) {
--- a/src/runtime/control_process.h
+++ b/src/runtime/control_process.h
@@ -33,13 +33,13 @@
   void post(std::function<void(ControlProcess &)> step);
 
   void stop();
-  void sayState(MemberState state);
-  void hearSignal(const control::Signal &signal);
+  void announceState(MemberState state);
+  void addSignal(const control::Signal &signal);
   void reportDraining(const std::string &instance);
   void propose(control::Command command, CommandDone done);
   void gatherInForce(uint64_t revision, Duration timeout,
                      std::function<void(control::ForceReport)> done);
-  void requestAllotment(const Endpoint &peer, const QuotaRequest &request);
+  void requestQuota(const Endpoint &peer, const QuotaRequest &request);
   void setKeys(net::PeerKeys keys);
 
   /// From any thread.
@@ -50,7 +50,7 @@
 
   /// Set before start().
   std::function<void(std::shared_ptr<const Snapshot>)> Published;
-  std::function<std::optional<QuotaGrant>(const QuotaRequest &)> AllotmentAsked;
+  std::function<std::optional<QuotaGrant>(const QuotaRequest &)> QuotaRequested;
   std::function<void(const QuotaGrant &)> Granted;
 
 private:
@@ -65,30 +65,30 @@
   control::GossipInit gossipInit() const;
 
   void tick();
-  void chooseReader(TimePoint now);
-  void keepOwnSignal(TimePoint now);
-  void onServiceAttempt(const Error &reason);
-  bool accept(const edge::KvHeader &header, uint64_t atLeast);
-  void act(control::GossipActions actions);
+  void updateReader(TimePoint now);
+  void refreshOwnSignal(TimePoint now);
+  void onServiceCall(const Error &reason);
+  bool acceptHeader(const edge::KvHeader &header, uint64_t atLeast);
+  void applyActions(control::GossipActions actions);
   void fetchFrom(const Endpoint &peer);
   void onMessage(const Endpoint &from, const control::PeerMessage &message);
   void onRejected(ErrorKind kind);
-  void askForForce(TimePoint now);
-  void changed();
+  void advanceGatherings(TimePoint now);
+  void schedulePublish();
   void publish();
   void refreshView();
-  Readiness judgeReadiness() const;
+  Readiness computeReadiness() const;
 
   ControlInit Init;
-  Strand On;
-  ControlMetrics Numbers;
+  Strand Executor;
+  ControlMetrics Series;
   std::shared_ptr<edge::CallBudget> Budget;
   edge::KvStore Kv;
   edge::InstanceList List;
   EventSink Events;
   RandomSource Random;
   control::ControlState State;
-  control::Gossip Talk;
+  control::Gossip Gossip;
   control::ReaderChoice Choice;
   Rcu<Snapshot> Current;
   std::shared_ptr<ServiceReader> Reader;
@@ -99,14 +99,14 @@
   Duration LastBuild{0};
   TimePoint LastPublish;
   TimePoint Started;
-  control::SignalContent Own;
+  control::SignalContent OwnSignal;
   TimePoint NextRenewal;
   TimePoint NextView;
   bool Fetching = false;
   bool Stopped = false;
   bool ServiceReached = true;
-  std::string ServiceProblem;
-  std::string PeerProblem;
+  std::string LastServiceError;
+  std::string LastPeerError;
   std::map<uint64_t, Gathering> Gatherings; ///< By a number of their own.
   uint64_t NextGathering = 0;
 
--- a/src/runtime/control_requests.cpp
+++ b/src/runtime/control_requests.cpp
@@ -50,11 +50,11 @@
                  done = std::move(done)](control::CommandResult result) {
     self->Events(
         makeControlEvent(eventOf(result.Outcome), result.Reason.Kind, key));
-    self->Numbers.countCommand(result.Outcome);
+    self->Series.countCommand(result.Outcome);
     done(std::move(result));
   };
-  runCommand(On, Kv, std::move(command), std::move(base), Init.ServiceTimeout,
-             CommandTimeout, std::move(finish));
+  runCommand(Executor, Kv, std::move(command), std::move(base),
+             Init.ServiceTimeout, CommandTimeout, std::move(finish));
 }
 
 void ControlProcess::gatherInForce(
@@ -66,7 +66,7 @@
                      Gathering{std::move(gather), std::move(done)});
 }
 
-void ControlProcess::askForForce(TimePoint now) {
+void ControlProcess::advanceGatherings(TimePoint now) {
   for (auto it = Gatherings.begin(); it != Gatherings.end();) {
     Gathering &gathering = it->second;
     if (gathering.State.isOver(now)) {
@@ -80,8 +80,8 @@
   }
 }
 
-void ControlProcess::requestAllotment(const Endpoint &peer,
-                                      const QuotaRequest &request) {
+void ControlProcess::requestQuota(const Endpoint &peer,
+                                  const QuotaRequest &request) {
   Peers->send(peer, wire::encode(control::PeerMessage(request)));
 }
 
--- a/src/runtime/control_runtime.cpp
+++ b/src/runtime/control_runtime.cpp
@@ -37,19 +37,19 @@
   Self->Published = std::move(hook);
 }
 
-void ControlRuntime::onAllotmentRequest(
+void ControlRuntime::onQuotaRequest(
     std::function<std::optional<QuotaGrant>(const QuotaRequest &)> hook) {
-  Self->AllotmentAsked = std::move(hook);
+  Self->QuotaRequested = std::move(hook);
 }
 
 void ControlRuntime::onGrant(std::function<void(const QuotaGrant &)> hook) {
   Self->Granted = std::move(hook);
 }
 
-void ControlRuntime::requestAllotment(const Endpoint &peer,
-                                      const QuotaRequest &request) {
+void ControlRuntime::requestQuota(const Endpoint &peer,
+                                  const QuotaRequest &request) {
   Self->post([peer, request](ControlProcess &self) {
-    self.requestAllotment(peer, request);
+    self.requestQuota(peer, request);
   });
 }
 
@@ -59,11 +59,12 @@
 }
 
 void ControlRuntime::leave() {
-  Self->post([](ControlProcess &self) { self.sayState(MemberState::Leaving); });
+  Self->post(
+      [](ControlProcess &self) { self.announceState(MemberState::Leaving); });
 }
 
-void ControlRuntime::hearSignal(const control::Signal &signal) {
-  Self->post([signal](ControlProcess &self) { self.hearSignal(signal); });
+void ControlRuntime::addSignal(const control::Signal &signal) {
+  Self->post([signal](ControlProcess &self) { self.addSignal(signal); });
 }
 
 void ControlRuntime::reportDraining(const std::string &instance) {
--- a/src/runtime/control_runtime.h
+++ b/src/runtime/control_runtime.h
@@ -62,7 +62,7 @@
   uint64_t ServiceCalls = 0;
   uint64_t BytesSent = 0;
   uint64_t BytesReceived = 0;
-  control::GossipStats Talk;
+  control::GossipStats Gossip;
 };
 
 /// Thread-safe. Hooks are called on I/O threads.
@@ -88,7 +88,7 @@
   /// This process takes no new work from now on: peers learn it at once.
   void leave();
   /// What another way has shown of an instance's own word.
-  void hearSignal(const control::Signal &signal);
+  void addSignal(const control::Signal &signal);
   /// A request was refused with Draining by this instance.
   void reportDraining(const std::string &instance);
 
@@ -102,10 +102,10 @@
 
   /// Asks the entry that allots an organisation's limits; onGrant receives the
   /// answer, when one comes.
-  void requestAllotment(const Endpoint &peer, const QuotaRequest &request);
+  void requestQuota(const Endpoint &peer, const QuotaRequest &request);
   /// Both are called on I/O threads, one at a time. Set before start(). Without
   /// a grant the request stays unanswered.
-  void onAllotmentRequest(
+  void onQuotaRequest(
       std::function<std::optional<QuotaGrant>(const QuotaRequest &)> hook);
   void onGrant(std::function<void(const QuotaGrant &)> hook);
 
--- a/src/runtime/operator_command.cpp
+++ b/src/runtime/operator_command.cpp
@@ -17,9 +17,9 @@
 using control::CommandOutcome;
 
 /// Between two questions how far a change got.
-constexpr Duration ForcePause{200'000};
+constexpr Duration InForcePollInterval{200'000};
 /// A single question to the fleet lasts at most this long.
-constexpr Duration ForceTimeout{1'000'000};
+constexpr Duration InForcePollTimeout{1'000'000};
 constexpr unsigned HttpOk = 200;
 
 CommandAnswer refused(Error reason) {
@@ -62,7 +62,7 @@
 }
 
 /// Requests stopped, as another entry reports them; nothing when it doesn't.
-std::optional<uint64_t> stoppedIn(const FleetReply &reply) {
+std::optional<uint64_t> parseStoppedCount(const FleetReply &reply) {
   if (reply.Failure || reply.Response.Status != HttpOk)
     return std::nullopt;
   boost::system::error_code ec;
@@ -192,7 +192,7 @@
 void OperatorCommands::waitInForce(const CommandAnswer &answer, TimePoint until,
                                    const DoneHook &done) {
   Duration left = until - monotonicNow();
-  auto timeout = std::clamp(left, Duration(1), ForceTimeout);
+  auto timeout = std::clamp(left, Duration(1), InForcePollTimeout);
   // Without a revision of its own, what is in force here has the change.
   uint64_t revision = answer.Revision != 0
                           ? answer.Revision
@@ -208,7 +208,7 @@
           return;
         }
         auto timer = std::make_shared<net::Timer>(Io);
-        timer->expires_after(ForcePause);
+        timer->expires_after(InForcePollInterval);
         timer->async_wait(
             [this, timer, next, until, done](boost::system::error_code) {
               waitInForce(next, until, done);
@@ -235,15 +235,15 @@
   auto sum = std::make_shared<StopSum>();
   FleetHooks hooks;
   hooks.Replied = [sum](size_t, const FleetReply &reply) {
-    auto stopped = stoppedIn(reply);
+    auto stopped = parseStoppedCount(reply);
     sum->Stopped += stopped.value_or(0);
     sum->Silent += stopped ? 0 : 1;
     return true;
   };
   hooks.Done = [sum, done](size_t asked) { done(answerOf(*sum, asked)); };
-  askFleet(Client, std::move(entries),
-           fleetRequest(Init, Self, caller, "/v1/command", text),
-           std::move(hooks));
+  sendToFleet(Client, std::move(entries),
+              fleetRequest(Init, Self, caller, "/v1/command", text),
+              std::move(hooks));
 }
 
 } // namespace daisytack::runtime
--- a/src/runtime/operator_fleet.cpp
+++ b/src/runtime/operator_fleet.cpp
@@ -17,53 +17,54 @@
              FleetRequest request, FleetHooks hooks)
       : Client(client), Members(std::move(members)),
         Request(std::move(request)), Hooks(std::move(hooks)),
-        Until(monotonicNow() + Request.Deadline) {}
+        EndsAt(monotonicNow() + Request.Deadline) {}
 
   /// Starts calls while there is room; ends the round after the last reply.
   void pump() {
-    while (auto index = claim())
-      ask(*index);
+    while (auto index = claimNext())
+      send(*index);
     finishOnce();
   }
 
 private:
   /// The next member to ask; nothing while there is no room or no need.
-  std::optional<size_t> claim() {
+  std::optional<size_t> claimNext() {
     std::lock_guard guard(Lock);
     bool isOver =
-        IsEnough || Next == Members.size() || Running >= Request.MaxAtOnce;
+        HasEnough || Next == Members.size() || Running >= Request.MaxAtOnce;
     if (isOver)
       return std::nullopt;
     ++Running;
     return Next++;
   }
 
-  void ask(size_t index) {
-    Duration left = Until - monotonicNow();
+  void send(size_t index) {
+    Duration left = EndsAt - monotonicNow();
     if (left <= Duration::zero()) {
-      take(index,
-           {{ErrorKind::DeadlinePassed, "no time was left to ask it", {}}, {}});
+      onReply(
+          index,
+          {{ErrorKind::DeadlinePassed, "no time was left to ask it", {}}, {}});
       return;
     }
     auto self = shared_from_this();
     Client.fetch(Request.AddressOf(Members[index]), Request.Http, left,
                  [self, index](const Error &error, net::HttpResponse response) {
-                   self->take(index, {error, std::move(response)});
+                   self->onReply(index, {error, std::move(response)});
                    self->pump();
                  });
   }
 
-  void take(size_t index, FleetReply reply) {
+  void onReply(size_t index, FleetReply reply) {
     std::lock_guard guard(Lock);
     --Running;
     if (!Hooks.Replied(index, std::move(reply)))
-      IsEnough = true;
+      HasEnough = true;
   }
 
   void finishOnce() {
     {
       std::lock_guard guard(Lock);
-      bool hasMore = Next < Members.size() && !IsEnough;
+      bool hasMore = Next < Members.size() && !HasEnough;
       if (Running > 0 || hasMore || IsDone)
         return;
       IsDone = true;
@@ -75,18 +76,18 @@
   std::vector<Member> Members;
   FleetRequest Request;
   FleetHooks Hooks;
-  TimePoint Until;
+  TimePoint EndsAt;
   std::mutex Lock;
   size_t Next = 0;
   size_t Running = 0;
-  bool IsEnough = false;
+  bool HasEnough = false;
   bool IsDone = false;
 };
 
 } // namespace
 
-void askFleet(net::HttpClient &client, std::vector<Member> members,
-              FleetRequest request, FleetHooks hooks) {
+void sendToFleet(net::HttpClient &client, std::vector<Member> members,
+                 FleetRequest request, FleetHooks hooks) {
   std::make_shared<FleetRound>(client, std::move(members), std::move(request),
                                std::move(hooks))
       ->pump();
--- a/src/runtime/operator_fleet.h
+++ b/src/runtime/operator_fleet.h
@@ -33,7 +33,7 @@
 };
 
 /// Asks the members in their order.
-void askFleet(net::HttpClient &client, std::vector<Member> members,
-              FleetRequest request, FleetHooks hooks);
+void sendToFleet(net::HttpClient &client, std::vector<Member> members,
+                 FleetRequest request, FleetHooks hooks);
 
 } // namespace daisytack::runtime
--- a/src/runtime/operator_http.cpp
+++ b/src/runtime/operator_http.cpp
@@ -89,7 +89,7 @@
 struct OperatorHttp::Impl {
   Impl(boost::asio::io_context &io, OperatorInit init, Metrics &metrics,
        EventRing &events, net::HttpClient &client)
-      : Init(std::move(init)), Counts(metrics), Usage(metrics), Ring(events),
+      : Init(std::move(init)), Registry(metrics), Usage(metrics), Ring(events),
         View(Init, events), Queries(Init, View, client),
         Commands(io, Init, client),
         Server(io, serverInit(),
@@ -105,7 +105,7 @@
   }
 
   void route(const net::HttpRequest &request, const Exchange &exchange);
-  void routeOpen(const net::HttpRequest &request, const Exchange &exchange);
+  void routePublic(const net::HttpRequest &request, const Exchange &exchange);
   void routeOperator(const net::HttpRequest &request, const Exchange &exchange,
                      OperatorCaller caller);
   std::optional<OperatorCaller> authenticate(const net::HttpRequest &request);
@@ -116,7 +116,7 @@
   std::string eventsJson(std::string_view query) const;
 
   OperatorInit Init;
-  Metrics &Counts;
+  Metrics &Registry;
   ProcessMetrics Usage;
   EventRing &Ring;
   OperatorView View;
@@ -128,16 +128,16 @@
 void OperatorHttp::Impl::route(const net::HttpRequest &request,
                                const Exchange &exchange) {
   const std::string &path = request.Path;
-  bool isOpen = path == "/metrics" || path == "/healthz" || path == "/readyz";
-  bool isRead = isOpen || path == "/v1/events";
+  bool isPublic = path == "/metrics" || path == "/healthz" || path == "/readyz";
+  bool isRead = isPublic || path == "/v1/events";
   bool isStatement = path == "/v1/query" || path == "/v1/command";
   if (!isRead && !isStatement)
     return refuse(exchange, {ErrorKind::NotFound, "no such path", {}});
   std::string method = isRead ? "GET" : "POST";
   if (request.Method != method)
     return refuse(exchange, {ErrorKind::MethodNotAllowed, "use " + method, {}});
-  if (isOpen)
-    return routeOpen(request, exchange);
+  if (isPublic)
+    return routePublic(request, exchange);
   auto caller = authenticate(request);
   if (!caller)
     return refuse(
@@ -146,22 +146,22 @@
   routeOperator(request, exchange, std::move(*caller));
 }
 
-void OperatorHttp::Impl::routeOpen(const net::HttpRequest &request,
-                                   const Exchange &exchange) {
+void OperatorHttp::Impl::routePublic(const net::HttpRequest &request,
+                                     const Exchange &exchange) {
   if (request.Path == "/metrics") {
     Usage.show(processUsage());
     exchange->respond(plainResponse(HttpOk, "text/plain; version=0.0.4",
-                                    Counts.prometheusText()));
+                                    Registry.prometheusText()));
     return;
   }
   if (request.Path == "/healthz") {
     exchange->respond(plainResponse(HttpOk, "text/plain", "ok\n"));
     return;
   }
-  Readiness it = readinessOf(Init);
-  json::object body{{"ready", it.Ready}, {"reason", it.Reason}};
-  exchange->respond(
-      jsonResponse(it.Ready ? HttpOk : HttpNotReady, json::serialize(body)));
+  Readiness readiness = readinessOf(Init);
+  json::object body{{"ready", readiness.Ready}, {"reason", readiness.Reason}};
+  exchange->respond(jsonResponse(readiness.Ready ? HttpOk : HttpNotReady,
+                                 json::serialize(body)));
 }
 
 std::optional<OperatorCaller>
@@ -203,10 +203,10 @@
 void OperatorHttp::Impl::query(const Statement &statement,
                                const OperatorCaller &caller,
                                const Exchange &exchange) {
-  query::ParseError wrong;
-  auto parsed = query::parseQuery(statement.Text, wrong);
+  query::ParseError parseError;
+  auto parsed = query::parseQuery(statement.Text, parseError);
   if (!parsed)
-    return refuse(exchange, query::toError(wrong));
+    return refuse(exchange, query::toError(parseError));
   Queries.run(*parsed, caller, [exchange](const query::Answer &answer) {
     exchange->respond(jsonResponse(HttpOk, query::toJson(answer)));
   });
@@ -215,10 +215,10 @@
 void OperatorHttp::Impl::command(const Statement &statement,
                                  const OperatorCaller &caller,
                                  const Exchange &exchange) {
-  query::ParseError wrong;
-  auto parsed = query::parseCommand(statement.Text, wrong);
+  query::ParseError parseError;
+  auto parsed = query::parseCommand(statement.Text, parseError);
   if (!parsed)
-    return refuse(exchange, query::toError(wrong));
+    return refuse(exchange, query::toError(parseError));
   if (caller.Role < query::roleFor(*parsed))
     return refuse(exchange, {ErrorKind::Forbidden,
                              "the role of operator '" + caller.Name +
--- a/src/runtime/operator_query.cpp
+++ b/src/runtime/operator_query.cpp
@@ -39,13 +39,13 @@
 }
 
 /// Collects the answers of a round, and joins them in the order asked.
-class Gathering {
+class AnswerMerger {
 public:
-  Gathering(query::Query query, const query::QueryPlan &plan)
+  AnswerMerger(query::Query query, const query::QueryPlan &plan)
       : Query(std::move(query)), Plan(plan), Parts(plan.Instances.size()) {}
 
   /// False once the rows fill a page.
-  bool take(size_t index, const FleetReply &reply) {
+  bool addReply(size_t index, const FleetReply &reply) {
     Part &part = Parts[index];
     part.Answer = answerIn(reply, part.Reason);
     RowCount += part.Answer ? part.Answer->Rows.Rows.size() : 0;
@@ -99,16 +99,16 @@
   size_t RowCount = 0;
 };
 
-query::Answer nothingAsked(const query::Query &query) {
+query::Answer emptyAnswer(const query::Query &query) {
   query::Answer out;
   out.Rows = query::merge(query, {});
   return out;
 }
 
 /// The entry that minted a request's identifier doesn't answer.
-query::Answer entryIsSilent(const query::Query &query, const Member &entry,
-                            const Error &reason) {
-  query::Answer out = nothingAsked(query);
+query::Answer silentEntryAnswer(const query::Query &query, const Member &entry,
+                                const Error &reason) {
+  query::Answer out = emptyAnswer(query);
   out.Asked = 1;
   addSilent(out, entry.Name, reasonText(reason));
   return out;
@@ -149,14 +149,15 @@
   if (plan.Local || caller.IsLocal)
     done(View.answer(query, caller.Role));
   else if (plan.RequestEntry)
-    follow(query, caller, std::move(plan), std::move(done));
+    gatherForRequest(query, caller, std::move(plan), std::move(done));
   else
     gather(query, caller, plan, done);
 }
 
-void OperatorQueries::follow(const query::Query &query,
-                             const OperatorCaller &caller,
-                             query::QueryPlan plan, DoneHook done) const {
+void OperatorQueries::gatherForRequest(const query::Query &query,
+                                       const OperatorCaller &caller,
+                                       query::QueryPlan plan,
+                                       DoneHook done) const {
   Member entry = *plan.RequestEntry;
   query::Query lookup =
       query::eventsOfRequest(query::requestOf(query).value_or(RequestId{}));
@@ -168,11 +169,11 @@
     if (events)
       gather(query, caller, withServers(plan, query, events->Rows), done);
     else
-      done(entryIsSilent(query, entry, reason));
+      done(silentEntryAnswer(query, entry, reason));
     return false;
   };
   hooks.Done = [](size_t) {};
-  askFleet(
+  sendToFleet(
       Client, {entry},
       fleetRequest(Init, Self, caller, "/v1/query", query::toString(lookup)),
       std::move(hooks));
@@ -194,22 +195,21 @@
                              const query::QueryPlan &plan,
                              const DoneHook &done) const {
   if (plan.Instances.empty()) {
-    done(nothingAsked(query));
+    done(emptyAnswer(query));
     return;
   }
   query::Query part = query;
   part.After.clear();
-  auto gathering = std::make_shared<Gathering>(query, plan);
+  auto merger = std::make_shared<AnswerMerger>(query, plan);
   FleetHooks hooks;
-  hooks.Replied = [gathering](size_t index, const FleetReply &reply) {
-    return gathering->take(index, reply);
-  };
-  hooks.Done = [gathering, done](size_t asked) {
-    done(gathering->finish(asked));
+  hooks.Replied = [merger](size_t index, const FleetReply &reply) {
+    return merger->addReply(index, reply);
   };
-  askFleet(Client, plan.Instances,
-           fleetRequest(Init, Self, caller, "/v1/query", query::toString(part)),
-           std::move(hooks));
+  hooks.Done = [merger, done](size_t asked) { done(merger->finish(asked)); };
+  sendToFleet(
+      Client, plan.Instances,
+      fleetRequest(Init, Self, caller, "/v1/query", query::toString(part)),
+      std::move(hooks));
 }
 
 } // namespace daisytack::runtime
--- a/src/runtime/operator_query.h
+++ b/src/runtime/operator_query.h
@@ -39,8 +39,8 @@
            DoneHook done) const;
 
 private:
-  void follow(const query::Query &query, const OperatorCaller &caller,
-              query::QueryPlan plan, DoneHook done) const;
+  void gatherForRequest(const query::Query &query, const OperatorCaller &caller,
+                        query::QueryPlan plan, DoneHook done) const;
   void gather(const query::Query &query, const OperatorCaller &caller,
               const query::QueryPlan &plan, const DoneHook &done) const;
   query::QueryPlan withServers(query::QueryPlan plan, const query::Query &query,
--- a/src/runtime/operator_statement.cpp
+++ b/src/runtime/operator_statement.cpp
@@ -15,8 +15,8 @@
 constexpr int64_t MaxWaitMs = 60'000;
 
 /// A number in a URL's query; the fallback when it is absent or none.
-uint64_t parameter(std::string_view query, std::string_view name,
-                   uint64_t fallback) {
+uint64_t queryParameter(std::string_view query, std::string_view name,
+                        uint64_t fallback) {
   while (!query.empty()) {
     std::string_view pair = query.substr(0, query.find('&'));
     query.remove_prefix(std::min(pair.size() + 1, query.size()));
@@ -35,9 +35,9 @@
   for (int64_t score : event.Scores)
     scores.emplace_back(score);
   json::object out{
-      {"sequence", sequence},        {"wall_us", event.At.Wall},
-      {"logical", event.At.Logical}, {"event", eventName(event.Kind)},
-      {"attempt", event.Try},        {"subject", event.Subject},
+      {"sequence", sequence},           {"wall_us", event.At.Wall},
+      {"logical", event.At.Logical},    {"event", eventName(event.Kind)},
+      {"attempt", event.AttemptNumber}, {"subject", event.Subject},
       {"scores", std::move(scores)}};
   if (event.Request.isValid())
     out["request"] = toHex(event.Request);
@@ -75,8 +75,8 @@
 }
 
 EventRange parseEventRange(std::string_view query) {
-  uint64_t limit = parameter(query, "limit", MaxEventsPerPage);
-  return {parameter(query, "from", 0), std::min(limit, MaxEventsPerPage)};
+  uint64_t limit = queryParameter(query, "limit", MaxEventsPerPage);
+  return {queryParameter(query, "from", 0), std::min(limit, MaxEventsPerPage)};
 }
 
 std::string toJson(std::string_view instance, const EventRing::Page &page) {
--- a/src/runtime/peer_link.cpp
+++ b/src/runtime/peer_link.cpp
@@ -25,8 +25,8 @@
 /// One fetch from its start to its single end.
 class Fetch : public std::enable_shared_from_this<Fetch> {
 public:
-  Fetch(const Strand &strand, PeerLink::Fetched done)
-      : On(strand), Done(std::move(done)), Timer(On) {}
+  Fetch(const Strand &strand, PeerLink::FetchDone done)
+      : Executor(strand), Done(std::move(done)), Timer(Executor) {}
 
   void start(boost::asio::io_context &io, const Endpoint &to,
              const net::PeerKeys &keys, const Pull &pull,
@@ -36,11 +36,12 @@
     net::FrameHooks hooks;
     hooks.Opened = [](const auto &) {};
     hooks.Frame = [self](const auto &, std::string_view frame) {
-      boost::asio::post(
-          self->On, [self, bytes = std::string(frame)] { self->take(bytes); });
+      boost::asio::post(self->Executor, [self, bytes = std::string(frame)] {
+        self->onPage(bytes);
+      });
     };
     hooks.Closed = [self](const auto &, const Error &error) {
-      boost::asio::post(self->On, [self, error] { self->fail(error); });
+      boost::asio::post(self->Executor, [self, error] { self->fail(error); });
     };
     Link = net::connectFrames(io, to, keys, ConnectTimeout, std::move(hooks));
     Link->send(wire::encode(PeerMessage(pull)));
@@ -52,7 +53,7 @@
   }
 
 private:
-  void take(const std::string &frame) {
+  void onPage(const std::string &frame) {
     Count(frame.size());
     Bytes += frame.size();
     Error reason;
@@ -61,27 +62,27 @@
     const Page *page = message ? std::get_if<Page>(&*message) : nullptr;
     if (!page || Bytes > MaxFetchedBytes)
       return fail({ErrorKind::ProtocolError, "not a page of bounded size"});
-    control::joinPage(Whole, *page);
+    control::joinPage(Merged, *page);
     if (!page->More)
-      finish(std::move(Whole), {});
+      finish(std::move(Merged), {});
   }
 
   void fail(const Error &error) { finish(std::nullopt, error); }
 
-  void finish(std::optional<Rumour> whole, const Error &error) {
+  void finish(std::optional<Rumour> merged, const Error &error) {
     if (!Done)
       return;
     Timer.cancel();
-    std::exchange(Done, nullptr)(std::move(whole), error);
+    std::exchange(Done, nullptr)(std::move(merged), error);
     Link->close();
   }
 
-  Strand On;
-  PeerLink::Fetched Done;
+  Strand Executor;
+  PeerLink::FetchDone Done;
   net::Timer Timer;
   std::function<void(size_t)> Count;
   std::shared_ptr<net::FrameLink> Link;
-  Rumour Whole;
+  Rumour Merged;
   size_t Bytes = 0;
 };
 
@@ -89,7 +90,7 @@
 
 PeerLink::PeerLink(boost::asio::io_context &io, Strand strand,
                    PeerLinkInit init, PeerLinkHooks hooks)
-    : Io(io), On(std::move(strand)), Init(std::move(init)),
+    : Io(io), Executor(std::move(strand)), Init(std::move(init)),
       Hooks(std::move(hooks)) {}
 
 bool PeerLink::start(Error &reason) {
@@ -125,7 +126,7 @@
 void PeerLink::stop() {
   Datagrams.reset();
   Frames.reset();
-  Served.clear();
+  ServedLinks.clear();
 }
 
 void PeerLink::setKeys(net::PeerKeys keys) {
@@ -143,11 +144,11 @@
   Datagrams->send(to, std::move(payload));
 }
 
-void PeerLink::fetch(const Endpoint &to, const Pull &pull, Fetched done) {
+void PeerLink::fetch(const Endpoint &to, const Pull &pull, FetchDone done) {
   auto count = [self = shared_from_this()](size_t bytes) {
     self->countReceived(bytes, FrameOverhead);
   };
-  std::make_shared<Fetch>(On, std::move(done))
+  std::make_shared<Fetch>(Executor, std::move(done))
       ->start(Io, to, Init.Keys, pull, std::move(count));
 }
 
@@ -158,11 +159,11 @@
       wire::decode<PeerMessage>(payload, reason);
   if (!message)
     return reject(reason.Kind);
-  boost::asio::post(
-      On, [self = shared_from_this(), from, message = std::move(*message)] {
-        if (self->Datagrams)
-          self->Hooks.Message(from, message);
-      });
+  boost::asio::post(Executor, [self = shared_from_this(), from,
+                               message = std::move(*message)] {
+    if (self->Datagrams)
+      self->Hooks.Message(from, message);
+  });
 }
 
 net::FrameHooks PeerLink::serverHooks() {
@@ -174,38 +175,40 @@
   };
   hooks.Frame = [weak](const auto &link, std::string_view frame) {
     if (auto self = weak.lock())
-      self->onServed(link, frame);
+      self->onPullFrame(link, frame);
   };
   hooks.Closed = [weak](const auto &link, const Error &) {
     if (auto self = weak.lock())
-      boost::asio::post(self->On, [self, link] { self->Served.erase(link); });
+      boost::asio::post(self->Executor,
+                        [self, link] { self->ServedLinks.erase(link); });
   };
   return hooks;
 }
 
 void PeerLink::onOpened(const std::shared_ptr<net::FrameLink> &link) {
   // A peer closes as soon as it has all; one that doesn't is cut off.
-  auto timer = std::make_shared<net::Timer>(On, FetchTimeout);
+  auto timer = std::make_shared<net::Timer>(Executor, FetchTimeout);
   timer->async_wait(
       [timer, link](const boost::system::error_code &) { link->close(); });
 }
 
-void PeerLink::onServed(const std::shared_ptr<net::FrameLink> &link,
-                        std::string_view frame) {
+void PeerLink::onPullFrame(const std::shared_ptr<net::FrameLink> &link,
+                           std::string_view frame) {
   countReceived(frame.size(), FrameOverhead);
   Error reason;
   std::optional<PeerMessage> message = wire::decode<PeerMessage>(frame, reason);
   const Pull *pull = message ? std::get_if<Pull>(&*message) : nullptr;
   if (!pull)
     return link->close();
-  boost::asio::post(On, [self = shared_from_this(), link, pull = *pull] {
+  boost::asio::post(Executor, [self = shared_from_this(), link, pull = *pull] {
     self->serve(link, pull);
   });
 }
 
 void PeerLink::serve(const std::shared_ptr<net::FrameLink> &link,
                      const Pull &pull) {
-  if (!Frames || Served.size() >= MaxServed || !Served.insert(link).second)
+  if (!Frames || ServedLinks.size() >= MaxServedFetches ||
+      !ServedLinks.insert(link).second)
     return link->close();
   for (Page &page : Hooks.Serve(pull)) {
     std::string bytes = wire::encode(PeerMessage(std::move(page)));
@@ -219,8 +222,9 @@
 }
 
 void PeerLink::reject(ErrorKind kind) {
-  boost::asio::post(
-      On, [self = shared_from_this(), kind] { self->Hooks.Rejected(kind); });
+  boost::asio::post(Executor, [self = shared_from_this(), kind] {
+    self->Hooks.Rejected(kind);
+  });
 }
 
 } // namespace daisytack::runtime
--- a/src/runtime/peer_link.h
+++ b/src/runtime/peer_link.h
@@ -35,7 +35,7 @@
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
   /// Fetches that one process serves at once; others are sent elsewhere.
-  static constexpr size_t MaxServed = 4;
+  static constexpr size_t MaxServedFetches = 4;
 
   PeerLink(boost::asio::io_context &io, Strand strand, PeerLinkInit init,
            PeerLinkHooks hooks);
@@ -48,9 +48,9 @@
   void send(const Endpoint &to, std::string payload);
   /// Asks a peer for all above the watermarks; done is called once, on the
   /// strand.
-  using Fetched =
+  using FetchDone =
       std::function<void(std::optional<control::Rumour>, const Error &)>;
-  void fetch(const Endpoint &to, const control::Pull &pull, Fetched done);
+  void fetch(const Endpoint &to, const control::Pull &pull, FetchDone done);
 
   /// Bytes with the overhead of the seal and of IP.
   uint64_t bytesSent() const { return Sent.load(); }
@@ -60,8 +60,8 @@
   bool bind(Error &reason);
   void onDatagram(const Endpoint &from, std::string_view payload);
   net::FrameHooks serverHooks();
-  void onServed(const std::shared_ptr<net::FrameLink> &link,
-                std::string_view frame);
+  void onPullFrame(const std::shared_ptr<net::FrameLink> &link,
+                   std::string_view frame);
   void serve(const std::shared_ptr<net::FrameLink> &link,
              const control::Pull &pull);
   void onOpened(const std::shared_ptr<net::FrameLink> &link);
@@ -69,13 +69,14 @@
   void reject(ErrorKind kind);
 
   boost::asio::io_context &Io;
-  Strand On;
+  Strand Executor;
   PeerLinkInit Init;
   PeerLinkHooks Hooks;
   std::unique_ptr<net::DatagramSocket> Datagrams;
   std::unique_ptr<net::FrameServer> Frames;
   uint16_t Port = 0;
-  std::set<std::shared_ptr<net::FrameLink>> Served; ///< On the strand only.
+  std::set<std::shared_ptr<net::FrameLink>>
+      ServedLinks; ///< On the strand only.
   std::atomic<uint64_t> Sent{0};
   std::atomic<uint64_t> Received{0};
 };
--- a/src/runtime/process.cpp
+++ b/src/runtime/process.cpp
@@ -30,13 +30,13 @@
 
 constexpr int64_t MaxThreads = 256;
 /// Between looks at the settings file.
-constexpr std::chrono::seconds FileCheck{1};
+constexpr std::chrono::seconds FileCheckInterval{1};
 /// Before the platform kills the process it ends by itself: its last bytes get
 /// out, and its exit code is its own.
 constexpr Duration KillMargin{200'000};
 
 /// Settings of the frame itself.
-struct FrameSettings {
+struct ProcessSettings {
   unsigned Threads = 1;
   std::string LogLevel;
   Duration DrainTimeout{0};
@@ -44,8 +44,8 @@
   Duration KillAfter{0};
 };
 
-FrameSettings readFrameSettings(Settings &settings) {
-  FrameSettings out;
+ProcessSettings readProcessSettings(Settings &settings) {
+  ProcessSettings out;
   out.Threads = static_cast<unsigned>(
       settings.integer("process.threads", 2, 1, MaxThreads));
   out.LogLevel = settings.choice("process.log_level", "info",
@@ -61,7 +61,7 @@
 /// Signals that the frame handles. Held back from the start of the process
 /// until its handlers stand: by default each would end a process that is
 /// starting.
-void holdSignals(int how) {
+void maskSignals(int how) {
   sigset_t handled;
   sigemptyset(&handled);
   for (int number : {SIGTERM, SIGINT, SIGHUP})
@@ -78,20 +78,21 @@
 }
 
 /// Runs the context until the daemon has drained.
-class Frame {
+class ProcessRunner {
 public:
   /// Built for a process that began at that time.
-  Frame(const ProcessInit &init, const FrameSettings &settings,
-        TimePoint begunAt)
-      : Init(init), Config(settings), BegunAt(begunAt),
+  ProcessRunner(const ProcessInit &init, const ProcessSettings &settings,
+                TimePoint startedAt)
+      : Init(init), Config(settings), StartedAt(startedAt),
         Io(static_cast<int>(settings.Threads)), Signals(Io, SIGTERM, SIGINT),
-        Hangups(Io, SIGHUP), Timer(Io), FileTimer(Io), FileSeen(fileState()) {}
+        Hangups(Io, SIGHUP), Timer(Io), FileTimer(Io),
+        LastFileState(fileState()) {}
 
   ExitCode run() {
-    WasHeldBack = isPending(SIGTERM) || isPending(SIGINT);
+    WasSignalPending = isPending(SIGTERM) || isPending(SIGINT);
     waitForSignal();
     waitForHangup();
-    holdSignals(SIG_UNBLOCK);
+    maskSignals(SIG_UNBLOCK);
     watchFile();
     Error reason;
     if (!Init.Start(Io, reason)) {
@@ -139,11 +140,11 @@
   void watchFile() {
     if (!Init.Reload)
       return;
-    FileTimer.expires_after(FileCheck);
+    FileTimer.expires_after(FileCheckInterval);
     FileTimer.async_wait([this](boost::system::error_code ec) {
       if (ec)
         return;
-      if (fileState() != FileSeen)
+      if (fileState() != LastFileState)
         reload();
       watchFile();
     });
@@ -152,9 +153,9 @@
   void reload() {
     if (!Init.Reload || IsDraining)
       return;
-    FileSeen = fileState();
+    LastFileState = fileState();
     Settings settings = Settings::fromFile(FLAGS_config);
-    readFrameSettings(settings);
+    readProcessSettings(settings);
     Init.ReadSettings(settings);
     std::vector<SettingError> errors = settings.finish();
     for (const SettingError &error : errors)
@@ -171,7 +172,7 @@
     if (Config.KillAfter == Duration::zero())
       return end;
     // A signal that was held back may have been sent when the process began.
-    TimePoint sent = WasHeldBack ? BegunAt : now;
+    TimePoint sent = WasSignalPending ? StartedAt : now;
     return std::clamp(sent + Config.KillAfter - KillMargin, now, end);
   }
 
@@ -179,7 +180,7 @@
     bool isRepeated = IsDraining.exchange(true);
     waitForSignal();
     if (isRepeated)
-      return onSignalAgain(number);
+      return onRepeatedSignal(number);
     TimePoint now = monotonicNow();
     TimePoint end = drainEnd(now);
     logInfo("draining, for at most " + toString(end - now));
@@ -195,7 +196,7 @@
 
   /// A platform may repeat its signal, and that must cut nothing off; a person
   /// at a terminal who interrupts twice wants the process gone.
-  void onSignalAgain(int number) {
+  void onRepeatedSignal(int number) {
     if (number == SIGINT)
       return stop(ExitCode::Interrupted);
     logInfo("draining already");
@@ -216,15 +217,15 @@
   }
 
   const ProcessInit &Init;
-  FrameSettings Config;
-  TimePoint BegunAt;
-  bool WasHeldBack = false; ///< A signal to stop came before its handler.
+  ProcessSettings Config;
+  TimePoint StartedAt;
+  bool WasSignalPending = false; ///< A signal to stop came before its handler.
   boost::asio::io_context Io;
   boost::asio::signal_set Signals;
   boost::asio::signal_set Hangups;
   net::Timer Timer;
   net::Timer FileTimer;
-  uint64_t FileSeen; ///< State of the settings file when it was last read.
+  uint64_t LastFileState; ///< State of the settings file when it was last read.
   std::atomic<bool> IsDraining{false};
   std::atomic<bool> IsStopped{false};
   ExitCode Result = ExitCode::Done;
@@ -237,9 +238,9 @@
     std::cerr << toString(error) << "\n";
 }
 
-int runConfigured(const ProcessInit &init, TimePoint begunAt) {
+int runConfigured(const ProcessInit &init, TimePoint startedAt) {
   Settings settings = Settings::fromFile(FLAGS_config);
-  FrameSettings frame = readFrameSettings(settings);
+  ProcessSettings process = readProcessSettings(settings);
   init.ReadSettings(settings);
   std::vector<SettingError> errors = settings.finish();
   if (!errors.empty()) {
@@ -250,8 +251,8 @@
     std::cout << FLAGS_config << ": no mistakes\n";
     return asInt(ExitCode::Done);
   }
-  openLog(init.Name, frame.LogLevel);
-  return asInt(Frame(init, frame, begunAt).run());
+  openLog(init.Name, process.LogLevel);
+  return asInt(ProcessRunner(init, process, startedAt).run());
 }
 
 } // namespace
@@ -283,8 +284,8 @@
 }
 
 int runProcess(int argc, char **argv, const ProcessInit &init) {
-  holdSignals(SIG_BLOCK);
-  TimePoint begunAt = monotonicNow();
+  maskSignals(SIG_BLOCK);
+  TimePoint startedAt = monotonicNow();
   gflags::SetUsageMessage(processUsage(init));
   gflags::SetVersionString(DAISYTACK_VERSION);
   gflags::ParseCommandLineNonHelpFlags(&argc, &argv, true);
@@ -306,7 +307,7 @@
               << "; see --help\n";
     return asInt(ExitCode::CommandLine);
   }
-  return runConfigured(init, begunAt);
+  return runConfigured(init, startedAt);
 }
 
 } // namespace daisytack::runtime
--- a/src/runtime/service_reader.cpp
+++ b/src/runtime/service_reader.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr Duration FirstBackoff{250'000};
-constexpr uint32_t MostDoublings = 5;
+constexpr uint32_t MaxDoublings = 5;
 constexpr uint64_t JitterSteps = 1024;
 
 std::string configBegin() { return std::string(control::ConfigPrefix); }
@@ -22,9 +22,9 @@
 ServiceReader::ServiceReader(Strand strand, ServiceReaderInit init,
                              edge::KvStore kv, edge::InstanceList list,
                              ServiceReaderHooks hooks, RandomSource random)
-    : On(std::move(strand)), Init(init), Kv(std::move(kv)),
+    : Executor(std::move(strand)), Init(init), Kv(std::move(kv)),
       List(std::move(list)), Hooks(std::move(hooks)), Random(std::move(random)),
-      ConfigTimer(On), ListTimer(On) {}
+      ConfigTimer(Executor), ListTimer(Executor) {}
 
 void ServiceReader::setActive(bool active) {
   if (active == Active)
@@ -52,7 +52,7 @@
   auto self = shared_from_this();
   Kv.Range(range, Init.Timeout,
            [self, watermark, epoch = Epoch](edge::KvRangeResult result) {
-             boost::asio::post(self->On,
+             boost::asio::post(self->Executor,
                                [self, watermark, epoch,
                                 result = std::move(result)]() mutable {
                                  if (epoch == self->Epoch)
@@ -62,11 +62,12 @@
 }
 
 void ServiceReader::onConfig(uint64_t asked, edge::KvRangeResult result) {
-  Hooks.Attempted(result.Header.Reason);
+  Hooks.CallFinished(result.Header.Reason);
   bool ok = result.Header.Status == edge::KvStatus::Ok &&
             Hooks.Accept(result.Header, asked);
   if (!ok) {
-    after(ConfigTimer, backoff(ConfigFailures++), &ServiceReader::checkConfig);
+    schedule(ConfigTimer, backoff(ConfigFailures++),
+             &ServiceReader::checkConfig);
     return;
   }
   ConfigFailures = 0;
@@ -76,54 +77,55 @@
   Hooks.Config(control::toDelta(watermark, result.Header.Revision,
                                 std::move(result.Entries)));
   startWatch();
-  after(ConfigTimer, jittered(Init.CheckInterval), &ServiceReader::checkConfig);
+  schedule(ConfigTimer, jittered(Init.CheckInterval),
+           &ServiceReader::checkConfig);
 }
 
 void ServiceReader::startWatch() {
   if (std::exchange(Watching, true))
     return;
-  WatchedThrough = Hooks.ConfigWatermark();
+  WatchedRevision = Hooks.ConfigWatermark();
   uint64_t epoch = ++WatchEpoch;
   auto self = shared_from_this();
   edge::KvWatchHooks hooks;
   hooks.Changed = [self, epoch](const edge::KvHeader &header,
                                 std::vector<edge::KvChange> changes) {
-    boost::asio::post(self->On,
+    boost::asio::post(self->Executor,
                       [self, epoch, header, changes = std::move(changes)] {
                         if (epoch == self->WatchEpoch)
                           self->onWatched(header, changes);
                       });
   };
   hooks.Ended = [self, epoch](const edge::KvHeader &header, uint64_t) {
-    boost::asio::post(self->On, [self, epoch, header] {
+    boost::asio::post(self->Executor, [self, epoch, header] {
       if (epoch == self->WatchEpoch)
         self->onWatchEnded(header);
     });
   };
-  StopWatch = Kv.Watch(configBegin(), configEnd(), WatchedThrough + 1,
+  StopWatch = Kv.Watch(configBegin(), configEnd(), WatchedRevision + 1,
                        std::move(hooks));
 }
 
 void ServiceReader::onWatched(const edge::KvHeader &header,
                               const std::vector<edge::KvChange> &changes) {
   // A sign of progress may lag behind what a check has shown.
-  if (header.Revision < WatchedThrough)
+  if (header.Revision < WatchedRevision)
     return;
-  if (!Hooks.Accept(header, WatchedThrough))
+  if (!Hooks.Accept(header, WatchedRevision))
     return;
   control::ReplicaDelta delta =
-      control::toDelta(WatchedThrough, header.Revision, changes);
-  WatchedThrough = header.Revision;
+      control::toDelta(WatchedRevision, header.Revision, changes);
+  WatchedRevision = header.Revision;
   Hooks.Config(delta);
 }
 
 void ServiceReader::onWatchEnded(const edge::KvHeader &header) {
   Watching = false;
   if (header.Reason)
-    Hooks.Attempted(header.Reason);
+    Hooks.CallFinished(header.Reason);
   // Compacted or cut: the next check reads all that was missed, whatever the
   // cause, and then watches again.
-  after(ConfigTimer, backoff(ConfigFailures++), &ServiceReader::checkConfig);
+  schedule(ConfigTimer, backoff(ConfigFailures++), &ServiceReader::checkConfig);
 }
 
 void ServiceReader::pollList() {
@@ -131,30 +133,30 @@
   auto self = shared_from_this();
   List.Poll(since, Init.Timeout,
             [self, since, epoch = Epoch](edge::InstanceListResult result) {
-              boost::asio::post(
-                  self->On, [self, since, epoch, result = std::move(result)] {
-                    if (epoch == self->Epoch)
-                      self->onList(since, result);
-                  });
+              boost::asio::post(self->Executor, [self, since, epoch,
+                                                 result = std::move(result)] {
+                if (epoch == self->Epoch)
+                  self->onList(since, result);
+              });
             });
 }
 
 void ServiceReader::onList(uint64_t since,
                            const edge::InstanceListResult &result) {
-  Hooks.Attempted(result.Reason);
+  Hooks.CallFinished(result.Reason);
   if (result.Reason) {
-    after(ListTimer, backoff(ListFailures++), &ServiceReader::pollList);
+    schedule(ListTimer, backoff(ListFailures++), &ServiceReader::pollList);
     return;
   }
   ListFailures = 0;
   // A copy of the list that lags further behind than ours says nothing new.
   if (result.Delta.Version >= since)
     Hooks.Members(control::toDelta(since, result.Delta));
-  after(ListTimer, jittered(Init.ListInterval), &ServiceReader::pollList);
+  schedule(ListTimer, jittered(Init.ListInterval), &ServiceReader::pollList);
 }
 
-void ServiceReader::after(Timer &timer, Duration delay,
-                          void (ServiceReader::*step)()) {
+void ServiceReader::schedule(Timer &timer, Duration delay,
+                             void (ServiceReader::*step)()) {
   timer.expires_after(delay);
   timer.async_wait([self = shared_from_this(), step,
                     epoch = Epoch](const boost::system::error_code &ec) {
@@ -163,16 +165,16 @@
   });
 }
 
-Duration ServiceReader::jittered(Duration around) {
+Duration ServiceReader::jittered(Duration mean) {
   // 0.8 to 1.2 of it, so that readers don't fall into step.
   auto steps = static_cast<int64_t>(Random() % JitterSteps);
-  return around * 4 / 5 + around * 2 / 5 * steps / JitterSteps;
+  return mean * 4 / 5 + mean * 2 / 5 * steps / JitterSteps;
 }
 
 Duration ServiceReader::backoff(uint32_t failures) {
-  Duration longest = FirstBackoff * (1U << std::min(failures, MostDoublings));
+  Duration maxDelay = FirstBackoff * (1U << std::min(failures, MaxDoublings));
   auto steps = static_cast<int64_t>(Random() % JitterSteps);
-  return longest / 8 + longest * 7 / 8 * steps / JitterSteps;
+  return maxDelay / 8 + maxDelay * 7 / 8 * steps / JitterSteps;
 }
 
 } // namespace daisytack::runtime
--- a/src/runtime/service_reader.h
+++ b/src/runtime/service_reader.h
@@ -34,7 +34,7 @@
   std::function<void(const control::ReplicaDelta &)> Config;
   std::function<void(const control::ReplicaDelta &)> Members;
   /// After each call: whether it was answered, and if not why.
-  std::function<void(const Error &)> Attempted;
+  std::function<void(const Error &)> CallFinished;
 };
 
 /// Every function must be called on the strand.
@@ -58,11 +58,11 @@
   void onWatchEnded(const edge::KvHeader &header);
   void pollList();
   void onList(uint64_t since, const edge::InstanceListResult &result);
-  void after(Timer &timer, Duration delay, void (ServiceReader::*step)());
-  Duration jittered(Duration around);
+  void schedule(Timer &timer, Duration delay, void (ServiceReader::*step)());
+  Duration jittered(Duration mean);
   Duration backoff(uint32_t failures);
 
-  Strand On;
+  Strand Executor;
   ServiceReaderInit Init;
   edge::KvStore Kv;
   edge::InstanceList List;
@@ -74,7 +74,7 @@
   uint64_t Epoch = 0; ///< Raised by setActive: older answers are dropped.
   bool Watching = false;
   uint64_t WatchEpoch = 0;
-  uint64_t WatchedThrough = 0;
+  uint64_t WatchedRevision = 0;
   edge::KvCancel StopWatch;
   uint32_t ConfigFailures = 0;
   uint32_t ListFailures = 0;
--- a/src/serve/agent_context.cpp
+++ b/src/serve/agent_context.cpp
@@ -56,7 +56,7 @@
     return;
   FetchParams params;
   params.Id = offer.Id;
-  params.Try = offer.Try;
+  params.AttemptNumber = offer.AttemptNumber;
   params.Organisation = offer.Organisation;
   params.Pieces = offer.Pieces;
   params.Version = run.Version;
@@ -68,7 +68,7 @@
   Fetch.begin(std::move(params), step);
   // Until the stores have answered, requests whose context is ready go first.
   if (Fetch.isPending(offer.Id))
-    Queue.setContextReady(offer.Id, offer.Try,
+    Queue.setContextReady(offer.Id, offer.AttemptNumber,
                           step.Now + Stores.settings().LookupTimeout);
 }
 
@@ -113,8 +113,8 @@
     return;
   uint32_t tokens = run->Request->PromptTokens;
   run->ExpectedPrefill = tokens - std::min(tokens, update.ReusedTokens);
-  Queue.setContextReady(update.Id, run->Token.Try, update.Ready);
-  Queue.setPrefill(update.Id, run->Token.Try,
+  Queue.setContextReady(update.Id, run->Token.AttemptNumber, update.Ready);
+  Queue.setPrefill(update.Id, run->Token.AttemptNumber,
                    Predictor.prefill(run->ExpectedPrefill));
   if (!update.IsFinal)
     return;
--- a/src/serve/agent_core.cpp
+++ b/src/serve/agent_core.cpp
@@ -39,7 +39,7 @@
 RunView makeRunView(const Run &run) {
   RunView out;
   out.Id = run.Token.Id;
-  out.Try = run.Token.Try;
+  out.AttemptNumber = run.Token.AttemptNumber;
   out.State = run.State;
   out.Organisation = run.Organisation;
   out.Class = run.Request->Class;
@@ -285,7 +285,7 @@
   Event event;
   event.Kind = kind;
   event.Request = run.Token.Id;
-  event.Try = run.Token.Try;
+  event.AttemptNumber = run.Token.AttemptNumber;
   event.Reason = reason;
   event.Scores = scores;
   event.Subject = run.Organisation;
--- a/src/serve/agent_fetch.h
+++ b/src/serve/agent_fetch.h
@@ -27,7 +27,7 @@
 /// A waiting request whose context is to be fetched.
 struct FetchParams {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   std::string Organisation;
   std::vector<PieceKey> Pieces; ///< Complete pieces of the prompt, in order.
   std::string Version; ///< Weight version for which the keys were computed.
--- a/src/serve/agent_fetch_end.cpp
+++ b/src/serve/agent_fetch_end.cpp
@@ -149,7 +149,7 @@
   Event event;
   event.Kind = kind;
   event.Request = params.Id;
-  event.Try = params.Try;
+  event.AttemptNumber = params.AttemptNumber;
   event.Scores = scores;
   event.Subject = params.Organisation;
   step.Out.push_back(RecordEvent{std::move(event)});
--- a/src/serve/agent_impl.h
+++ b/src/serve/agent_impl.h
@@ -18,7 +18,7 @@
 /// A refused or cancelled attempt. Remembered so that a delayed or duplicate
 /// offer of the same attempt is not accepted as a new one.
 struct ClosedAttempt {
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   TimePoint ExpiresAt; ///< The attempt is forgotten at this time.
 };
 
--- a/src/serve/agent_links.cpp
+++ b/src/serve/agent_links.cpp
@@ -43,7 +43,7 @@
 
 void AgentCore::Impl::join(Run &run, LinkHandle link, const wire::Offer &offer,
                            Step &step) {
-  Reader reader{link, offer.Try};
+  Reader reader{link, offer.AttemptNumber};
   if (run.wasNotified(reader) || !Runs.addReader(run, reader))
     return;
   sendAccepted(run, reader, step);
@@ -54,7 +54,7 @@
                                    Step &step) {
   wire::Accepted out;
   out.Id = run.Token.Id;
-  out.Try = reader.Try;
+  out.AttemptNumber = reader.AttemptNumber;
   out.FirstTokenMicros = static_cast<uint64_t>(run.PredictedFirstToken.count());
   out.CompletionMicros = static_cast<uint64_t>(run.PredictedCompletion.count());
   out.Load = loadReport(step.Now);
@@ -67,7 +67,7 @@
   if (from < run.Answer.firstIndex() || from > end) {
     wire::Refused out;
     out.Id = run.Token.Id;
-    out.Try = reader.Try;
+    out.AttemptNumber = reader.AttemptNumber;
     out.Kind = ErrorKind::AnswerLost;
     out.Ran = Outcome::MayHaveRun;
     out.Detail = "that part of the answer is no longer held";
@@ -79,7 +79,7 @@
   for (uint32_t i = from; i < end; ++i) {
     AnswerBuffer::View view = run.Answer.at(i);
     send(step, reader.Link,
-         wire::Chunk{run.Token.Id, reader.Try, i, view.Tokens,
+         wire::Chunk{run.Token.Id, reader.AttemptNumber, i, view.Tokens,
                      std::string(view.Text)});
   }
   if (run.Final) {
@@ -93,8 +93,8 @@
                                Step &step) {
   Run *run = Runs.find(cancel.Id);
   if (!run)
-    return rememberClosed(cancel.Id, cancel.Try, step.Now);
-  Reader reader{link, cancel.Try};
+    return rememberClosed(cancel.Id, cancel.AttemptNumber, step.Now);
+  Reader reader{link, cancel.AttemptNumber};
   if (!Runs.removeReader(*run, reader) || run->isFinished())
     return;
   if (!run->Readers.empty())
@@ -109,7 +109,7 @@
                                     Step &step) {
   wire::Finished out;
   out.Id = run.Token.Id;
-  out.Try = reader.Try;
+  out.AttemptNumber = reader.AttemptNumber;
   out.Ran = Outcome::MayHaveRun;
   out.Kind = ErrorKind::Cancelled;
   out.Detail = "cancelled by the entry; it goes on for another";
@@ -124,14 +124,14 @@
   if (!run || run->Organisation != resume.Organisation) {
     wire::Refused out;
     out.Id = resume.Id;
-    out.Try = resume.Try;
+    out.AttemptNumber = resume.AttemptNumber;
     out.Kind = ErrorKind::AnswerLost;
     out.Ran = Outcome::MayHaveRun;
     out.Detail = "this agent holds no such answer";
     out.Load = loadReport(step.Now);
     return send(step, link, std::move(out));
   }
-  Reader reader{link, resume.Try};
+  Reader reader{link, resume.AttemptNumber};
   if (!Runs.addReader(*run, reader))
     return;
   record(step, EventKind::StreamResumed, *run);
@@ -167,7 +167,8 @@
 
 bool AgentCore::Impl::isClosed(const wire::Offer &offer, TimePoint now) const {
   auto it = ClosedAttempts.find(offer.Id);
-  return it != ClosedAttempts.end() && it->second.Try >= offer.Try &&
+  return it != ClosedAttempts.end() &&
+         it->second.AttemptNumber >= offer.AttemptNumber &&
          it->second.ExpiresAt > now;
 }
 
--- a/src/serve/agent_messages.cpp
+++ b/src/serve/agent_messages.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 std::string toString(const RunToken &run) {
-  return toHex(run.Id) + '-' + std::to_string(run.Try) + '-' +
+  return toHex(run.Id) + '-' + std::to_string(run.AttemptNumber) + '-' +
          std::to_string(run.Start);
 }
 
--- a/src/serve/agent_messages.h
+++ b/src/serve/agent_messages.h
@@ -32,7 +32,7 @@
 /// number of its own, so that a late answer to an earlier start is recognised.
 struct RunToken {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   uint32_t Start = 0;
   auto operator<=>(const RunToken &) const = default;
 };
--- a/src/serve/agent_offers.cpp
+++ b/src/serve/agent_offers.cpp
@@ -47,7 +47,7 @@
       return refuse(link, offer, why, Outcome::NotRun, step);
     if (!run->Final || run->Final->Kind == ErrorKind::None)
       return join(*run, link, offer, step);
-    if (run->wasNotified({link, offer.Try}))
+    if (run->wasNotified({link, offer.AttemptNumber}))
       return;
     HeldBytes -= run->Answer.bytes();
     Runs.erase(offer.Id);
@@ -71,10 +71,11 @@
   case TicketVerdict::Action::Replay:
     wire::Accepted accepted;
     accepted.Id = offer.Id;
-    accepted.Try = offer.Try;
+    accepted.AttemptNumber = offer.AttemptNumber;
     accepted.Load = loadReport(step.Now);
     send(step, link, std::move(accepted));
-    for (wire::Message &it : replayAnswer(*verdict.Answer, offer.Id, offer.Try))
+    for (wire::Message &it :
+         replayAnswer(*verdict.Answer, offer.Id, offer.AttemptNumber))
       send(step, link, std::move(it));
     return;
   }
@@ -155,13 +156,13 @@
       Queue, Settings.Queue, Settings.Acceptance, request, step.Now);
   // Don't preempt while the entry may still place the request elsewhere.
   if (out.Reason.Kind != ErrorKind::Overloaded ||
-      request.Patience > Duration{0})
+      request.WaitLimit > Duration{0})
     return out;
   auto victim = Queue.preemptionVictim(request, step.Now);
   if (!victim)
     return out;
   RunQueue queueWithoutVictim = Queue;
-  queueWithoutVictim.suspend(victim->Id, victim->Try, step.Now);
+  queueWithoutVictim.suspend(victim->Id, victim->AttemptNumber, step.Now);
   AcceptanceDecision decisionWithoutVictim =
       decideAcceptance(queueWithoutVictim, Settings.Queue, Settings.Acceptance,
                        request, step.Now);
@@ -177,7 +178,7 @@
   Run &run = Runs.insert(std::move(newRun));
   run.PredictedFirstToken = decision.FirstToken;
   run.PredictedCompletion = decision.Completion;
-  Reader reader{link, run.Token.Try};
+  Reader reader{link, run.Token.AttemptNumber};
   Runs.addReader(run, reader);
   Runs.schedule(run);
   Queue.push(request, step.Now);
@@ -194,7 +195,7 @@
                              std::array<int64_t, Event::MaxScores> scores) {
   wire::Refused out;
   out.Id = offer.Id;
-  out.Try = offer.Try;
+  out.AttemptNumber = offer.AttemptNumber;
   out.Kind = why.Kind;
   out.Ran = ran;
   out.RetryAfterMicros = static_cast<uint64_t>(why.RetryAfter.count());
@@ -203,16 +204,16 @@
   send(step, link, std::move(out));
   // A delayed duplicate of this offer must not run after the refusal.
   if (ran == Outcome::NotRun && !Runs.find(offer.Id))
-    rememberClosed(offer.Id, offer.Try, step.Now);
-  Refusals.push_back({offer.Id, offer.Try, offer.Organisation, offer.Class,
-                      why.Kind, ran, step.Now});
+    rememberClosed(offer.Id, offer.AttemptNumber, step.Now);
+  Refusals.push_back({offer.Id, offer.AttemptNumber, offer.Organisation,
+                      offer.Class, why.Kind, ran, step.Now});
   if (Refusals.size() > MaxRefusalsShown)
     Refusals.pop_front();
   Dirty = true;
   Event event;
   event.Kind = EventKind::OfferRefused;
   event.Request = offer.Id;
-  event.Try = offer.Try;
+  event.AttemptNumber = offer.AttemptNumber;
   event.Reason = why.Kind;
   event.Scores = scores;
   event.Subject = offer.Organisation;
--- a/src/serve/agent_queue.cpp
+++ b/src/serve/agent_queue.cpp
@@ -21,15 +21,15 @@
       offer.MaxTokens == 0 ? Settings.DefaultMaxTokens : offer.MaxTokens;
   RunRequest out;
   out.Id = offer.Id;
-  out.Try = offer.Try;
+  out.AttemptNumber = offer.AttemptNumber;
   out.Organisation = hashName(offer.Organisation);
   out.Weight = std::max<uint32_t>(offer.Weight, 1);
   out.Priority = std::min<uint8_t>(offer.Priority, MaxPriority);
   out.Preemptible = offer.Idempotent && !Settings.IsService;
   out.Deadline = run.Deadline - Duration(offer.ReserveMicros);
   out.ContextReady = now;
-  out.Patience = Duration(static_cast<int64_t>(
-      std::min<uint64_t>(offer.PatienceMicros, INT64_MAX)));
+  out.WaitLimit = Duration(static_cast<int64_t>(
+      std::min<uint64_t>(offer.WaitLimitMicros, INT64_MAX)));
   out.Prefill = Predictor.prefill(run.ExpectedPrefill);
   out.Decode = Settings.IsService ? Duration(0) : Predictor.decode(tokens);
   return out;
@@ -64,7 +64,7 @@
 }
 
 void AgentCore::Impl::suspend(Run &run, Step &step) {
-  Queue.suspend(run.Token.Id, run.Token.Try, step.Now);
+  Queue.suspend(run.Token.Id, run.Token.AttemptNumber, step.Now);
   run.HasSlot = false;
   if (run.State == RunState::Running) {
     run.State = RunState::Suspended;
@@ -78,7 +78,7 @@
 void AgentCore::Impl::resume(Run &run, Step &step) {
   run.State = RunState::Running;
   if (run.FirstToken)
-    Queue.markPrefilled(run.Token.Id, run.Token.Try);
+    Queue.markPrefilled(run.Token.Id, run.Token.AttemptNumber);
   step.Out.push_back(ResumeRun{run.Token});
   Dirty = true;
 }
--- a/src/serve/agent_run.h
+++ b/src/serve/agent_run.h
@@ -19,7 +19,7 @@
 /// A link that receives an answer, and the attempt that it receives it for.
 struct Reader {
   LinkHandle Link;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   bool operator==(const Reader &) const = default;
 };
 
@@ -27,7 +27,8 @@
 /// window after that.
 struct Run {
   Run(std::shared_ptr<const wire::Offer> offer, size_t maxAnswerBytes)
-      : Request(std::move(offer)), Token{Request->Id, Request->Try, 0},
+      : Request(std::move(offer)), Token{Request->Id, Request->AttemptNumber,
+                                         0},
         Organisation(Request->Organisation),
         Answer(Request->GeneratedChunks, maxAnswerBytes) {}
 
--- a/src/serve/agent_runs.cpp
+++ b/src/serve/agent_runs.cpp
@@ -77,7 +77,7 @@
     run->FirstToken = step.Now;
     record(step, EventKind::FirstToken, *run, ErrorKind::None,
            {(step.Now - run->Arrived).count()});
-    Queue.markPrefilled(run->Token.Id, run->Token.Try);
+    Queue.markPrefilled(run->Token.Id, run->Token.AttemptNumber);
     startWaiting(step);
   }
   size_t before = run->Answer.bytes();
@@ -85,7 +85,7 @@
   HeldBytes += run->Answer.bytes() - before;
   for (const Reader &reader : run->Readers)
     send(step, reader.Link,
-         wire::Chunk{run->Token.Id, reader.Try, index, input.Tokens,
+         wire::Chunk{run->Token.Id, reader.AttemptNumber, index, input.Tokens,
                      input.Text});
   evictFinishedAnswers();
 }
@@ -159,7 +159,7 @@
   for (const Reader &reader : run.Readers) {
     wire::Refused out;
     out.Id = run.Token.Id;
-    out.Try = reader.Try;
+    out.AttemptNumber = reader.AttemptNumber;
     out.Kind = why.Kind;
     out.Ran = Outcome::NotRun;
     out.RetryAfterMicros = micros(why.RetryAfter);
@@ -168,7 +168,7 @@
     send(step, reader.Link, std::move(out));
   }
   record(step, EventKind::OfferRefused, run, why.Kind);
-  rememberClosed(run.Token.Id, run.Token.Try, step.Now);
+  rememberClosed(run.Token.Id, run.Token.AttemptNumber, step.Now);
   HeldBytes -= run.Answer.bytes();
   Runs.erase(RequestId(run.Token.Id));
   Dirty = true;
@@ -180,7 +180,7 @@
   if (!run.Ticket)
     return;
   wire::Finished outcome = final;
-  outcome.Try = run.Token.Try;
+  outcome.AttemptNumber = run.Token.AttemptNumber;
   Tickets.finish(*run.Ticket, {std::move(outcome), run.Answer.text()},
                  step.Now);
 }
@@ -188,9 +188,9 @@
 void AgentCore::Impl::releaseQueueEntry(Run &run, Step &step) {
   Fetch.abandon(run.Token.Id, step);
   if (run.HasSlot)
-    Queue.finish(run.Token.Id, run.Token.Try);
+    Queue.finish(run.Token.Id, run.Token.AttemptNumber);
   else if (!run.isFinished())
-    Queue.cancel(run.Token.Id, run.Token.Try);
+    Queue.cancel(run.Token.Id, run.Token.AttemptNumber);
   run.HasSlot = false;
 }
 
@@ -201,7 +201,7 @@
 
 void AgentCore::Impl::sendFinal(Run &run, const Reader &reader, Step &step) {
   wire::Finished out = *run.Final;
-  out.Try = reader.Try;
+  out.AttemptNumber = reader.AttemptNumber;
   out.Load = loadReport(step.Now);
   send(step, reader.Link, std::move(out));
   run.NotifiedReaders.push_back(reader);
--- a/src/serve/agent_snapshot.h
+++ b/src/serve/agent_snapshot.h
@@ -21,7 +21,7 @@
 /// One accepted, unfinished request, without its prompt and answer.
 struct RunView {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   RunState State = RunState::Waiting;
   std::string Organisation;
   std::string Class;
@@ -39,7 +39,7 @@
 /// One refused request.
 struct RefusalView {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   std::string Organisation;
   std::string Class;
   ErrorKind Kind = ErrorKind::None;
--- a/src/serve/request_answer.cpp
+++ b/src/serve/request_answer.cpp
@@ -38,10 +38,10 @@
   BytesSent = Text.size();
 }
 
-void RequestFlow::completeAnswer(Try &attempt, const wire::Finished &message,
-                                 Step &step) {
+void RequestFlow::completeAnswer(AttemptState &attempt,
+                                 const wire::Finished &message, Step &step) {
   cancelOthers(attempt.Number, step);
-  attempt.Phase = TryPhase::Closed;
+  attempt.Phase = AttemptPhase::Closed;
   LastServer = attempt.Server;
   Summary.FinishReason = message.FinishReason;
   Summary.PromptTokens = message.PromptTokens;
@@ -80,8 +80,9 @@
   if (NextReleaseCheckAt)
     record(step, EventKind::AnswerReleased, 0, ErrorKind::None,
            Spec.Offer.Class);
-  record(step, EventKind::RequestAnswered, Tries.back().Number, ErrorKind::None,
-         LastServer, {(step.Context.Now - Spec.Arrived).count()});
+  record(step, EventKind::RequestAnswered, Attempts.back().Number,
+         ErrorKind::None, LastServer,
+         {(step.Context.Now - Spec.Arrived).count()});
   if (!Spec.Stream) {
     step.Out.emplace_back(WholeAnswer{std::move(Text), std::move(Summary)});
     return end(step);
@@ -94,8 +95,8 @@
 void RequestFlow::giveUp(Error reason, Outcome ran, Step &step) {
   cancelAll(step);
   // The ticket may have been presented before, which only its agent knows.
-  bool isKnown =
-      Spec.Offer.Ticket.empty() || (!Tries.empty() && Tries.back().Refused);
+  bool isKnown = Spec.Offer.Ticket.empty() ||
+                 (!Attempts.empty() && Attempts.back().Refused);
   if (!isKnown && ran == Outcome::NotRun)
     ran = Outcome::MayHaveRun;
   reason.RetryAfter = std::max(reason.RetryAfter, Settings.MinRetryAfter);
@@ -122,7 +123,7 @@
   std::optional<TimePoint> late;
   bool canHelp = Spec.Offer.Idempotent && !Spec.Resume && !CallerLeft &&
                  countedAttempts() < Settings.Attempts;
-  for (const Try &attempt : Tries)
+  for (const AttemptState &attempt : Attempts)
     if (canHelp && attempt.isOpen() && (!late || attempt.HedgeAt > *late))
       late = attempt.HedgeAt;
   if (late)
@@ -146,7 +147,7 @@
   Event event;
   event.Kind = kind;
   event.Request = Spec.Offer.Id;
-  event.Try = attempt;
+  event.AttemptNumber = attempt;
   event.Reason = reason;
   event.Subject = std::move(subject);
   event.Scores = scores;
--- a/src/serve/request_attempts.cpp
+++ b/src/serve/request_attempts.cpp
@@ -6,34 +6,35 @@
 
 namespace daisytack::entry {
 
-RequestFlow::Try *RequestFlow::findTry(Attempt number,
-                                       std::string_view server) {
-  for (auto it = Tries.rbegin(); it != Tries.rend(); ++it)
+RequestFlow::AttemptState *RequestFlow::findAttempt(Attempt number,
+                                                    std::string_view server) {
+  for (auto it = Attempts.rbegin(); it != Attempts.rend(); ++it)
     if (it->Number == number && it->Server == server)
       return &*it;
   return nullptr;
 }
 
-bool RequestFlow::hasOpenTry() const {
-  return std::any_of(Tries.begin(), Tries.end(),
-                     [](const Try &it) { return it.isOpen(); });
+bool RequestFlow::hasOpenAttempt() const {
+  return std::any_of(Attempts.begin(), Attempts.end(),
+                     [](const AttemptState &it) { return it.isOpen(); });
 }
 
 bool RequestFlow::mayHaveRun() const {
-  return std::any_of(Tries.begin(), Tries.end(), [](const Try &it) {
-    return it.MayHaveArrived && !it.Refused;
-  });
+  return std::any_of(
+      Attempts.begin(), Attempts.end(),
+      [](const AttemptState &it) { return it.MayHaveArrived && !it.Refused; });
 }
 
 std::optional<Candidate>
 RequestFlow::pickServer(const FlowContext &context) const {
   // A server that refused an accepted request may accept it after a delay.
   auto isExcluded = [&](const Candidate &it) {
-    return std::any_of(Tries.begin(), Tries.end(), [&](const Try &attempt) {
-      bool mayAskAgain = (HasWaitedForRetry && attempt.Refused) ||
-                         (!HasWaitLimit && attempt.ExceededWaitLimit);
-      return attempt.Server == it.Server && !mayAskAgain;
-    });
+    return std::any_of(
+        Attempts.begin(), Attempts.end(), [&](const AttemptState &attempt) {
+          bool mayAskAgain = (HasWaitedForRetry && attempt.Refused) ||
+                             (!HasWaitLimit && attempt.ExceededWaitLimit);
+          return attempt.Server == it.Server && !mayAskAgain;
+        });
   };
   for (Candidate &it : Hooks.Rank(Spec, context))
     if (!isExcluded(it))
@@ -43,21 +44,21 @@
 
 void RequestFlow::offer(const Candidate &candidate, Step &step) {
   TimePoint now = step.Context.Now;
-  Try attempt;
+  AttemptState attempt;
   attempt.Number = Spec.FirstAttempt + attempts();
   attempt.Server = candidate.Server;
   attempt.SentAt = now;
   attempt.HedgeAt = now + Settings.OfferTimeout;
-  attempt.HasWaitLimit =
-      HasWaitLimit && Spec.Offer.Idempotent && candidate.Patience > Duration{0};
+  attempt.HasWaitLimit = HasWaitLimit && Spec.Offer.Idempotent &&
+                         candidate.WaitLimit > Duration{0};
   auto left = std::chrono::duration_cast<Duration>(Spec.Deadline - now);
 
   wire::Offer out = Spec.Offer;
-  out.Try = attempt.Number;
+  out.AttemptNumber = attempt.Number;
   out.RemainingMicros =
       static_cast<uint64_t>(std::max<int64_t>(left.count(), 0));
   if (attempt.HasWaitLimit)
-    out.PatienceMicros = static_cast<uint64_t>(candidate.Patience.count());
+    out.WaitLimitMicros = static_cast<uint64_t>(candidate.WaitLimit.count());
   bool mayRunAgain = out.Idempotent && countedAttempts() == 0;
   out.ReserveMicros =
       mayRunAgain
@@ -72,12 +73,12 @@
   record(step, EventKind::RequestOffered, attempt.Number, ErrorKind::None,
          attempt.Server, {candidate.FirstToken.count()});
   step.Out.emplace_back(SendOffer{attempt.Server, std::move(out)});
-  Tries.push_back(std::move(attempt));
+  Attempts.push_back(std::move(attempt));
 }
 
 void RequestFlow::resume(const std::string &server, Attempt number,
                          Step &step) {
-  Try attempt;
+  AttemptState attempt;
   attempt.Number = number;
   attempt.Server = server;
   attempt.IsResume = true;
@@ -88,7 +89,7 @@
   step.Out.emplace_back(SendResume{
       server,
       {Spec.Offer.Id, number, Spec.Offer.Organisation, ChunksReceived}});
-  Tries.push_back(std::move(attempt));
+  Attempts.push_back(std::move(attempt));
 }
 
 /// True if another attempt is allowed, apart from the retry budget.
@@ -100,9 +101,9 @@
 }
 
 uint32_t RequestFlow::countedAttempts() const {
-  return static_cast<uint32_t>(
-      std::count_if(Tries.begin(), Tries.end(),
-                    [](const Try &it) { return !it.ExceededWaitLimit; }));
+  return static_cast<uint32_t>(std::count_if(
+      Attempts.begin(), Attempts.end(),
+      [](const AttemptState &it) { return !it.ExceededWaitLimit; }));
 }
 
 bool RequestFlow::takeRetry() const {
@@ -134,7 +135,7 @@
     LastReason.RetryAfter = reason.RetryAfter;
   LastReason.Kind = reason.Kind;
   LastReason.Detail = reason.Detail;
-  if (hasOpenTry())
+  if (hasOpenAttempt())
     return;
   std::optional<Candidate> candidate;
   if (canRetry(step.Context))
@@ -144,8 +145,8 @@
     HasWaitLimit = false;
     candidate = pickServer(step.Context);
   }
-  if (candidate && (Tries.back().ExceededWaitLimit || takeRetry())) {
-    record(step, EventKind::RequestRetried, Tries.back().Number, reason.Kind,
+  if (candidate && (Attempts.back().ExceededWaitLimit || takeRetry())) {
+    record(step, EventKind::RequestRetried, Attempts.back().Number, reason.Kind,
            candidate->Server);
     return offer(*candidate, step);
   }
@@ -155,8 +156,9 @@
          step);
 }
 
-void RequestFlow::onAttemptLost(Try &attempt, const Error &reason, Step &step) {
-  attempt.Phase = TryPhase::Closed;
+void RequestFlow::onAttemptLost(AttemptState &attempt, const Error &reason,
+                                Step &step) {
+  attempt.Phase = AttemptPhase::Closed;
   record(step, EventKind::AttemptLost, attempt.Number, reason.Kind,
          attempt.Server);
   std::string server = attempt.Server;
@@ -165,7 +167,7 @@
       ReportServer{server, ReportServer::Result::Failed, {}, {}});
   if (Spec.Offer.Idempotent && !Spec.Resume)
     return retryOrGiveUp(reason, step);
-  if (hasOpenTry())
+  if (hasOpenAttempt())
     return;
   // The run may continue after the connection broke. Reading its answer again
   // starts no second run.
@@ -183,7 +185,7 @@
   TimePoint now = step.Context.Now;
   uint32_t openCount = 0;
   bool late = true;
-  for (const Try &attempt : Tries) {
+  for (const AttemptState &attempt : Attempts) {
     if (!attempt.isOpen())
       continue;
     ++openCount;
@@ -191,7 +193,7 @@
   }
   if (openCount == 0 || !late)
     return;
-  for (Try &attempt : Tries)
+  for (AttemptState &attempt : Attempts)
     if (attempt.isOpen())
       attempt.HedgeAt = now + Settings.StallTimeout;
   if (!Spec.Offer.Idempotent || Spec.Resume || openCount > 1)
@@ -201,21 +203,21 @@
   std::optional<Candidate> candidate = pickServer(step.Context);
   if (!candidate || !takeRetry())
     return;
-  record(step, EventKind::RequestRetried, Tries.back().Number,
+  record(step, EventKind::RequestRetried, Attempts.back().Number,
          ErrorKind::Overloaded, candidate->Server);
   offer(*candidate, step);
 }
 
-void RequestFlow::cancel(Try &attempt, Step &step) {
+void RequestFlow::cancel(AttemptState &attempt, Step &step) {
   if (!attempt.isOpen())
     return;
-  attempt.Phase = TryPhase::Closed;
+  attempt.Phase = AttemptPhase::Closed;
   step.Out.emplace_back(
       SendCancel{attempt.Server, {Spec.Offer.Id, attempt.Number}});
 }
 
 void RequestFlow::cancelOthers(const Attempt winner, Step &step) {
-  for (Try &attempt : Tries)
+  for (AttemptState &attempt : Attempts)
     if (attempt.Number != winner)
       cancel(attempt, step);
 }
--- a/src/serve/request_flow.cpp
+++ b/src/serve/request_flow.cpp
@@ -54,7 +54,7 @@
 
 std::vector<std::string> RequestFlow::servers() const {
   std::vector<std::string> out;
-  for (const Try &attempt : Tries)
+  for (const AttemptState &attempt : Attempts)
     if (attempt.isOpen())
       out.push_back(attempt.Server);
   return out;
@@ -83,7 +83,8 @@
       [&](const auto &message) {
         if (message.Id != Spec.Offer.Id)
           return;
-        Try *attempt = findTry(message.Try, input.Server);
+        AttemptState *attempt =
+            findAttempt(message.AttemptNumber, input.Server);
         if (attempt == nullptr || !attempt->isOpen())
           return;
         using M = std::decay_t<decltype(message)>;
@@ -100,20 +101,21 @@
 }
 
 void RequestFlow::on(const LinkLost &input, Step &step) {
-  auto it = std::find_if(Tries.begin(), Tries.end(), [&](const Try &attempt) {
-    return attempt.Number == input.Try && attempt.isOpen();
-  });
-  if (it == Tries.end())
+  auto it = std::find_if(
+      Attempts.begin(), Attempts.end(), [&](const AttemptState &attempt) {
+        return attempt.Number == input.AttemptNumber && attempt.isOpen();
+      });
+  if (it == Attempts.end())
     return;
-  Try &attempt = *it;
+  AttemptState &attempt = *it;
   Error reason{ErrorKind::ServerLost,
                "the connection to " + attempt.Server + " broke"};
   // A server that replied to the attempt has received its offer.
-  bool wasHeard = attempt.Phase != TryPhase::Offered;
+  bool wasHeard = attempt.Phase != AttemptPhase::Offered;
   if (input.MayBeDelivered || attempt.IsResume || wasHeard)
     return onAttemptLost(attempt, reason, step);
   attempt.MayHaveArrived = false;
-  attempt.Phase = TryPhase::Closed;
+  attempt.Phase = AttemptPhase::Closed;
   step.Out.emplace_back(
       ReportServer{attempt.Server, ReportServer::Result::Failed, {}, {}});
   retryOrGiveUp({ErrorKind::NoServer, "no connection to " + attempt.Server},
@@ -167,11 +169,11 @@
     deliverOrHold(step);
 }
 
-void RequestFlow::onAccepted(Try &attempt, const wire::Accepted &message,
-                             Step &step) {
-  if (attempt.Phase != TryPhase::Offered)
+void RequestFlow::onAccepted(AttemptState &attempt,
+                             const wire::Accepted &message, Step &step) {
+  if (attempt.Phase != AttemptPhase::Offered)
     return;
-  attempt.Phase = TryPhase::Accepted;
+  attempt.Phase = AttemptPhase::Accepted;
   WasAccepted = true;
   constexpr uint64_t MaxFirstTokenMicros = 3600ULL * 1'000'000;
   attempt.Predicted =
@@ -188,7 +190,7 @@
           static_cast<int64_t>(message.CompletionMicros)});
 }
 
-void RequestFlow::onRefused(Try &attempt, const wire::Refused &message,
+void RequestFlow::onRefused(AttemptState &attempt, const wire::Refused &message,
                             Step &step) {
   Error reason{message.Kind, message.Detail,
                Duration(static_cast<int64_t>(
@@ -196,22 +198,23 @@
   record(step, EventKind::OfferRefused, attempt.Number, message.Kind,
          attempt.Server);
   if (attempt.IsResume && !Spec.Offer.Idempotent && !Spec.Resume) {
-    attempt.Phase = TryPhase::Closed;
+    attempt.Phase = AttemptPhase::Closed;
     return giveUp({ErrorKind::ServerLost, "its answer is no longer held"},
                   Outcome::MayHaveRun, step);
   }
-  if (message.Ran == Outcome::NotRun && attempt.Phase != TryPhase::Streaming) {
+  if (message.Ran == Outcome::NotRun &&
+      attempt.Phase != AttemptPhase::Streaming) {
     attempt.Refused = true;
     attempt.ExceededWaitLimit =
         attempt.HasWaitLimit && message.Kind == ErrorKind::Overloaded;
-    attempt.Phase = TryPhase::Closed;
-    if (isFinalRefusal(message.Kind) && !hasOpenTry())
+    attempt.Phase = AttemptPhase::Closed;
+    if (isFinalRefusal(message.Kind) && !hasOpenAttempt())
       return giveUp(reason, mayHaveRun() ? Outcome::MayHaveRun : message.Ran,
                     step);
     return retryOrGiveUp(reason, step);
   }
   if (Spec.Resume || !Spec.Offer.Idempotent) {
-    attempt.Phase = TryPhase::Closed;
+    attempt.Phase = AttemptPhase::Closed;
     return giveUp(reason,
                   message.Ran == Outcome::NotRun ? Outcome::MayHaveRun
                                                  : message.Ran,
@@ -220,7 +223,7 @@
   onAttemptLost(attempt, reason, step);
 }
 
-void RequestFlow::onChunk(Try &attempt, const wire::Chunk &message,
+void RequestFlow::onChunk(AttemptState &attempt, const wire::Chunk &message,
                           Step &step) {
   if (message.Index < ChunksReceived)
     return; // A duplicate, or a chunk that another attempt already sent.
@@ -239,7 +242,7 @@
         std::chrono::duration_cast<Duration>(step.Context.Now -
                                              attempt.SentAt)});
   }
-  attempt.Phase = TryPhase::Streaming;
+  attempt.Phase = AttemptPhase::Streaming;
   attempt.HedgeAt = step.Context.Now + Settings.StallTimeout;
   LastServer = attempt.Server;
   ++ChunksReceived;
@@ -248,8 +251,8 @@
     sendParts(step);
 }
 
-void RequestFlow::onFinished(Try &attempt, const wire::Finished &message,
-                             Step &step) {
+void RequestFlow::onFinished(AttemptState &attempt,
+                             const wire::Finished &message, Step &step) {
   bool whole =
       message.Kind == ErrorKind::None && message.Ran == Outcome::Completed;
   if (whole && message.Chunks == ChunksReceived)
@@ -263,12 +266,13 @@
                                                : message.Kind,
                message.Detail};
   if (isFinalEnd(message.Kind)) {
-    attempt.Phase = TryPhase::Closed;
+    attempt.Phase = AttemptPhase::Closed;
     return giveUp(reason, message.Ran, step);
   }
-  if (message.Ran == Outcome::NotRun && attempt.Phase != TryPhase::Streaming) {
+  if (message.Ran == Outcome::NotRun &&
+      attempt.Phase != AttemptPhase::Streaming) {
     attempt.Refused = true;
-    attempt.Phase = TryPhase::Closed;
+    attempt.Phase = AttemptPhase::Closed;
     return retryOrGiveUp(reason, step);
   }
   onAttemptLost(attempt, reason, step);
--- a/src/serve/request_flow.h
+++ b/src/serve/request_flow.h
@@ -25,7 +25,7 @@
   Duration FirstToken{0}; ///< Time to the first token that the entry predicts.
   /// Longest predicted queue wait that the first offer to the server allows;
   /// zero: no limit.
-  Duration Patience{0};
+  Duration WaitLimit{0};
   auto operator<=>(const Candidate &) const = default;
 };
 
@@ -70,17 +70,17 @@
   /// Servers of the open attempts.
   std::vector<std::string> servers() const;
   /// Number of attempts so far, resumptions included.
-  uint32_t attempts() const { return static_cast<uint32_t>(Tries.size()); }
+  uint32_t attempts() const { return static_cast<uint32_t>(Attempts.size()); }
 
 private:
   enum class FlowPhase : uint8_t { Waiting, Running, Held, Ended };
-  enum class TryPhase : uint8_t { Offered, Accepted, Streaming, Closed };
+  enum class AttemptPhase : uint8_t { Offered, Accepted, Streaming, Closed };
 
   /// State of one attempt.
-  struct Try {
+  struct AttemptState {
     Attempt Number = 0;
     std::string Server;
-    TryPhase Phase = TryPhase::Offered;
+    AttemptPhase Phase = AttemptPhase::Offered;
     /// True if the server reported that it did not run the request.
     bool Refused = false;
     /// False if the server can't have received the offer.
@@ -94,7 +94,7 @@
     TimePoint HedgeAt;     ///< From this time on the request may be hedged.
     Duration Predicted{0}; ///< Time to the first token that the agent predicts.
 
-    bool isOpen() const { return Phase != TryPhase::Closed; }
+    bool isOpen() const { return Phase != AttemptPhase::Closed; }
   };
 
   /// Context of the current input, and the actions that it has caused so far.
@@ -111,10 +111,13 @@
   void on(const StopRequested &input, Step &step);
   void on(const ConfigChanged &input, Step &step);
 
-  void onAccepted(Try &attempt, const wire::Accepted &message, Step &step);
-  void onRefused(Try &attempt, const wire::Refused &message, Step &step);
-  void onChunk(Try &attempt, const wire::Chunk &message, Step &step);
-  void onFinished(Try &attempt, const wire::Finished &message, Step &step);
+  void onAccepted(AttemptState &attempt, const wire::Accepted &message,
+                  Step &step);
+  void onRefused(AttemptState &attempt, const wire::Refused &message,
+                 Step &step);
+  void onChunk(AttemptState &attempt, const wire::Chunk &message, Step &step);
+  void onFinished(AttemptState &attempt, const wire::Finished &message,
+                  Step &step);
 
   void offer(const Candidate &candidate, Step &step);
   void resume(const std::string &server, Attempt number, Step &step);
@@ -124,7 +127,7 @@
   void retryOrGiveUp(const Error &reason, Step &step);
   /// Closes an attempt that may have run but can't deliver its answer, then
   /// retries, reads the answer again or gives up.
-  void onAttemptLost(Try &attempt, const Error &reason, Step &step);
+  void onAttemptLost(AttemptState &attempt, const Error &reason, Step &step);
   std::optional<Candidate> pickServer(const FlowContext &context) const;
   bool canRetry(const FlowContext &context) const;
   bool takeRetry() const;
@@ -132,15 +135,16 @@
   /// queue wait limit.
   uint32_t countedAttempts() const;
   bool waitForRetry(const FlowContext &context);
-  bool hasOpenTry() const;
+  bool hasOpenAttempt() const;
   bool mayHaveRun() const;
-  Try *findTry(Attempt number, std::string_view server);
+  AttemptState *findAttempt(Attempt number, std::string_view server);
   void hedge(Step &step);
-  void cancel(Try &attempt, Step &step);
+  void cancel(AttemptState &attempt, Step &step);
   void cancelOthers(const Attempt winner, Step &step);
   void cancelAll(Step &step);
 
-  void completeAnswer(Try &attempt, const wire::Finished &message, Step &step);
+  void completeAnswer(AttemptState &attempt, const wire::Finished &message,
+                      Step &step);
   void deliverAnswer(Step &step);
   void deliverOrHold(Step &step);
   void giveUp(Error reason, Outcome ran, Step &step);
@@ -159,7 +163,7 @@
   const FlowHooks Hooks;
 
   FlowPhase Phase = FlowPhase::Waiting;
-  std::vector<Try> Tries;
+  std::vector<AttemptState> Attempts;
   bool WasAccepted = false;
   bool HasWaitLimit = true;       ///< True while offers limit the queue wait.
   bool HasWaitedForRetry = false; ///< True once a retry was delayed: servers
--- a/src/serve/request_messages.h
+++ b/src/serve/request_messages.h
@@ -32,7 +32,7 @@
 
 /// The link to an attempt's server broke, or could not be opened.
 struct LinkLost {
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   /// False: the server can't have received the offer.
   bool MayBeDelivered = true;
 };
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -62,7 +62,7 @@
 /// Entry to agent: run this if you accept it.
 struct Offer {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   std::string Organisation;
   uint32_t Weight = 1; ///< Organisation's fair share.
   std::string Model;   ///< Empty for a plain service.
@@ -92,34 +92,34 @@
   Incarnation Process; ///< Agent process that the offer is for, as its Hello
                        ///< says. A call that is not idempotent and has no
                        ///< ticket runs in no other one.
-  uint64_t PatienceMicros = 0; ///< To be refused as overloaded when the
-                               ///< predicted wait is longer; 0 for any wait.
+  uint64_t WaitLimitMicros = 0; ///< To be refused as overloaded when the
+                                ///< predicted wait is longer; 0 for any wait.
   bool operator==(const Offer &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Id, Try, Organisation, Weight, Model, Version, Class, Priority,
+    ar(Id, AttemptNumber, Organisation, Weight, Model, Version, Class, Priority,
        Idempotent, Ticket, RemainingMicros, ReserveMicros, PromptTokens,
        MaxTokens, Chat, Keep, KeepMicros, KeptQuota, Pieces, Body, Generated,
-       GeneratedChunks, Call, Process, PatienceMicros);
+       GeneratedChunks, Call, Process, WaitLimitMicros);
   }
 };
 
 /// Agent to entry: the request will be run.
 struct Accepted {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   uint64_t FirstTokenMicros = 0; ///< Predicted.
   uint64_t CompletionMicros = 0; ///< Predicted, at a high percentile.
   LoadReport Load;
   bool operator==(const Accepted &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Id, Try, FirstTokenMicros, CompletionMicros, Load);
+    ar(Id, AttemptNumber, FirstTokenMicros, CompletionMicros, Load);
   }
 };
 
 /// Agent to entry: the request was not run by this attempt, and will not be.
 struct Refused {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   ErrorKind Kind = ErrorKind::Internal;
   Outcome Ran = Outcome::NotRun;
   uint64_t RetryAfterMicros = 0;
@@ -127,7 +127,7 @@
   LoadReport Load;
   bool operator==(const Refused &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Id, Try, Kind, Ran, RetryAfterMicros, Detail, Load);
+    ar(Id, AttemptNumber, Kind, Ran, RetryAfterMicros, Detail, Load);
   }
 };
 
@@ -135,20 +135,20 @@
 /// the whole answer.
 struct Chunk {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   uint32_t Index = 0;
   uint32_t Tokens = 0;
   std::string Text;
   bool operator==(const Chunk &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Id, Try, Index, Tokens, Text);
+    ar(Id, AttemptNumber, Index, Tokens, Text);
   }
 };
 
 /// Agent to entry: nothing follows for this attempt.
 struct Finished {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   Outcome Ran = Outcome::Completed;
   ErrorKind Kind = ErrorKind::None; ///< None when whole.
   std::string Detail;
@@ -166,7 +166,7 @@
   LoadReport Load;
   bool operator==(const Finished &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Id, Try, Ran, Kind, Detail, FinishReason, Chunks, PromptTokens,
+    ar(Id, AttemptNumber, Ran, Kind, Detail, FinishReason, Chunks, PromptTokens,
        RecomputedTokens, GeneratedTokens, FirstTokenMicros, ServiceStatus,
        ServiceHeaders, Load);
   }
@@ -175,21 +175,23 @@
 /// Entry to agent: the caller has gone, or another attempt has won.
 struct Cancel {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   bool operator==(const Cancel &) const = default;
-  template <class Archive> void serialize(Archive &ar) { ar(Id, Try); }
+  template <class Archive> void serialize(Archive &ar) {
+    ar(Id, AttemptNumber);
+  }
 };
 
 /// Entry to agent: send what you hold of this answer from an index on. Answered
 /// by Chunk and Finished, or by Refused with AnswerLost.
 struct Resume {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   std::string Organisation; ///< Must be the request's own.
   uint32_t FromIndex = 0;
   bool operator==(const Resume &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Id, Try, Organisation, FromIndex);
+    ar(Id, AttemptNumber, Organisation, FromIndex);
   }
 };
 
--- a/src/wire/stamped.cpp
+++ b/src/wire/stamped.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr size_t WallBytes = 8;
+constexpr size_t WallTimeBytes = 8;
 constexpr unsigned ByteBits = 8;
 
 void putNumber(std::string &out, uint64_t value, size_t bytes) {
@@ -21,28 +21,30 @@
 
 } // namespace
 
-std::string stamped(const StampHooks &hooks, std::string_view message) {
+std::string prependTimestamp(const HybridClockHooks &hooks,
+                             std::string_view message) {
   HybridTime now = hooks.Now ? hooks.Now() : HybridTime{};
   std::string out;
-  out.reserve(StampBytes + message.size());
-  putNumber(out, now.Wall, WallBytes);
-  putNumber(out, now.Logical, StampBytes - WallBytes);
+  out.reserve(TimestampBytes + message.size());
+  putNumber(out, now.Wall, WallTimeBytes);
+  putNumber(out, now.Logical, TimestampBytes - WallTimeBytes);
   return out.append(message);
 }
 
-std::optional<std::string_view>
-unstamped(const StampHooks &hooks, std::string_view bytes, Error &reason) {
-  if (bytes.size() < StampBytes) {
+std::optional<std::string_view> stripTimestamp(const HybridClockHooks &hooks,
+                                               std::string_view bytes,
+                                               Error &reason) {
+  if (bytes.size() < TimestampBytes) {
     reason = {ErrorKind::ProtocolError, "message without its time", {}};
     return std::nullopt;
   }
   HybridTime sent;
-  sent.Wall = getNumber(bytes.substr(0, WallBytes));
+  sent.Wall = getNumber(bytes.substr(0, WallTimeBytes));
   sent.Logical = static_cast<uint32_t>(
-      getNumber(bytes.substr(WallBytes, StampBytes - WallBytes)));
+      getNumber(bytes.substr(WallTimeBytes, TimestampBytes - WallTimeBytes)));
   if (hooks.Observe)
     hooks.Observe(sent);
-  return bytes.substr(StampBytes);
+  return bytes.substr(TimestampBytes);
 }
 
 } // namespace daisytack::wire
--- a/src/wire/stamped.h
+++ b/src/wire/stamped.h
@@ -12,21 +12,23 @@
 namespace daisytack::wire {
 
 /// Bytes of the time before a message.
-constexpr size_t StampBytes = 12;
+constexpr size_t TimestampBytes = 12;
 
 /// Hooks to a process's hybrid clock. Empty ones stand for time zero, which
 /// moves no clock.
-struct StampHooks {
+struct HybridClockHooks {
   std::function<HybridTime()> Now;
   std::function<void(const HybridTime &)> Observe;
 };
 
 /// The message with the present hybrid time before it.
-std::string stamped(const StampHooks &hooks, std::string_view message);
+std::string prependTimestamp(const HybridClockHooks &hooks,
+                             std::string_view message);
 
 /// The message without its time, which is observed; nothing with the reason
 /// when the bytes are too few.
-std::optional<std::string_view>
-unstamped(const StampHooks &hooks, std::string_view bytes, Error &reason);
+std::optional<std::string_view> stripTimestamp(const HybridClockHooks &hooks,
+                                               std::string_view bytes,
+                                               Error &reason);
 
 } // namespace daisytack::wire
--- a/tests/context/serial_prefill_test.cpp
+++ b/tests/context/serial_prefill_test.cpp
@@ -26,7 +26,7 @@
   ASSERT_TRUE(queue.start(Epoch));
   EXPECT_FALSE(queue.start(Epoch));
   EXPECT_EQ(queue.backlog(Epoch), millis(200));
-  queue.markPrefilled(first.Id, first.Try);
+  queue.markPrefilled(first.Id, first.AttemptNumber);
   EXPECT_EQ(queue.start(Epoch)->Id, second.Id);
 }
 
@@ -38,7 +38,7 @@
   queue.push(fetching, Epoch);
   queue.push(ready, Epoch);
   EXPECT_EQ(queue.start(Epoch)->Id, ready.Id);
-  queue.markPrefilled(ready.Id, ready.Try);
+  queue.markPrefilled(ready.Id, ready.AttemptNumber);
   EXPECT_FALSE(queue.start(at(49)));
   EXPECT_EQ(queue.start(at(50))->Id, fetching.Id);
 }
@@ -59,7 +59,7 @@
     TimePoint now = Epoch;
     while (auto run = queue.start(now)) {
       now += run->Prefill;
-      queue.markPrefilled(run->Id, run->Try);
+      queue.markPrefilled(run->Id, run->AttemptNumber);
       RC_ASSERT(now == predicted[run->Id]);
     }
     RC_ASSERT(queue.waiting() == 0U);
--- a/tests/control/runtime_peers_test.cpp
+++ b/tests/control/runtime_peers_test.cpp
@@ -209,7 +209,7 @@
   // The predecessor's clock was a year ahead when it said that it leaves.
   control::SignalContent ahead{UINT64_MAX / 2, {9, 9}, MemberState::Leaving, 0};
   Changed.clear();
-  Processes[0].Control->hearSignal({"n1", ahead});
+  Processes[0].Control->addSignal({"n1", ahead});
   auto servers = [&](size_t at) {
     return Processes[at]
         .Control->snapshots()
--- a/tests/decide/acceptance_test.cpp
+++ b/tests/decide/acceptance_test.cpp
@@ -112,11 +112,11 @@
   void handle(const Step &step) {
     const RunRequest &run = step.Run;
     if (step.Type == Step::Prefilled) {
-      Agent.Queue.markPrefilled(run.Id, run.Try);
+      Agent.Queue.markPrefilled(run.Id, run.AttemptNumber);
       Steps.push_back({Now + drawActualTime(run.Decode), run, Step::Finished});
     } else if (step.Type == Step::Finished) {
       RC_ASSERT(Now <= run.Deadline);
-      RC_ASSERT(Agent.Queue.finish(run.Id, run.Try));
+      RC_ASSERT(Agent.Queue.finish(run.Id, run.AttemptNumber));
     }
   }
   void startAll() {
@@ -172,18 +172,18 @@
   EXPECT_EQ(full.Wait, millis(1'000));
 }
 
-TEST(Acceptance, RefusesAWaitLongerThanThePatience) {
+TEST(Acceptance, RefusesAWaitBeyondTheWaitLimit) {
   Fixture it(1);
   ASSERT_TRUE(
       it.offer(makeRun(1, 1, millis(100), millis(900), at(9'000)), Epoch)
           .accepted());
   it.Queue.start(Epoch);
   RunRequest run = makeRun(2, 2, millis(100), millis(100), at(9'000));
-  run.Patience = millis(600);
+  run.WaitLimit = millis(600);
   auto refused = it.offer(run, Epoch);
   EXPECT_EQ(refused.Reason.Kind, ErrorKind::Overloaded);
   EXPECT_EQ(refused.Reason.RetryAfter, millis(400));
-  run.Patience = millis(1'000);
+  run.WaitLimit = millis(1'000);
   EXPECT_TRUE(it.offer(run, Epoch).accepted());
 }
 
--- a/tests/decide/fixtures.h
+++ b/tests/decide/fixtures.h
@@ -56,7 +56,7 @@
                           uint8_t priority = 5) {
   RunRequest out;
   out.Id = {1, id};
-  out.Try = 1;
+  out.AttemptNumber = 1;
   out.Organisation = organisation;
   out.Priority = priority;
   out.Deadline = deadline;
--- a/tests/decide/routing_test.cpp
+++ b/tests/decide/routing_test.cpp
@@ -105,7 +105,7 @@
   EXPECT_NE(rank(5'000), list.Servers[0]);
 }
 
-TEST(Routing, PatienceEndsWhereTheNextCandidateIsSooner) {
+TEST(Routing, WaitLimitEndsWhereTheNextCandidateIsSooner) {
   auto snapshot = makeSnapshot(12);
   RoutingTable table(snapshot);
   RouteKey key = keyOf(3);
@@ -114,8 +114,8 @@
                                      key, "r0", Epoch);
   // The prefill of 20,000 tokens takes 2 s. The home is expected to save 0.8 of
   // it and the next candidate 0.4, a difference of 0.8 s.
-  EXPECT_NEAR(static_cast<double>(out.Ranked[0].Patience.count()), 800'000, 2);
-  EXPECT_EQ(out.Ranked[3].Patience, millis(100));
+  EXPECT_NEAR(static_cast<double>(out.Ranked[0].WaitLimit.count()), 800'000, 2);
+  EXPECT_EQ(out.Ranked[3].WaitLimit, millis(100));
 }
 
 TEST(Routing, LeavingServersComeLast) {
--- a/tests/decide/run_queue_test.cpp
+++ b/tests/decide/run_queue_test.cpp
@@ -31,7 +31,7 @@
           last->Priority > run->Priority ||
           (last->Priority == run->Priority && last->Deadline <= run->Deadline));
     last = run;
-    RC_ASSERT(queue.finish(run->Id, run->Try));
+    RC_ASSERT(queue.finish(run->Id, run->AttemptNumber));
   }
 }
 
@@ -58,7 +58,7 @@
     auto run = queue.start(Epoch);
     served[run->Organisation] += static_cast<double>(run->service().count()) /
                                  weights[run->Organisation];
-    queue.finish(run->Id, run->Try);
+    queue.finish(run->Id, run->AttemptNumber);
     double bound = 2.0 * static_cast<double>(settings.Quantum.count()) +
                    2.0 * static_cast<double>(longest.count());
     RC_ASSERT(std::abs(served[1] - served[2]) <= bound);
--- a/tests/edge/edge_rig.h
+++ b/tests/edge/edge_rig.h
@@ -75,7 +75,7 @@
 inline serve::StartRun startOf(std::string body) {
   auto offer = std::make_shared<wire::Offer>();
   offer->Id = {1, 2};
-  offer->Try = 1;
+  offer->AttemptNumber = 1;
   offer->Priority = 7;
   offer->Body = std::move(body);
   serve::StartRun out;
--- a/tests/matrix/entry_actions.cpp
+++ b/tests/matrix/entry_actions.cpp
@@ -50,7 +50,7 @@
   auto isWaiting = [&](const RequestId &id, Attempt attempt) {
     for (const wire::Message &it : link.Waiting)
       if (const auto *offer = std::get_if<wire::Offer>(&it))
-        if (offer->Id == id && offer->Try == attempt)
+        if (offer->Id == id && offer->AttemptNumber == attempt)
           return true;
     return false;
   };
@@ -101,12 +101,13 @@
 
 void EntryHost::on(Going &going, SendOffer &action) {
   On.Reached(Step::Offer);
-  going.Attempts.emplace(action.Server, action.Offer.Try);
+  going.Attempts.emplace(action.Server, action.Offer.AttemptNumber);
   const daisytack::Server *to = Routes->snapshot().server(action.Server);
   if (to == nullptr || to->State == MemberState::Gone) {
-    On.After(Duration(0), [this, id = action.Offer.Id, n = action.Offer.Try] {
-      push(id, LinkLost{n, false});
-    });
+    On.After(Duration(0),
+             [this, id = action.Offer.Id, n = action.Offer.AttemptNumber] {
+               push(id, LinkLost{n, false});
+             });
     return;
   }
   if (KeysByOldVersion && !action.Offer.Pieces.empty())
@@ -119,13 +120,14 @@
 }
 
 void EntryHost::on(Going &going, SendResume &action) {
-  going.Attempts.emplace(action.Server, action.Resume.Try);
+  going.Attempts.emplace(action.Server, action.Resume.AttemptNumber);
   const daisytack::Server *to = Routes->snapshot().server(action.Server);
   if (to != nullptr && to->State != MemberState::Gone)
     return post(action.Server, std::move(action.Resume));
-  On.After(Duration(0), [this, id = action.Resume.Id, n = action.Resume.Try] {
-    push(id, LinkLost{n, false});
-  });
+  On.After(Duration(0),
+           [this, id = action.Resume.Id, n = action.Resume.AttemptNumber] {
+             push(id, LinkLost{n, false});
+           });
 }
 
 void EntryHost::on(Going & /*going*/, SendCancel &action) {
--- a/tests/matrix/entry_host.cpp
+++ b/tests/matrix/entry_host.cpp
@@ -64,7 +64,7 @@
       Limits.admit(*caller, config.Entries.size(), On.Now());
   const Member *owner = quotaOwner(hashName(caller->Name), config.Entries);
   if (decision.OwnerRequest && owner != nullptr)
-    On.AskOwner(owner->Name, *decision.OwnerRequest);
+    On.RequestQuota(owner->Name, *decision.OwnerRequest);
   if (decision.Verdict == LimitVerdict::Admitted)
     return begin(submission);
   if (decision.Verdict == LimitVerdict::Refused || !mayAsk)
@@ -101,8 +101,8 @@
   post(candidates.front().Server,
        wire::TicketRequest{submission.Id, submission.Call.Organisation,
                            std::string(ServiceName)});
-  constexpr Duration TicketPatience{1'000'000};
-  On.After(TicketPatience, [this, submission] {
+  constexpr Duration TicketTimeout{1'000'000};
+  On.After(TicketTimeout, [this, submission] {
     if (TicketAsks.erase(submission.Id) > 0)
       refuse(submission, {ErrorKind::NoServer, "no ticket"});
   });
--- a/tests/matrix/entry_host.h
+++ b/tests/matrix/entry_host.h
@@ -46,7 +46,7 @@
     /// Connects when there is no link; onHello or onLinkClosed follows.
     std::function<void(const std::string &server)> Connect;
     std::function<void(const std::string &server, wire::Message)> Send;
-    std::function<void(const std::string &peer, QuotaRequest)> AskOwner;
+    std::function<void(const std::string &peer, QuotaRequest)> RequestQuota;
     std::function<void(Step)> Reached;
     std::function<void()> Exit;
     RandomSource Random;
--- a/tests/matrix/world.cpp
+++ b/tests/matrix/world.cpp
@@ -192,7 +192,8 @@
   hooks.Send = [this, name](const std::string &server, wire::Message message) {
     sendToAgent(name, server, message);
   };
-  hooks.AskOwner = [this, name](const std::string &owner, QuotaRequest ask) {
+  hooks.RequestQuota = [this, name](const std::string &owner,
+                                    QuotaRequest ask) {
     after(owner, Processes.at(owner).Life, Duration(1'000),
           [this, name, owner, ask] {
             QuotaGrant grant = Processes.at(owner).Entry->grant(ask);
--- a/tests/once/once_world.cpp
+++ b/tests/once/once_world.cpp
@@ -64,7 +64,7 @@
 Presentation OnceWorld::submission(uint8_t choice) {
   Presentation out;
   out.Id = {0xF00D, ++Requests};
-  out.Try = 1;
+  out.AttemptNumber = 1;
   // Mostly the same organisation and body, so that submissions repeat calls.
   out.Organisation = Organisations[choice % 16 == 7 ? 1 : 0];
   uint64_t body = choice % 16 == 11 ? 2 : 1;
@@ -226,7 +226,7 @@
 void OnceWorld::startRun(size_t agent, const TicketKey &key,
                          const Message &message) {
   ++TotalRuns;
-  std::pair submission{message.Submission.Id, message.Submission.Try};
+  std::pair submission{message.Submission.Id, message.Submission.AttemptNumber};
   if (++RunsOfCall[message.Call] > 1)
     fail("a call ran twice: " + message.Call);
   if (ReportedNotRun.contains(submission))
@@ -238,7 +238,7 @@
 }
 
 void OnceWorld::recordOutcome(const Message &message, Outcome outcome) {
-  std::pair submission{message.Submission.Id, message.Submission.Try};
+  std::pair submission{message.Submission.Id, message.Submission.AttemptNumber};
   if (outcome == Outcome::NotRun) {
     ReportedNotRun.insert(submission);
     if (RanSubmissions.contains(submission))
--- a/tests/once/ticket_ledger_test.cpp
+++ b/tests/once/ticket_ledger_test.cpp
@@ -191,7 +191,7 @@
   ledger.withdraw(first.Key, at(2));
   EXPECT_EQ(ledger.present(fresh, at(3)).Decision, Action::Ignore);
   EXPECT_EQ(ledger.records(), 0U);
-  fresh.Try = 2;
+  fresh.AttemptNumber = 2;
   EXPECT_EQ(ledger.present(fresh, at(4)).Decision, Action::Run);
 }
 
@@ -247,7 +247,7 @@
   EXPECT_EQ(std::get<wire::Chunk>(messages[0]).Text, "body");
   auto end = std::get<wire::Finished>(messages[1]);
   EXPECT_EQ(end.Id, (RequestId{1, 1}));
-  EXPECT_EQ(end.Try, 3U);
+  EXPECT_EQ(end.AttemptNumber, 3U);
   EXPECT_EQ(end.Chunks, 1U);
 }
 
--- a/tests/query/timeline_test.cpp
+++ b/tests/query/timeline_test.cpp
@@ -20,7 +20,7 @@
   out.At = {wall, logical};
   out.Kind = kind;
   out.Request = Id;
-  out.Try = 1;
+  out.AttemptNumber = 1;
   out.Subject = subject;
   return out;
 }
--- a/tests/serve_agent/agent_core_test.cpp
+++ b/tests/serve_agent/agent_core_test.cpp
@@ -61,7 +61,7 @@
        ErrorKind::NotReady},
       {"cancelled before",
        [](AgentRig &rig, wire::Offer &o) {
-         rig.apply(LinkMessage{LinkA, wire::Cancel{o.Id, o.Try}});
+         rig.apply(LinkMessage{LinkA, wire::Cancel{o.Id, o.AttemptNumber}});
        },
        ErrorKind::Cancelled},
   };
@@ -168,7 +168,7 @@
   EXPECT_EQ(rig.Started.size(), 1U);
   EXPECT_EQ(rig.textTo(LinkA), "one two");
   EXPECT_EQ(rig.textTo(LinkB), "one two");
-  EXPECT_EQ(rig.lastTo<wire::Finished>(LinkB).Try, 2U);
+  EXPECT_EQ(rig.lastTo<wire::Finished>(LinkB).AttemptNumber, 2U);
 }
 
 TEST(AgentCore, RepeatedOfferIsAnsweredOnce) {
--- a/tests/serve_agent/agent_rig.h
+++ b/tests/serve_agent/agent_rig.h
@@ -35,7 +35,7 @@
 inline wire::Offer offerOf(uint64_t id, Attempt attempt = 1) {
   wire::Offer out;
   out.Id = {7, id};
-  out.Try = attempt;
+  out.AttemptNumber = attempt;
   out.Organisation = "riga-buyers";
   out.Model = Model;
   out.Version = Version;
--- a/tests/serve_agent/agent_schedules_test.cpp
+++ b/tests/serve_agent/agent_schedules_test.cpp
@@ -136,7 +136,7 @@
       out.Body = "{\"other\":1}";
     if (Draw / 3 % 13 == 0)
       out.Organisation = "dakar-notices";
-    ++attempt(anyLink(), out.Id, out.Try).Requests;
+    ++attempt(anyLink(), out.Id, out.AttemptNumber).Requests;
     Rig.offer(out, anyLink());
     checkOutputs();
   }
@@ -274,18 +274,19 @@
   }
   void checkMessage(const SendMessage &sent) {
     if (const auto *accepted = std::get_if<wire::Accepted>(&sent.Body)) {
-      AttemptState &state = attempt(sent.Link, accepted->Id, accepted->Try);
+      AttemptState &state =
+          attempt(sent.Link, accepted->Id, accepted->AttemptNumber);
       ++state.Accepted;
       state.NextIndex.reset();
     } else if (const auto *chunk = std::get_if<wire::Chunk>(&sent.Body)) {
-      AttemptState &state = attempt(sent.Link, chunk->Id, chunk->Try);
+      AttemptState &state = attempt(sent.Link, chunk->Id, chunk->AttemptNumber);
       RC_ASSERT(chunk->Text == chunkTextOf(chunk->Id));
       RC_ASSERT(!state.NextIndex || *state.NextIndex == chunk->Index);
       state.NextIndex = chunk->Index + 1;
     } else if (const auto *refused = std::get_if<wire::Refused>(&sent.Body)) {
-      ++attempt(sent.Link, refused->Id, refused->Try).Finals;
+      ++attempt(sent.Link, refused->Id, refused->AttemptNumber).Finals;
     } else if (const auto *end = std::get_if<wire::Finished>(&sent.Body)) {
-      ++attempt(sent.Link, end->Id, end->Try).Finals;
+      ++attempt(sent.Link, end->Id, end->AttemptNumber).Finals;
     }
   }
 
--- a/tests/serve_entry/flow_harness.h
+++ b/tests/serve_entry/flow_harness.h
@@ -120,18 +120,21 @@
   }
   void observe(const SendOffer &it) {
     Offers.push_back(it);
-    appendTrace("offer " + it.Server + " " + std::to_string(it.Offer.Try) +
+    appendTrace("offer " + it.Server + " " +
+                std::to_string(it.Offer.AttemptNumber) +
                 (it.Offer.GeneratedChunks > 0
                      ? " from " + std::to_string(it.Offer.GeneratedChunks)
                      : ""));
   }
   void observe(const SendResume &it) {
     Resumes.push_back(it);
-    appendTrace("resume " + it.Server + " " + std::to_string(it.Resume.Try) +
-                " from " + std::to_string(it.Resume.FromIndex));
+    appendTrace("resume " + it.Server + " " +
+                std::to_string(it.Resume.AttemptNumber) + " from " +
+                std::to_string(it.Resume.FromIndex));
   }
   void observe(const SendCancel &it) {
-    appendTrace("cancel " + it.Server + " " + std::to_string(it.Cancel.Try));
+    appendTrace("cancel " + it.Server + " " +
+                std::to_string(it.Cancel.AttemptNumber));
   }
   void observe(const AnswerPart &it) {
     CallerText += it.Text;
@@ -163,7 +166,7 @@
   template <class M> M message(std::istringstream &in, std::string &server) {
     M out;
     out.Id = id();
-    in >> server >> out.Try;
+    in >> server >> out.AttemptNumber;
     return out;
   }
 
--- a/tests/serve_entry/request_flow_property_test.cpp
+++ b/tests/serve_entry/request_flow_property_test.cpp
@@ -18,7 +18,7 @@
 /// repeat or reorder messages.
 struct AgentRun {
   std::string Server;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   uint32_t NextChunk = 0;
   bool Refused = false;
   bool MayHaveArrived = true;
@@ -43,8 +43,8 @@
   void trackNewOffers() {
     for (; TrackedOffers < Harness.Offers.size(); ++TrackedOffers) {
       const SendOffer &it = Harness.Offers[TrackedOffers];
-      Runs.push_back(
-          {it.Server, it.Offer.Try, it.Offer.GeneratedChunks, false, true});
+      Runs.push_back({it.Server, it.Offer.AttemptNumber,
+                      it.Offer.GeneratedChunks, false, true});
     }
   }
 
@@ -52,11 +52,13 @@
 
 private:
   void chunk(const AgentRun &run, uint32_t index, const RequestId &id) {
-    std::string text = id == FlowHarness::id() ? std::to_string(run.Try) + ":" +
-                                                     std::to_string(index) + " "
-                                               : "another's ";
-    Harness.applyInput(ServerMessage{
-        run.Server, wire::Chunk{id, run.Try, index, 1, std::move(text)}});
+    std::string text = id == FlowHarness::id()
+                           ? std::to_string(run.AttemptNumber) + ":" +
+                                 std::to_string(index) + " "
+                           : "another's ";
+    Harness.applyInput(
+        ServerMessage{run.Server, wire::Chunk{id, run.AttemptNumber, index, 1,
+                                              std::move(text)}});
   }
 
   void stepAgent(AgentRun &run, int choice) {
@@ -69,11 +71,12 @@
       chunk(run, run.NextChunk, RequestId{7, 7});
     else if (choice == 8)
       Harness.applyInput(ServerMessage{
-          run.Server, wire::Accepted{id, run.Try, 50'000, 90'000, {}}});
+          run.Server,
+          wire::Accepted{id, run.AttemptNumber, 50'000, 90'000, {}}});
     else if (choice == 9)
       refuse(run);
     else if (choice == 10)
-      Harness.applyInput(LinkLost{run.Try, true});
+      Harness.applyInput(LinkLost{run.AttemptNumber, true});
     else if (choice == 11)
       loseUnsent(run);
     else
@@ -88,7 +91,7 @@
     run.Refused = true;
     wire::Refused out;
     out.Id = FlowHarness::id();
-    out.Try = run.Try;
+    out.AttemptNumber = run.AttemptNumber;
     out.Kind = ErrorKind::Overloaded;
     Harness.applyInput(ServerMessage{run.Server, out});
   }
@@ -97,12 +100,12 @@
     if (run.NextChunk != firstChunkOf(run) || run.Refused)
       return;
     run.MayHaveArrived = false;
-    Harness.applyInput(LinkLost{run.Try, false});
+    Harness.applyInput(LinkLost{run.AttemptNumber, false});
   }
 
   uint32_t firstChunkOf(const AgentRun &run) const {
     for (const SendOffer &it : Harness.Offers)
-      if (it.Offer.Try == run.Try)
+      if (it.Offer.AttemptNumber == run.AttemptNumber)
         return it.Offer.GeneratedChunks;
     return 0;
   }
@@ -110,7 +113,7 @@
   void finish(const AgentRun &run) {
     wire::Finished out;
     out.Id = FlowHarness::id();
-    out.Try = run.Try;
+    out.AttemptNumber = run.AttemptNumber;
     out.Chunks = AnswerChunks;
     if (*rc::gen::inRange(0, 4) == 0) {
       out.Kind = ErrorKind::ServerFailed;
--- a/tests/serve_entry/request_flow_test.cpp
+++ b/tests/serve_entry/request_flow_test.cpp
@@ -265,15 +265,15 @@
 // a retry. Once all have refused, they are asked again without a limit.
 TEST(RequestFlow, FirstOffersLimitTheQueueWait) {
   FlowHarness it(Streamed);
-  constexpr Duration Patience{100'000};
-  it.Servers = {{"a", {}, Patience}, {"b", {}, Patience}};
+  constexpr Duration WaitLimit{100'000};
+  it.Servers = {{"a", {}, WaitLimit}, {"b", {}, WaitLimit}};
   it.RetryBudget = 0;
   EXPECT_EQ(it.play("refuse a 1 overloaded; refuse b 2 overloaded; accept a 3; "
                     "chunk a 3 0; finish a 3 1"),
             "offer a 1; offer b 2; offer a 3; part 0; end");
-  EXPECT_EQ(it.Offers[0].Offer.PatienceMicros, 100'000U);
-  EXPECT_EQ(it.Offers[1].Offer.PatienceMicros, 100'000U);
-  EXPECT_EQ(it.Offers[2].Offer.PatienceMicros, 0U);
+  EXPECT_EQ(it.Offers[0].Offer.WaitLimitMicros, 100'000U);
+  EXPECT_EQ(it.Offers[1].Offer.WaitLimitMicros, 100'000U);
+  EXPECT_EQ(it.Offers[2].Offer.WaitLimitMicros, 0U);
   EXPECT_EQ(it.Offers[2].Offer.ReserveMicros, it.Offers[0].Offer.ReserveMicros);
 }
 
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -8,7 +8,7 @@
 TEST(Codec, OfferRoundTrips) {
   Offer offer;
   offer.Id = {1, 2};
-  offer.Try = 3;
+  offer.AttemptNumber = 3;
   offer.Organisation = "kengarags-fruit";
   offer.Pieces.resize(2);
   offer.Pieces[1].Bytes[31] = 7;
--- a/tests/wire/samples.h
+++ b/tests/wire/samples.h
@@ -14,7 +14,7 @@
 inline wire::Offer sampleOffer() {
   wire::Offer out;
   out.Id = {1, 2};
-  out.Try = 3;
+  out.AttemptNumber = 3;
   out.Organisation = "kengarags-fruit";
   out.Model = "market";
   out.Version = "v7";
@@ -32,7 +32,7 @@
 inline wire::Finished sampleFinished() {
   wire::Finished out;
   out.Id = {1, 2};
-  out.Try = 3;
+  out.AttemptNumber = 3;
   out.FinishReason = "stop";
   out.ServiceHeaders = {{"content-type", "text/plain"}};
   out.Load = sampleLoad();
--- a/tests/wire/stamped_test.cpp
+++ b/tests/wire/stamped_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-StampHooks hooksOf(EventRing &ring) {
+HybridClockHooks hooksOf(EventRing &ring) {
   return {[&ring] { return ring.stamp(); },
           [&ring](const HybridTime &at) { ring.observe(at); }};
 }
@@ -24,9 +24,9 @@
   EventRing entry(4, [] { return WallTime(Duration(9'000'000)); });
   EventRing agent(4, [] { return WallTime(Duration(1'000'000)); });
   entry.record({});
-  std::string bytes = stamped(hooksOf(entry), "offer");
+  std::string bytes = prependTimestamp(hooksOf(entry), "offer");
   Error reason;
-  EXPECT_EQ(unstamped(hooksOf(agent), bytes, reason), "offer");
+  EXPECT_EQ(stripTimestamp(hooksOf(agent), bytes, reason), "offer");
   agent.record({});
   EXPECT_GT(lastOf(agent), lastOf(entry));
 }
@@ -35,19 +35,19 @@
               (uint64_t wall, uint32_t logical, const std::string &message)) {
   HybridTime sent{wall, logical};
   HybridTime seen;
-  StampHooks hooks{[&] { return sent; },
-                   [&](const HybridTime &at) { seen = at; }};
+  HybridClockHooks hooks{[&] { return sent; },
+                         [&](const HybridTime &at) { seen = at; }};
   Error reason;
-  std::string bytes = stamped(hooks, message);
-  RC_ASSERT(unstamped(hooks, bytes, reason) == std::string_view(message));
+  std::string bytes = prependTimestamp(hooks, message);
+  RC_ASSERT(stripTimestamp(hooks, bytes, reason) == std::string_view(message));
   RC_ASSERT(seen == sent);
 }
 
 TEST(Stamped, RefusesTooFewBytes) {
   Error reason;
-  EXPECT_FALSE(unstamped({}, "elevenbytes", reason));
+  EXPECT_FALSE(stripTimestamp({}, "elevenbytes", reason));
   EXPECT_EQ(reason.Kind, ErrorKind::ProtocolError);
-  EXPECT_EQ(unstamped({}, stamped({}, ""), reason), "");
+  EXPECT_EQ(stripTimestamp({}, prependTimestamp({}, ""), reason), "");
 }
 
 } // namespace daisytack::wire
--- a/tools/agent/agent_operators.cpp
+++ b/tools/agent/agent_operators.cpp
@@ -26,7 +26,7 @@
     row.Model = options.Core.Serves;
     row.Version = it.Version;
     row.Server = options.Core.Instance;
-    row.Try = it.Try;
+    row.AttemptNumber = it.AttemptNumber;
     row.Priority = it.Priority;
     row.Age = now - it.Arrived;
     row.Remaining = it.Deadline - now;
--- a/tools/agent/agent_shell.cpp
+++ b/tools/agent/agent_shell.cpp
@@ -57,7 +57,7 @@
 
 AgentShell::AgentShell(boost::asio::io_context &io, AgentOptions options,
                        edge::KvStore keyValue, EventSink events,
-                       wire::StampHooks stamps)
+                       wire::HybridClockHooks stamps)
     : Io(io), Strand(boost::asio::make_strand(io)), Options(std::move(options)),
       KeyValue(std::move(keyValue)), Events(std::move(events)),
       Stamps(std::move(stamps)), Client(io, clientInit(Options)),
@@ -111,7 +111,7 @@
   if (!handle)
     return;
   Error reason;
-  auto bytes = wire::unstamped(Stamps, frame, reason);
+  auto bytes = wire::stripTimestamp(Stamps, frame, reason);
   auto message =
       bytes ? wire::decode<wire::Message>(*bytes, reason) : std::nullopt;
   if (!message) {
@@ -194,7 +194,7 @@
 
 void AgentShell::perform(const serve::SendMessage &action) {
   if (auto link = Links.find(action.Link))
-    link->send(wire::stamped(Stamps, wire::encode(action.Body)));
+    link->send(wire::prependTimestamp(Stamps, wire::encode(action.Body)));
 }
 void AgentShell::perform(const serve::StartRun &action) {
   if (Options.Core.IsService)
--- a/tools/agent/agent_shell.h
+++ b/tools/agent/agent_shell.h
@@ -24,7 +24,8 @@
 class AgentShell {
 public:
   AgentShell(boost::asio::io_context &io, AgentOptions options,
-             edge::KvStore keyValue, EventSink events, wire::StampHooks stamps);
+             edge::KvStore keyValue, EventSink events,
+             wire::HybridClockHooks stamps);
   ~AgentShell();
 
   bool start(Error &reason);
@@ -70,7 +71,7 @@
   AgentOptions Options;
   edge::KvStore KeyValue;
   EventSink Events;
-  wire::StampHooks Stamps;
+  wire::HybridClockHooks Stamps;
   LinkTable Links;
   net::HttpClient Client;
   edge::Engine Engine;
--- a/tools/entry/active_request.cpp
+++ b/tools/entry/active_request.cpp
@@ -66,7 +66,7 @@
   std::lock_guard guard(RowLock);
   out.State = Row.State;
   out.Server = Row.Server;
-  out.Try = Row.Try;
+  out.AttemptNumber = Row.AttemptNumber;
   out.GeneratedTokens = Row.Chunks;
   return out;
 }
@@ -89,7 +89,7 @@
   Row.State = next.State;
   Row.Chunks = next.Chunks;
   if (!Opened.empty()) {
-    Row.Try = Opened.back().second.Try;
+    Row.AttemptNumber = Opened.back().second.AttemptNumber;
     Row.Server = Opened.back().first;
   }
 }
@@ -168,13 +168,13 @@
 
 void ActiveRequest::perform(SendOffer &action) {
   State.Counts.Offers.add();
-  openAttempt(action.Server, action.Offer.Try,
+  openAttempt(action.Server, action.Offer.AttemptNumber,
               wire::Message(std::move(action.Offer)));
 }
 
 void ActiveRequest::perform(SendResume &action) {
   State.Counts.Resumes.add();
-  openAttempt(action.Server, action.Resume.Try,
+  openAttempt(action.Server, action.Resume.AttemptNumber,
               wire::Message(std::move(action.Resume)));
 }
 
--- a/tools/entry/active_request.h
+++ b/tools/entry/active_request.h
@@ -80,7 +80,7 @@
   struct Progress {
     query::RequestState State = query::RequestState::Offered;
     std::string Server;
-    Attempt Try = 0;
+    Attempt AttemptNumber = 0;
     uint32_t Chunks = 0;
   };
   void noteProgress();
--- a/tools/entry/agent_links.cpp
+++ b/tools/entry/agent_links.cpp
@@ -88,12 +88,12 @@
   }
 
   std::string pack(const wire::Message &message) const {
-    return wire::stamped(Owner.Hooks.Stamps, wire::encode(message));
+    return wire::prependTimestamp(Owner.Hooks.Stamps, wire::encode(message));
   }
 
   std::optional<wire::Message> unpack(std::string_view frame,
                                       Error &reason) const {
-    auto bytes = wire::unstamped(Owner.Hooks.Stamps, frame, reason);
+    auto bytes = wire::stripTimestamp(Owner.Hooks.Stamps, frame, reason);
     if (!bytes)
       return std::nullopt;
     return wire::decode<wire::Message>(*bytes, reason);
--- a/tools/entry/agent_links.h
+++ b/tools/entry/agent_links.h
@@ -24,13 +24,13 @@
 /// One attempt of one request.
 struct AttemptKey {
   RequestId Id;
-  Attempt Try = 0;
+  Attempt AttemptNumber = 0;
   auto operator<=>(const AttemptKey &) const = default;
 };
 
 struct AttemptKeyHash {
   size_t operator()(const AttemptKey &key) const {
-    return std::hash<Id128>()(key.Id) ^ (size_t{key.Try} << 32U);
+    return std::hash<Id128>()(key.Id) ^ (size_t{key.AttemptNumber} << 32U);
   }
   static size_t hash(const AttemptKey &key) { return AttemptKeyHash()(key); }
   static bool equal(const AttemptKey &a, const AttemptKey &b) { return a == b; }
@@ -48,7 +48,7 @@
   /// The connection broke while the attempt was open on it.
   std::function<void(const AttemptKey &attempt, bool mayBeDelivered)> Lost;
   std::function<void(ErrorKind)> Rejected; ///< A peer's bytes were no message.
-  wire::StampHooks Stamps;
+  wire::HybridClockHooks Stamps;
 };
 
 struct AgentLinksInit {
--- a/tools/entry/entry_options.h
+++ b/tools/entry/entry_options.h
@@ -29,7 +29,7 @@
   RouterSettings Router;
   RetryBudgetSettings Retries;
   EjectionSettings Ejection;
-  LimitSettings Allotment;
+  LimitSettings Quotas;
   double BindingsPerSecond = 5; ///< Of callers' own keys to tickets.
   double BindingBurst = 20;
   const Member &self() const { return Instance.Control.Self; }
--- a/tools/entry/entry_shell.cpp
+++ b/tools/entry/entry_shell.cpp
@@ -25,7 +25,7 @@
 EntryPeers peersOf(runtime::ControlRuntime &control) {
   EntryPeers out;
   out.Ask = [&control](const Endpoint &peer, const QuotaRequest &request) {
-    control.requestAllotment(peer, request);
+    control.requestQuota(peer, request);
   };
   out.ReportDraining = [&control](const std::string &server) {
     control.reportDraining(server);
@@ -69,7 +69,7 @@
   Control.onPublished([this](std::shared_ptr<const Snapshot> snapshot) {
     State.publish(std::move(snapshot));
   });
-  Control.onAllotmentRequest([this](const QuotaRequest &request) {
+  Control.onQuotaRequest([this](const QuotaRequest &request) {
     return State.Limits.grant(request, State.table()->snapshot());
   });
   Control.onGrant(
--- a/tools/entry/entry_state.cpp
+++ b/tools/entry/entry_state.cpp
@@ -42,12 +42,12 @@
 
 EntryState::EntryState(boost::asio::io_context &io, const EntryOptions &options,
                        Metrics &metrics, EventSink events, EntryPeers peers,
-                       wire::StampHooks stamps)
+                       wire::HybridClockHooks stamps)
     : Io(io), Options(options), Events(std::move(events)),
       Peers(std::move(peers)), Counts(metrics), Keyer(options.Secret),
       Ids(options.Secret), Loads(options.Loads), Retries(options.Retries),
       Ejected(options.Ejection),
-      Limits(io, options.self().Name, options.Allotment, Peers.Ask),
+      Limits(io, options.self().Name, options.Quotas, Peers.Ask),
       Links(io, linksInit(options), agentHooks(std::move(stamps))),
       Tables(makeTable(std::make_shared<const Snapshot>())),
       Readers([this] { return Reader(Tables); }) {}
@@ -112,7 +112,7 @@
     const Server &server = routes->snapshot().Servers[it.Server.Index];
     bool isOut = Ejected.isEjected(server.NameHash, now);
     (isOut ? ejected : out)
-        .push_back({server.Name, it.FirstToken, it.Patience});
+        .push_back({server.Name, it.FirstToken, it.WaitLimit});
   }
   // An ejected server is better than none.
   out.insert(out.end(), ejected.begin(), ejected.end());
@@ -146,7 +146,7 @@
   Events(std::move(event));
 }
 
-AgentHooks EntryState::agentHooks(wire::StampHooks stamps) {
+AgentHooks EntryState::agentHooks(wire::HybridClockHooks stamps) {
   AgentHooks out;
   out.Stamps = std::move(stamps);
   out.Message = [this](const std::string &server, wire::Message message) {
@@ -156,12 +156,12 @@
     AttemptTable::const_accessor it;
     if (!Attempts.find(it, attempt)) {
       if (std::shared_ptr<TicketFetch> fetch = ticketFetch(attempt.Id))
-        fetch->onLost(attempt.Try);
+        fetch->onLost(attempt.AttemptNumber);
       return;
     }
     std::shared_ptr<ActiveRequest> request = it->second;
     it.release();
-    request->push(LinkLost{attempt.Try, mayBeDelivered});
+    request->push(LinkLost{attempt.AttemptNumber, mayBeDelivered});
   };
   out.Rejected = [this](ErrorKind) { Counts.PeersRejected.add(); };
   return out;
@@ -176,7 +176,7 @@
 void EntryState::onMessage(const std::string &server, wire::Message message) {
   auto deliver = [&]<class Body>(Body body) {
     AttemptTable::const_accessor it;
-    if (!Attempts.find(it, AttemptKey{body.Id, body.Try}))
+    if (!Attempts.find(it, AttemptKey{body.Id, body.AttemptNumber}))
       return Counts.Stray.add();
     std::shared_ptr<ActiveRequest> request = it->second;
     it.release();
--- a/tools/entry/entry_state.h
+++ b/tools/entry/entry_state.h
@@ -51,7 +51,7 @@
 public:
   EntryState(boost::asio::io_context &io, const EntryOptions &options,
              Metrics &metrics, EventSink events, EntryPeers peers,
-             wire::StampHooks stamps);
+             wire::HybridClockHooks stamps);
 
   /// Routing table with its snapshot; a pointer of this thread.
   std::shared_ptr<const RoutingTable> table();
@@ -85,7 +85,7 @@
   std::atomic<bool> Draining{false};
 
 private:
-  AgentHooks agentHooks(wire::StampHooks stamps);
+  AgentHooks agentHooks(wire::HybridClockHooks stamps);
   std::shared_ptr<TicketFetch> ticketFetch(const RequestId &id) const;
   void onMessage(const std::string &server, wire::Message message);
 
--- a/tools/entry/ticket_fetch.cpp
+++ b/tools/entry/ticket_fetch.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration AskPatience{1'000'000};
+constexpr Duration ReplyTimeout{1'000'000};
 constexpr Duration RetryAfter{1'000'000};
 
 } // namespace
@@ -47,7 +47,7 @@
   const Server *server = routes->snapshot().server(to.Server);
   if (server == nullptr)
     return ask();
-  Timer.expires_after(AskPatience);
+  Timer.expires_after(ReplyTimeout);
   Timer.async_wait([weak = weak_from_this(),
                     number = Asked](const boost::system::error_code &ec) {
     auto self = weak.lock();
