--- a/src/query/answer.cpp
+++ b/src/query/answer.cpp
@@ -48,7 +48,7 @@
 }
 
 std::optional<CellType> parseCellType(std::string_view name) {
-  for (int i = 0; i <= static_cast<int>(CellType::Span); ++i)
+  for (int i = 0; i <= static_cast<int>(CellType::Duration); ++i)
     if (cellTypeName(static_cast<CellType>(i)) == name)
       return static_cast<CellType>(i);
   return std::nullopt;
@@ -60,7 +60,7 @@
   return std::string(std::string_view(value.as_string()));
 }
 
-Cell cellOf(const json::value &value, CellType type) {
+Cell cellFromJson(const json::value &value, CellType type) {
   if (value.is_null())
     return {};
   switch (type) {
@@ -75,13 +75,13 @@
     return value.as_bool();
   case CellType::Time:
     return parseTime(textOf(value)).value();
-  case CellType::Span:
+  case CellType::Duration:
     return Duration(value.to_number<int64_t>());
   }
   return {};
 }
 
-std::vector<Column> columnsOfJson(const json::array &in) {
+std::vector<Column> columnsFromJson(const json::array &in) {
   std::vector<Column> out;
   out.reserve(in.size());
   for (const json::value &it : in)
@@ -90,24 +90,25 @@
   return out;
 }
 
-std::vector<Cell> rowOf(const json::array &in,
-                        const std::vector<Column> &columns) {
+std::vector<Cell> rowFromJson(const json::array &in,
+                              const std::vector<Column> &columns) {
   std::vector<Cell> out;
   out.reserve(columns.size());
   for (size_t i = 0; i < columns.size(); ++i)
-    out.push_back(cellOf(in.at(i), columns[i].Type));
+    out.push_back(cellFromJson(in.at(i), columns[i].Type));
   return out;
 }
 
-Answer answerOf(const json::value &in) {
+Answer answerFromJson(const json::value &in) {
   Answer out;
-  out.Rows.Columns = columnsOfJson(in.at("columns").as_array());
+  out.Rows.Columns = columnsFromJson(in.at("columns").as_array());
   for (const json::value &row : in.at("rows").as_array())
-    out.Rows.Rows.push_back(rowOf(row.as_array(), out.Rows.Columns));
-  out.Asked = in.at("asked").to_number<uint64_t>();
+    out.Rows.Rows.push_back(rowFromJson(row.as_array(), out.Rows.Columns));
+  out.Queried = in.at("asked").to_number<uint64_t>();
   out.Answered = in.at("answered").to_number<uint64_t>();
   for (const json::value &it : in.at("silent").as_array())
-    out.Silent.push_back({textOf(it.at("instance")), textOf(it.at("reason"))});
+    out.Failures.push_back(
+        {textOf(it.at("instance")), textOf(it.at("reason"))});
   for (const json::value &it : in.at("gaps").as_array())
     out.Gaps.push_back({textOf(it.at("instance")),
                         it.at("lost").to_number<uint64_t>(),
@@ -121,7 +122,7 @@
 
 std::string toJson(const Answer &answer) {
   json::array silent;
-  for (const SilentInstance &it : answer.Silent)
+  for (const QueryFailure &it : answer.Failures)
     silent.push_back(
         json::object{{"instance", it.Name}, {"reason", it.Reason}});
   json::array gaps;
@@ -132,7 +133,7 @@
   return json::serialize(
       json::object{{"columns", columnsToJson(answer.Rows.Columns)},
                    {"rows", rowsToJson(answer.Rows)},
-                   {"asked", answer.Asked},
+                   {"asked", answer.Queried},
                    {"answered", answer.Answered},
                    {"silent", std::move(silent)},
                    {"gaps", std::move(gaps)},
@@ -144,7 +145,7 @@
   try {
     json::parse_options options;
     options.max_depth = NestingLimit;
-    return answerOf(json::parse(text, {}, options));
+    return answerFromJson(json::parse(text, {}, options));
   } catch (const std::exception &error) {
     reason = {ErrorKind::ProtocolError,
               std::string("no answer to a query: ") + error.what(),
--- a/src/query/answer.h
+++ b/src/query/answer.h
@@ -12,10 +12,10 @@
 namespace daisytack::query {
 
 /// An instance that should have answered and didn't.
-struct SilentInstance {
+struct QueryFailure {
   std::string Name;
   std::string Reason;
-  auto operator<=>(const SilentInstance &) const = default;
+  auto operator<=>(const QueryFailure &) const = default;
 };
 
 /// Events of an instance that were overwritten before they were read.
@@ -27,13 +27,13 @@
 };
 
 /// Silent instances that an answer names; the counts tell of more.
-constexpr size_t MaxSilentNames = 20;
+constexpr size_t MaxListedFailures = 20;
 
 struct Answer {
   Table Rows;
-  uint64_t Asked = 0;    ///< Processes that the query concerned and was put to.
+  uint64_t Queried = 0;  ///< Processes that the query concerned and was put to.
   uint64_t Answered = 0; ///< Of these.
-  std::vector<SilentInstance> Silent; ///< At most MaxSilentNames.
+  std::vector<QueryFailure> Failures; ///< At most MaxListedFailures.
   std::vector<EventGap> Gaps;
   /// Some process had more rows than the limit.
   bool Truncated = false;
--- a/src/query/cell.cpp
+++ b/src/query/cell.cpp
@@ -16,7 +16,7 @@
 
 struct TypeRow {
   std::string_view Name;
-  std::string_view Form;
+  std::string_view FormatHint;
 };
 
 // In the order of CellType.
@@ -117,8 +117,8 @@
   return Types[static_cast<size_t>(type)].Name;
 }
 
-std::string_view cellForm(CellType type) {
-  return Types[static_cast<size_t>(type)].Form;
+std::string_view cellFormatHint(CellType type) {
+  return Types[static_cast<size_t>(type)].FormatHint;
 }
 
 std::string cellText(const Cell &cell, CellType type) {
@@ -139,7 +139,7 @@
     return bytesCell(text);
   case CellType::Time:
     return asCell(parseTime(text));
-  case CellType::Span:
+  case CellType::Duration:
     return asCell(parseDuration(text));
   }
   return std::nullopt;
@@ -165,8 +165,8 @@
 std::optional<WallTime> parseTime(std::string_view text) {
   constexpr size_t DateSize = 10;
   constexpr size_t ClockSize = 8;
-  constexpr size_t LeastSize = DateSize + 1 + ClockSize + 1;
-  if (text.size() < LeastSize || text[DateSize] != 'T' || text.back() != 'Z')
+  constexpr size_t MinSize = DateSize + 1 + ClockSize + 1;
+  if (text.size() < MinSize || text[DateSize] != 'T' || text.back() != 'Z')
     return std::nullopt;
   auto date = dateOf(text.substr(0, DateSize));
   auto clock = timeOfDay(text.substr(DateSize + 1, ClockSize));
--- a/src/query/cell.h
+++ b/src/query/cell.h
@@ -17,9 +17,9 @@
   Integer,
   Number,
   Flag,
-  Bytes, ///< As an integer; "16M" in a condition.
-  Time,  ///< As wall time.
-  Span,  ///< As a duration; "10ms" in a condition.
+  Bytes,    ///< As an integer; "16M" in a condition.
+  Time,     ///< As wall time.
+  Duration, ///< As a duration; "10ms" in a condition.
 };
 
 /// "text", "integer", "number", "flag", "bytes", "time" or "duration".
@@ -49,7 +49,7 @@
 std::optional<Cell> parseCell(CellType type, std::string_view text);
 
 /// The form that parseCell takes, for messages: "a duration such as 10ms".
-std::string_view cellForm(CellType type);
+std::string_view cellFormatHint(CellType type);
 
 /// RFC 3339 in UTC with microseconds: "2026-12-02T16:00:00.000000Z".
 std::string timeText(WallTime time);
--- a/src/query/command_ast.h
+++ b/src/query/command_ast.h
@@ -28,9 +28,9 @@
 };
 
 /// stop: cancels requests that are waiting or running now.
-struct StopWork {
+struct StopRequests {
   StopTarget Target;
-  bool operator==(const StopWork &) const = default;
+  bool operator==(const StopRequests &) const = default;
 };
 
 /// set, and admit for an object that must not exist yet.
@@ -57,14 +57,14 @@
 };
 
 /// purge: an organisation's kept context can't be named any more.
-struct PurgeKept {
+struct PurgeContext {
   std::string Organisation;
-  bool operator==(const PurgeKept &) const = default;
+  bool operator==(const PurgeContext &) const = default;
 };
 
 using OperatorCommand =
-    std::variant<DrainServer, SwapModel, StopWork, SetObject, DeleteObject,
-                 ReleaseClass, PurgeKept>;
+    std::variant<DrainServer, SwapModel, StopRequests, SetObject, DeleteObject,
+                 ReleaseClass, PurgeContext>;
 
 /// The least role that may give the command.
 OperatorRole roleFor(const OperatorCommand &command);
--- a/src/query/command_parser.cpp
+++ b/src/query/command_parser.cpp
@@ -100,13 +100,13 @@
     if (!Reader.value(out.Value, "a value", "write FIELD=VALUE"))
       return false;
     ConfigObject trial = control::defaultObject(key);
-    control::FieldError wrong;
-    if (control::setField(trial, out.Field, out.Value, wrong))
+    control::FieldError fieldError;
+    if (control::setField(trial, out.Field, out.Value, fieldError))
       return true;
     return hasField(trial, out.Field)
                ? Reader.failAt(valueToken, "a value of " + out.Field,
-                               wrong.Remedy)
-               : Reader.failAt(fieldToken, "a field", wrong.Remedy);
+                               fieldError.Remedy)
+               : Reader.failAt(fieldToken, "a field", fieldError.Remedy);
   }
 
   static bool hasField(const ConfigObject &object, std::string_view field) {
@@ -162,7 +162,7 @@
   }
 
   Result stop() {
-    StopWork out;
+    StopRequests out;
     if (Reader.accept("class")) {
       if (!name(out.Target.Class, "a class"))
         return std::nullopt;
@@ -206,29 +206,29 @@
 
   bool releaseIn(ReleaseClass &out) {
     out.Kind = ReleaseClass::When::In;
-    return typed(CellType::Span, out.In);
+    return typedValue(CellType::Duration, out.In);
   }
 
   bool releaseAt(ReleaseClass &out) {
     out.Kind = ReleaseClass::When::At;
-    return typed(CellType::Time, out.At);
+    return typedValue(CellType::Time, out.At);
   }
 
-  template <class T> bool typed(CellType type, T &out) {
+  template <class T> bool typedValue(CellType type, T &out) {
     Token token = Reader.peek();
     std::string text;
     std::string remedy = "or use 'now', 'never', 'in DURATION', 'at TIME'";
-    if (!Reader.value(text, cellForm(type), remedy))
+    if (!Reader.value(text, cellFormatHint(type), remedy))
       return false;
     auto cell = parseCell(type, text);
     if (!cell)
-      return Reader.failAt(token, cellForm(type), remedy);
+      return Reader.failAt(token, cellFormatHint(type), remedy);
     out = std::get<T>(*cell);
     return true;
   }
 
   Result purge() {
-    PurgeKept out;
+    PurgeContext out;
     if (!name(out.Organisation, "an organisation"))
       return std::nullopt;
     return out;
@@ -249,7 +249,7 @@
 OperatorRole roleFor(const OperatorCommand &command) {
   bool isConfiguration = std::holds_alternative<SetObject>(command) ||
                          std::holds_alternative<DeleteObject>(command) ||
-                         std::holds_alternative<PurgeKept>(command);
+                         std::holds_alternative<PurgeContext>(command);
   return isConfiguration ? OperatorRole::Administrator : OperatorRole::Operator;
 }
 
--- a/src/query/command_plan.cpp
+++ b/src/query/command_plan.cpp
@@ -37,9 +37,9 @@
 bool setFields(ConfigObject &object,
                const std::vector<control::FieldText> &fields, Error &reason) {
   for (const control::FieldText &it : fields) {
-    control::FieldError wrong;
-    if (!control::setField(object, it.Field, it.Value, wrong))
-      return refuse(reason, ErrorKind::BadValue, control::toString(wrong));
+    control::FieldError fieldError;
+    if (!control::setField(object, it.Field, it.Value, fieldError))
+      return refuse(reason, ErrorKind::BadValue, control::toString(fieldError));
   }
   return true;
 }
@@ -48,23 +48,24 @@
 public:
   Planner(const Snapshot &snapshot, const CommandContext &context,
           Error &reason)
-      : View(snapshot), Context(context), Reason(reason) {}
+      : CurrentSnapshot(snapshot), Context(context), Reason(reason) {}
 
   Changes operator()(const DrainServer &it) {
-    if (!View.server(it.Server))
-      return unknown("server", it.Server, "show servers");
+    if (!CurrentSnapshot.server(it.Server))
+      return notFound("server", it.Server, "show servers");
     ObjectKey key{ObjectKind::ServerOverride, it.Server};
-    return one(key, [it, key](std::optional<ConfigObject> &object, Error &) {
-      if (!object)
-        object = control::defaultObject(key);
-      std::get<ServerOverride>(*object).Drained = it.Drained;
-      return true;
-    });
+    return singleChange(
+        key, [it, key](std::optional<ConfigObject> &object, Error &) {
+          if (!object)
+            object = control::defaultObject(key);
+          std::get<ServerOverride>(*object).Drained = it.Drained;
+          return true;
+        });
   }
 
   Changes operator()(const SwapModel &it) {
-    if (!View.model(it.Model))
-      return unknown("model", it.Model, "show versions");
+    if (!CurrentSnapshot.model(it.Model))
+      return notFound("model", it.Model, "show versions");
     auto edit = [it](std::optional<ConfigObject> &object, Error &reason) {
       if (!object)
         return refuse(reason, ErrorKind::NotFound,
@@ -74,19 +75,19 @@
       model.Adapter = it.Adapter.value_or(model.Adapter);
       return true;
     };
-    return one({ObjectKind::Model, it.Model}, edit);
+    return singleChange({ObjectKind::Model, it.Model}, edit);
   }
 
-  Changes operator()(const StopWork &) {
+  Changes operator()(const StopRequests &) {
     return std::vector<control::Command>{};
   }
 
   Changes operator()(const SetObject &it) {
-    if (!maySet(it))
+    if (!checkSettable(it))
       return std::nullopt;
     uint32_t epoch = 0;
     if (it.Key.Kind == ObjectKind::ReusePolicy)
-      epoch = highestEpoch(View, organisationOf(it.Key));
+      epoch = highestEpoch(CurrentSnapshot, organisationOf(it.Key));
     auto edit = [it, epoch](std::optional<ConfigObject> &object,
                             Error &reason) {
       if (object && it.MustBeNew)
@@ -99,50 +100,51 @@
       }
       return setFields(*object, it.Fields, reason);
     };
-    return one(it.Key, edit);
+    return singleChange(it.Key, edit);
   }
 
   Changes operator()(const DeleteObject &it) {
     bool isPolicy = it.Key.Kind == ObjectKind::ReusePolicy;
-    if (isPolicy && highestEpoch(View, organisationOf(it.Key)) > 0 &&
+    if (isPolicy && highestEpoch(CurrentSnapshot, organisationOf(it.Key)) > 0 &&
         it.Key.Name.ends_with(AnyClass)) {
       refuse(Reason, ErrorKind::Forbidden,
              "this policy keeps purged context from coming back; set its "
              "fields instead");
       return std::nullopt;
     }
-    return one(it.Key,
-               [it](std::optional<ConfigObject> &object, Error &reason) {
-                 if (!object)
-                   return refuse(reason, ErrorKind::NotFound,
-                                 quoted(it.Key.Name) + " doesn't exist");
-                 object.reset();
-                 return true;
-               });
+    return singleChange(
+        it.Key, [it](std::optional<ConfigObject> &object, Error &reason) {
+          if (!object)
+            return refuse(reason, ErrorKind::NotFound,
+                          quoted(it.Key.Name) + " doesn't exist");
+          object.reset();
+          return true;
+        });
   }
 
   Changes operator()(const ReleaseClass &it) {
     if (!hasClass(it.Class))
-      return unknown("class", it.Class, "show classes");
+      return notFound("class", it.Class, "show classes");
     std::optional<WallTime> at = releaseTime(it);
-    return one({ObjectKind::RequestClass, it.Class},
-               [it, at](std::optional<ConfigObject> &object, Error &reason) {
-                 if (!object)
-                   return refuse(reason, ErrorKind::NotFound,
-                                 "class " + quoted(it.Class) + " was deleted");
-                 std::get<RequestClass>(*object).ReleaseAt = at;
-                 return true;
-               });
+    return singleChange(
+        {ObjectKind::RequestClass, it.Class},
+        [it, at](std::optional<ConfigObject> &object, Error &reason) {
+          if (!object)
+            return refuse(reason, ErrorKind::NotFound,
+                          "class " + quoted(it.Class) + " was deleted");
+          std::get<RequestClass>(*object).ReleaseAt = at;
+          return true;
+        });
   }
 
   /// Raises every policy of the organisation to one epoch above all, and the
   /// one for all classes even when it is absent.
-  Changes operator()(const PurgeKept &it) {
-    if (!View.organisation(it.Organisation))
-      return unknown("organisation", it.Organisation, "show organisations");
-    uint32_t epoch = highestEpoch(View, it.Organisation) + 1;
+  Changes operator()(const PurgeContext &it) {
+    if (!CurrentSnapshot.organisation(it.Organisation))
+      return notFound("organisation", it.Organisation, "show organisations");
+    uint32_t epoch = highestEpoch(CurrentSnapshot, it.Organisation) + 1;
     std::vector<std::string> classes{std::string(AnyClass)};
-    for (const ReusePolicy &policy : View.Policies)
+    for (const ReusePolicy &policy : CurrentSnapshot.Policies)
       if (policy.Organisation == it.Organisation && policy.Class != AnyClass)
         classes.push_back(policy.Class);
     std::vector<control::Command> out;
@@ -153,7 +155,7 @@
   }
 
 private:
-  Changes one(ObjectKey key, control::ObjectEdit edit) const {
+  Changes singleChange(ObjectKey key, control::ObjectEdit edit) const {
     return std::vector<control::Command>{
         command(std::move(key), std::move(edit))};
   }
@@ -180,8 +182,8 @@
                    });
   }
 
-  Changes unknown(std::string_view kind, std::string_view name,
-                  std::string_view query) {
+  Changes notFound(std::string_view kind, std::string_view name,
+                   std::string_view query) {
     refuse(Reason, ErrorKind::NotFound,
            "no " + std::string(kind) + " " + quoted(name) + "; see '" +
                std::string(query) + "'");
@@ -189,7 +191,7 @@
   }
 
   /// The epoch only grows, by purge.
-  bool maySet(const SetObject &it) {
+  bool checkSettable(const SetObject &it) {
     bool setsEpoch =
         it.Key.Kind == ObjectKind::ReusePolicy &&
         std::any_of(it.Fields.begin(), it.Fields.end(),
@@ -199,7 +201,8 @@
   }
 
   bool hasClass(std::string_view name) const {
-    return std::any_of(View.Classes.begin(), View.Classes.end(),
+    return std::any_of(CurrentSnapshot.Classes.begin(),
+                       CurrentSnapshot.Classes.end(),
                        [&](const auto &it) { return it.Name == name; });
   }
 
@@ -221,7 +224,7 @@
     return std::string_view(policy.Name).substr(0, policy.Name.find(':'));
   }
 
-  const Snapshot &View;
+  const Snapshot &CurrentSnapshot;
   const CommandContext &Context;
   Error &Reason;
 };
--- a/src/query/command_plan.h
+++ b/src/query/command_plan.h
@@ -15,7 +15,8 @@
 };
 
 /// The changes, to be proposed one after the other; nothing with the reason set
-/// when the snapshot shows that the command can't be done. StopWork has none.
+/// when the snapshot shows that the command can't be done. StopRequests has
+/// none.
 std::optional<std::vector<control::Command>>
 planCommand(const OperatorCommand &command, const Snapshot &snapshot,
             const CommandContext &context, Error &reason);
--- a/src/query/lexer.cpp
+++ b/src/query/lexer.cpp
@@ -23,7 +23,7 @@
 }
 
 /// What stands in a message for a text that is wrong: short and printable.
-std::string shown(std::string_view text) {
+std::string printableExcerpt(std::string_view text) {
   std::string out(text.substr(0, MaxFoundBytes));
   for (char &c : out)
     if (c < ' ' || c > '~')
@@ -33,7 +33,8 @@
 
 class Lexer {
 public:
-  Lexer(std::string_view text, ParseError &error) : Text(text), Wrong(error) {}
+  Lexer(std::string_view text, ParseError &error)
+      : Text(text), LexError(error) {}
 
   std::optional<std::vector<Token>> run() {
     if (Text.size() > MaxStatementBytes) {
@@ -80,8 +81,8 @@
   bool readOperator(Token &token) {
     token.Kind = TokenKind::Operator;
     token.Text = Text[At++];
-    bool mayTakeEqual = token.Text != "=" && token.Text != "~";
-    if (mayTakeEqual && At < Text.size() && Text[At] == '=')
+    bool canTakeEqual = token.Text != "=" && token.Text != "~";
+    if (canTakeEqual && At < Text.size() && Text[At] == '=')
       token.Text += Text[At++];
     if (token.Text == "!")
       return fail(token.Column - 1, "an operator",
@@ -104,21 +105,22 @@
   }
 
   bool fail(size_t at, std::string expected, std::string remedy) {
-    Wrong = {at + 1, std::move(expected), shown(Text.substr(at)),
-             std::move(remedy)};
+    LexError = {at + 1, std::move(expected), printableExcerpt(Text.substr(at)),
+                std::move(remedy)};
     return false;
   }
 
   std::string_view Text;
-  ParseError &Wrong;
+  ParseError &LexError;
   size_t At = 0;
 };
 
 } // namespace
 
 std::string toString(const ParseError &error) {
-  std::string found =
-      error.Found.empty() ? "the end" : "'" + shown(error.Found) + "'";
+  std::string found = error.Found.empty()
+                          ? "the end"
+                          : "'" + printableExcerpt(error.Found) + "'";
   return "column " + std::to_string(error.Column) + ": expected " +
          error.Expected + ", found " + found + "; " + error.Remedy;
 }
--- a/src/query/measures.cpp
+++ b/src/query/measures.cpp
@@ -18,7 +18,7 @@
 };
 
 /// Reads NAME="VALUE" pairs; stops at what is none.
-std::map<std::string, std::string> labelsOf(std::string_view text) {
+std::map<std::string, std::string> parseLabels(std::string_view text) {
   std::map<std::string, std::string> out;
   while (true) {
     size_t mark = text.find("=\"");
@@ -41,7 +41,7 @@
   }
 }
 
-std::optional<Sample> sampleOf(std::string_view line) {
+std::optional<Sample> parseSample(std::string_view line) {
   size_t space = line.rfind(' ');
   if (line.starts_with('#') || space == std::string_view::npos)
     return std::nullopt;
@@ -54,33 +54,33 @@
   size_t brace = series.find('{');
   out.Name = series.substr(0, brace);
   if (brace != std::string_view::npos)
-    out.Labels = labelsOf(series.substr(brace + 1));
+    out.Labels = parseLabels(series.substr(brace + 1));
   return out;
 }
 
-double edgeOf(const std::string &text) {
+double bucketBound(const std::string &text) {
   if (text == "+Inf")
     return std::numeric_limits<double>::infinity();
   return parseNumber(text).value_or(0);
 }
 
-uint64_t countOf(double value) {
+uint64_t toCount(double value) {
   return value > 0 ? static_cast<uint64_t>(value) : 0;
 }
 
 } // namespace
 
-double ServingMeasure::firstToken(double quantile) const {
+double ServingMeasure::firstTokenQuantile(double quantile) const {
   uint64_t total = requests();
   double rank = quantile * static_cast<double>(total);
-  for (const auto &[edge, count] : FirstToken)
+  for (const auto &[edge, count] : FirstTokenBuckets)
     if (total > 0 && static_cast<double>(count) >= rank)
       return edge;
   return 0;
 }
 
 uint64_t ServingMeasure::requests() const {
-  return FirstToken.empty() ? 0 : FirstToken.rbegin()->second;
+  return FirstTokenBuckets.empty() ? 0 : FirstTokenBuckets.rbegin()->second;
 }
 
 double ServingMeasure::recomputedShare() const {
@@ -96,16 +96,16 @@
   while (!text.empty()) {
     std::string_view line = text.substr(0, text.find('\n'));
     text.remove_prefix(std::min(line.size() + 1, text.size()));
-    auto sample = sampleOf(line);
+    auto sample = parseSample(line);
     if (!sample)
       continue;
     auto &labels = sample->Labels;
-    uint64_t count = countOf(sample->Value);
+    uint64_t count = toCount(sample->Value);
     if (sample->Name == metric::LinkBytes)
       LinkBytes[labels["direction"]] += count;
     std::pair pair{labels["model"], labels["class"]};
     if (sample->Name == buckets)
-      Serving[pair].FirstToken[edgeOf(labels["le"])] += count;
+      Serving[pair].FirstTokenBuckets[bucketBound(labels["le"])] += count;
     if (sample->Name == metric::PromptTokens)
       Serving[pair].PromptTokens += count;
     if (sample->Name == metric::RecomputedTokens)
--- a/src/query/measures.h
+++ b/src/query/measures.h
@@ -11,13 +11,13 @@
 
 /// One model and class.
 struct ServingMeasure {
-  std::map<double, uint64_t> FirstToken; ///< Cumulative counts by upper edge,
-                                         ///< seconds.
+  std::map<double, uint64_t> FirstTokenBuckets; ///< Cumulative counts by upper
+                                                ///< edge, seconds.
   uint64_t PromptTokens = 0;
   uint64_t RecomputedTokens = 0;
 
   /// Upper edge of the bin in which the quantile falls; 0 without requests.
-  double firstToken(double quantile) const;
+  double firstTokenQuantile(double quantile) const;
   uint64_t requests() const;
   /// 0..1; 0 without prompt tokens.
   double recomputedShare() const;
--- a/src/query/query_ast.h
+++ b/src/query/query_ast.h
@@ -25,7 +25,7 @@
   Config,
   Events,
 };
-constexpr size_t TableNames = 12;
+constexpr size_t TableNameCount = 12;
 
 /// "requests", "waiting" and so on.
 std::string_view tableNameText(TableName table);
--- a/src/query/query_executor.cpp
+++ b/src/query/query_executor.cpp
@@ -16,11 +16,12 @@
 }
 
 bool contains(const Cell &cell, CellType type, const Cell &value) {
-  const auto *wanted = std::get_if<std::string>(&value);
-  return wanted && cellText(cell, type).find(*wanted) != std::string::npos;
+  const auto *substring = std::get_if<std::string>(&value);
+  return substring &&
+         cellText(cell, type).find(*substring) != std::string::npos;
 }
 
-bool holds(const Condition &it, const Cell &cell, CellType type) {
+bool isSatisfied(const Condition &it, const Cell &cell, CellType type) {
   if (isUnknown(cell))
     return it.Compare == Comparison::NotEqual;
   switch (it.Compare) {
@@ -53,7 +54,7 @@
                    });
 }
 
-void cut(Table &table, uint64_t limit) {
+void applyLimit(Table &table, uint64_t limit) {
   if (table.Rows.size() > limit)
     table.Rows.resize(limit);
 }
@@ -106,7 +107,7 @@
       counts[query.CountBy ? row.front() : Cell()] +=
           std::get<int64_t>(row.back());
   Table out = countsTable(countedBy(query), counts);
-  cut(out, query.Limit);
+  applyLimit(out, query.Limit);
   return out;
 }
 
@@ -116,7 +117,7 @@
   const auto &columns = columnsOf(query.From);
   return std::all_of(
       query.Where.begin(), query.Where.end(), [&](const Condition &it) {
-        return holds(it, row[it.Column], columns[it.Column].Type);
+        return isSatisfied(it, row[it.Column], columns[it.Column].Type);
       });
 }
 
@@ -129,7 +130,7 @@
       out.Rows.push_back(row);
   if (query.OrderBy)
     sortRows(out, *query.OrderBy);
-  cut(out, query.Limit);
+  applyLimit(out, query.Limit);
   return out;
 }
 
@@ -141,7 +142,7 @@
     out.Rows.insert(out.Rows.end(), part.Rows.begin(), part.Rows.end());
   if (query.OrderBy)
     sortRows(out, *query.OrderBy);
-  cut(out, query.Limit);
+  applyLimit(out, query.Limit);
   return out;
 }
 
--- a/src/query/query_parser.cpp
+++ b/src/query/query_parser.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // In the order of TableName.
-constexpr std::array<std::string_view, TableNames> TableTexts{
+constexpr std::array<std::string_view, TableNameCount> TableTexts{
     "requests",      "waiting", "running",  "kept",    "refused", "servers",
     "organisations", "classes", "versions", "members", "config",  "events"};
 
@@ -38,7 +38,7 @@
 
   bool run() {
     return Reader.expect("show") && table() && conditions() && count() &&
-           order() && limit() && after() && Reader.expectEnd(mayFollow());
+           order() && limit() && after() && Reader.expectEnd(expectedNext());
   }
 
 private:
@@ -109,12 +109,12 @@
     Token token = Reader.peek();
     std::string text;
     std::string remedy = Columns[out.Column].Name + " is compared with " +
-                         std::string(cellForm(type));
-    if (!Reader.value(text, cellForm(type), remedy))
+                         std::string(cellFormatHint(type));
+    if (!Reader.value(text, cellFormatHint(type), remedy))
       return false;
     auto cell = parseCell(type, text);
     if (!cell)
-      return Reader.failAt(token, cellForm(type), remedy);
+      return Reader.failAt(token, cellFormatHint(type), remedy);
     out.Value = std::move(*cell);
     return true;
   }
@@ -151,7 +151,7 @@
                         "use the value that the page before gave as next");
   }
 
-  std::string mayFollow() const {
+  std::string expectedNext() const {
     if (!Out.After.empty())
       return "";
     return Out.Count ? "'limit'"
--- a/src/query/query_plan.cpp
+++ b/src/query/query_plan.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 /// The text that a column must equal; nothing when the query doesn't say.
-std::optional<std::string> wanted(const Query &query, std::string_view column) {
+std::optional<std::string> requiredValue(const Query &query,
+                                         std::string_view column) {
   size_t index = columnIndex(query.From, column);
   for (const Condition &it : query.Where) {
     const auto *text = std::get_if<std::string>(&it.Value);
@@ -39,27 +40,28 @@
 class Filter {
 public:
   explicit Filter(const Query &query)
-      : From(query.From), Instance(wanted(query, "instance")),
-        Agent(wanted(query, "server")), Serves(wanted(query, "model")),
-        IsAboutRequest(!Instance && wanted(query, "request")),
+      : From(query.From), Instance(requiredValue(query, "instance")),
+        Agent(requiredValue(query, "server")),
+        Serves(requiredValue(query, "model")),
+        SelectsRequest(!Instance && requiredValue(query, "request")),
         Request(requestOf(query)) {}
 
-  bool isAboutRequest() const { return IsAboutRequest; }
+  bool selectsRequest() const { return SelectsRequest; }
 
-  bool keeps(const Member &entry) const {
+  bool includes(const Member &entry) const {
     return hasRows(From, MemberRole::Entry) && isInstance(entry.Name) &&
-           (!IsAboutRequest || isMinter(entry));
+           (!SelectsRequest || issuedRequestId(entry));
   }
 
-  bool keeps(const Server &agent) const {
-    return agent.State != MemberState::Gone && !IsAboutRequest &&
+  bool includes(const Server &agent) const {
+    return agent.State != MemberState::Gone && !SelectsRequest &&
            hasRows(From, MemberRole::Agent) && isInstance(agent.Name) &&
            (!Agent || agent.Name == *Agent) &&
            (!Serves || agent.Serves == *Serves);
   }
 
   /// The entry took the request that the query is about.
-  bool isMinter(const Member &entry) const {
+  bool issuedRequestId(const Member &entry) const {
     return Request && isMintedBy(*Request, entry.Name);
   }
 
@@ -72,19 +74,19 @@
   std::optional<std::string> Instance;
   std::optional<std::string> Agent;
   std::optional<std::string> Serves;
-  bool IsAboutRequest;
+  bool SelectsRequest;
   std::optional<RequestId> Request;
 };
 
 /// Entries first: there are fewer, and they know every request.
-std::vector<Member> membersKept(const Snapshot &snapshot,
-                                const Filter &filter) {
+std::vector<Member> includedMembers(const Snapshot &snapshot,
+                                    const Filter &filter) {
   std::vector<Member> out;
   for (const Member &entry : snapshot.Entries)
-    if (filter.keeps(entry))
+    if (filter.includes(entry))
       out.push_back(entry);
   for (const Server &server : snapshot.Servers)
-    if (filter.keeps(server))
+    if (filter.includes(server))
       out.push_back(memberOf(server));
   return out;
 }
@@ -116,7 +118,7 @@
 }
 
 std::optional<RequestId> requestOf(const Query &query) {
-  auto text = wanted(query, "request");
+  auto text = requiredValue(query, "request");
   return text ? parseId128(*text) : std::nullopt;
 }
 
@@ -130,21 +132,21 @@
 
 QueryPlan planQuery(const Query &query, const Snapshot &snapshot) {
   QueryPlan out;
-  out.Local = !isGathered(query.From);
-  if (out.Local)
+  out.AnsweredLocally = !isGathered(query.From);
+  if (out.AnsweredLocally)
     return out;
-  out.All = query.Count || query.OrderBy.has_value();
+  out.NeedsAllInstances = query.Count || query.OrderBy.has_value();
   Filter filter(query);
-  out.Instances = membersKept(snapshot, filter);
+  out.Instances = includedMembers(snapshot, filter);
   for (const Member &entry : snapshot.Entries)
-    if (filter.isAboutRequest() && filter.isMinter(entry))
+    if (filter.selectsRequest() && filter.issuedRequestId(entry))
       out.RequestEntry = entry;
   skipToPage(query, out.Instances);
   return out;
 }
 
-std::vector<Member> serversNamedBy(const Table &events,
-                                   const Snapshot &snapshot) {
+std::vector<Member> serversInEvents(const Table &events,
+                                    const Snapshot &snapshot) {
   size_t subject = columnIndex(TableName::Events, "subject");
   std::set<std::string> names;
   for (const auto &row : events.Rows)
--- a/src/query/query_plan.h
+++ b/src/query/query_plan.h
@@ -12,12 +12,13 @@
 /// Where the rows of a query stand.
 struct QueryPlan {
   /// The snapshot of the asked process has them all.
-  bool Local = false;
+  bool AnsweredLocally = false;
   /// Otherwise: instances in the order to ask them, after the query's page
-  /// mark. Unless All, rows stop being wanted once the limit is reached.
+  /// mark. Unless NeedsAllInstances, rows stop being wanted once the limit is
+  /// reached.
   std::vector<Member> Instances;
   /// Every one of them must be asked: the answer is ordered or counted.
-  bool All = false;
+  bool NeedsAllInstances = false;
   /// The query concerns one request: the entry that minted its identifier. Its
   /// events name the backend servers to ask besides.
   std::optional<Member> RequestEntry;
@@ -35,7 +36,7 @@
 /// The events of one request, to ask its entry for.
 Query eventsOfRequest(const RequestId &id);
 /// Agents that these events name.
-std::vector<Member> serversNamedBy(const Table &events,
-                                   const Snapshot &snapshot);
+std::vector<Member> serversInEvents(const Table &events,
+                                    const Snapshot &snapshot);
 
 } // namespace daisytack::query
--- a/src/query/rows.h
+++ b/src/query/rows.h
@@ -68,10 +68,10 @@
   std::string Name;
   std::string Version; ///< That new requests run on.
   bool Ejected = false;
-  std::optional<Duration> Wait; ///< Predicted, of a new request.
+  std::optional<Duration> PredictedWait; ///< Predicted, of a new request.
   std::optional<uint32_t> Running;
   std::optional<uint32_t> Waiting;
-  std::optional<Duration> Heard; ///< Age of these figures.
+  std::optional<Duration> ReportAge; ///< Age of these figures.
 };
 
 /// What `stop` ends: one request, or all of a class.
--- a/src/query/schema.cpp
+++ b/src/query/schema.cpp
@@ -17,8 +17,8 @@
     {"server", CellType::Text},
     {"attempt", CellType::Integer},
     {"priority", CellType::Integer},
-    {"age", CellType::Span},
-    {"remaining", CellType::Span},
+    {"age", CellType::Duration},
+    {"remaining", CellType::Duration},
     {"prompt_tokens", CellType::Integer},
     {"generated_tokens", CellType::Integer}};
 
@@ -27,22 +27,22 @@
     {"class", CellType::Text},    {"model", CellType::Text},
     {"version", CellType::Text},  {"pieces", CellType::Integer},
     {"bytes", CellType::Bytes},   {"hits", CellType::Integer},
-    {"age", CellType::Span}};
+    {"age", CellType::Duration}};
 
 const std::vector<Column> RefusedColumns{
     {"instance", CellType::Text},     {"request", CellType::Text},
     {"kind", CellType::Text},         {"outcome", CellType::Text},
     {"organisation", CellType::Text}, {"class", CellType::Text},
-    {"model", CellType::Text},        {"age", CellType::Span}};
+    {"model", CellType::Text},        {"age", CellType::Duration}};
 
 const std::vector<Column> ServerColumns{
     {"server", CellType::Text},         {"serves", CellType::Text},
     {"service", CellType::Flag},        {"state", CellType::Text},
     {"drained", CellType::Flag},        {"ejected", CellType::Flag},
     {"version", CellType::Text},        {"region", CellType::Text},
-    {"failure_domain", CellType::Text}, {"wait", CellType::Span},
+    {"failure_domain", CellType::Text}, {"wait", CellType::Duration},
     {"running", CellType::Integer},     {"waiting", CellType::Integer},
-    {"heard", CellType::Span},          {"work", CellType::Text}};
+    {"heard", CellType::Duration},      {"work", CellType::Text}};
 
 const std::vector<Column> OrganisationColumns{
     {"organisation", CellType::Text},
@@ -52,13 +52,13 @@
     {"max_concurrent", CellType::Integer},
     {"kept_bytes", CellType::Bytes},
     {"reuse", CellType::Flag},
-    {"keep_for", CellType::Span},
+    {"keep_for", CellType::Duration},
     {"epoch", CellType::Integer}};
 
 const std::vector<Column> ClassColumns{
-    {"class", CellType::Text},    {"priority", CellType::Integer},
-    {"deadline", CellType::Span}, {"idempotent", CellType::Flag},
-    {"keep", CellType::Text},     {"release_at", CellType::Time}};
+    {"class", CellType::Text},        {"priority", CellType::Integer},
+    {"deadline", CellType::Duration}, {"idempotent", CellType::Flag},
+    {"keep", CellType::Text},         {"release_at", CellType::Time}};
 
 const std::vector<Column> VersionColumns{
     {"model", CellType::Text},      {"version", CellType::Text},
--- a/src/query/schema.h
+++ b/src/query/schema.h
@@ -36,10 +36,10 @@
 // Tables out of the snapshot.
 
 /// Known is what this process has heard of them.
-Table serverTable(const Snapshot &snapshot, std::span<const ServerRow> known);
+Table serverTable(const Snapshot &snapshot, std::span<const ServerRow> rows);
 Table organisationTable(const Snapshot &snapshot);
 Table classTable(const Snapshot &snapshot);
-Table versionTable(const Snapshot &snapshot, std::span<const ServerRow> known);
+Table versionTable(const Snapshot &snapshot, std::span<const ServerRow> rows);
 Table memberTable(const Snapshot &snapshot);
 /// Key hashes are hidden; operators' accounts show for administrators alone.
 Table configTable(const Snapshot &snapshot, OperatorRole role);
--- a/src/query/table_text.cpp
+++ b/src/query/table_text.cpp
@@ -9,14 +9,14 @@
 
 constexpr std::string_view ColumnGap = "  ";
 
-bool isFigure(CellType type) {
+bool isNumeric(CellType type) {
   return type == CellType::Integer || type == CellType::Number ||
-         type == CellType::Bytes || type == CellType::Span;
+         type == CellType::Bytes || type == CellType::Duration;
 }
 
-std::string padded(const std::string &text, size_t width, bool toRight) {
+std::string padded(const std::string &text, size_t width, bool alignRight) {
   std::string blanks(width - std::min(width, text.size()), ' ');
-  return toRight ? blanks + text : text + blanks;
+  return alignRight ? blanks + text : text + blanks;
 }
 
 /// The rows' texts and the width of each column.
@@ -45,7 +45,7 @@
   for (size_t i = 0; i < texts.size(); ++i) {
     if (i > 0)
       out += ColumnGap;
-    out += padded(texts[i], layout.Widths[i], isFigure(table.Columns[i].Type));
+    out += padded(texts[i], layout.Widths[i], isNumeric(table.Columns[i].Type));
   }
   while (!out.empty() && out.back() == ' ')
     out.pop_back();
@@ -64,10 +64,10 @@
     note("some instances have more rows; raise the limit or narrow the query");
   if (!answer.Next.empty())
     note("more instances: add 'after " + printable(answer.Next) + "'");
-  if (answer.Answered < answer.Asked)
-    note(std::to_string(answer.Asked - answer.Answered) + " of " +
-         std::to_string(answer.Asked) + " instances did not answer:");
-  for (const SilentInstance &it : answer.Silent)
+  if (answer.Answered < answer.Queried)
+    note(std::to_string(answer.Queried - answer.Answered) + " of " +
+         std::to_string(answer.Queried) + " instances did not answer:");
+  for (const QueryFailure &it : answer.Failures)
     note("  " + printable(it.Name) + ": " + printable(it.Reason));
   return out;
 }
--- a/src/query/tables.cpp
+++ b/src/query/tables.cpp
@@ -53,21 +53,23 @@
   return Names[static_cast<size_t>(keep)];
 }
 
-using HeardRows = std::unordered_map<std::string_view, const ServerRow *>;
+using ServerRowsByName =
+    std::unordered_map<std::string_view, const ServerRow *>;
 
 /// What was heard of each server, by its name.
-HeardRows heardRows(std::span<const ServerRow> known) {
-  HeardRows out;
-  for (const ServerRow &row : known)
+ServerRowsByName indexByName(std::span<const ServerRow> rows) {
+  ServerRowsByName out;
+  for (const ServerRow &row : rows)
     out[row.Name] = &row;
   return out;
 }
 
 /// Defaults for a server that never answered here.
-const ServerRow &heardOf(const HeardRows &heard, std::string_view name) {
-  static const ServerRow Silent;
-  auto it = heard.find(name);
-  return it == heard.end() ? Silent : *it->second;
+const ServerRow &findServerRow(const ServerRowsByName &byName,
+                               std::string_view name) {
+  static const ServerRow Unreported;
+  auto it = byName.find(name);
+  return it == byName.end() ? Unreported : *it->second;
 }
 
 bool isOfState(TableName which, const RequestRow &row) {
@@ -186,17 +188,18 @@
   return out;
 }
 
-Table serverTable(const Snapshot &snapshot, std::span<const ServerRow> known) {
+Table serverTable(const Snapshot &snapshot, std::span<const ServerRow> rows) {
   Table out{columnsOf(TableName::Servers), {}};
-  HeardRows heard = heardRows(known);
+  ServerRowsByName byName = indexByName(rows);
   for (const Server &it : snapshot.Servers) {
-    const ServerRow &row = heardOf(heard, it.Name);
+    const ServerRow &row = findServerRow(byName, it.Name);
     out.Rows.push_back({it.Name, textCell(it.Serves), it.IsService,
                         std::string(stateName(it.State)), it.Drained,
                         row.Ejected, textCell(row.Version), textCell(it.Region),
-                        textCell(it.FailureDomain), optionalCell(row.Wait),
+                        textCell(it.FailureDomain),
+                        optionalCell(row.PredictedWait),
                         optionalCell(row.Running), optionalCell(row.Waiting),
-                        optionalCell(row.Heard), endpointCell(it.Work)});
+                        optionalCell(row.ReportAge), endpointCell(it.Work)});
   }
   return out;
 }
@@ -222,8 +225,8 @@
   return out;
 }
 
-Table versionTable(const Snapshot &snapshot, std::span<const ServerRow> known) {
-  HeardRows heard = heardRows(known);
+Table versionTable(const Snapshot &snapshot, std::span<const ServerRow> rows) {
+  ServerRowsByName byName = indexByName(rows);
   Table out{columnsOf(TableName::Versions), {}};
   for (const Model &model : snapshot.Models) {
     int64_t all = 0;
@@ -233,7 +236,7 @@
       if (server.IsService || server.Serves != model.Name)
         continue;
       ++all;
-      const std::string &version = heardOf(heard, server.Name).Version;
+      const std::string &version = findServerRow(byName, server.Name).Version;
       if (version.empty())
         continue;
       same += version == model.Version ? 1 : 0;
--- a/src/query/timeline.cpp
+++ b/src/query/timeline.cpp
@@ -85,19 +85,19 @@
 /// Finds spans while events pass in order.
 class SpanFinder {
 public:
-  void take(const TimelineEvent &event) {
+  void addEvent(const TimelineEvent &event) {
     for (const SpanRule &rule : spanRules()) {
       if (isAmong(rule.Ends, event.Name))
         end(event, rule);
       if (isAmong(rule.Begins, event.Name))
         begin(event, rule);
     }
-    Last = std::max(Last, event.At);
+    LastTime = std::max(LastTime, event.At);
   }
 
   std::vector<Span> finish() {
     for (auto &[key, span] : Open) {
-      span.End = Last;
+      span.End = LastTime;
       span.IsOpen = true;
       Out.push_back(span);
     }
@@ -132,7 +132,7 @@
 
   std::map<SpanKey, Span> Open;
   std::vector<Span> Out;
-  WallTime Last;
+  WallTime LastTime;
 };
 
 } // namespace
@@ -146,7 +146,8 @@
     for (const EventGap &gap : page.Gaps)
       if (gap.Until >= since)
         out.Gaps.push_back(gap);
-    out.Silent.insert(out.Silent.end(), page.Silent.begin(), page.Silent.end());
+    out.Failures.insert(out.Failures.end(), page.Failures.begin(),
+                        page.Failures.end());
   }
   std::sort(out.Events.begin(), out.Events.end());
   std::sort(out.Gaps.begin(), out.Gaps.end(),
@@ -157,7 +158,7 @@
 std::vector<Span> spansOf(const Timeline &timeline) {
   SpanFinder finder;
   for (const TimelineEvent &event : timeline.Events)
-    finder.take(event);
+    finder.addEvent(event);
   return finder.finish();
 }
 
--- a/src/query/timeline.h
+++ b/src/query/timeline.h
@@ -27,7 +27,7 @@
 struct Timeline {
   std::vector<TimelineEvent> Events; ///< In hybrid time.
   std::vector<EventGap> Gaps;
-  std::vector<SilentInstance> Silent;
+  std::vector<QueryFailure> Failures;
 };
 
 /// Joins the pages of "show events". Gaps that ended before since are left out.
--- a/src/query/timeline_page.cpp
+++ b/src/query/timeline_page.cpp
@@ -20,7 +20,7 @@
 constexpr double RowHeight = 14;
 constexpr double LanePadding = 8;
 constexpr double AxisHeight = 24;
-constexpr double LeastSpanWidth = 2;
+constexpr double MinSpanWidth = 2;
 constexpr size_t MaxRowsPerLane = 24;
 constexpr int AxisMarks = 5;
 constexpr size_t MaxDrawnEvents = 5000;
@@ -54,7 +54,7 @@
   return {buf.data(), static_cast<size_t>(n)};
 }
 
-std::string spanTime(Duration value) {
+std::string durationText(Duration value) {
   double ms = static_cast<double>(value.count()) / 1000;
   return ms < 1000 ? fixed(ms, 2) + " ms" : fixed(ms / 1000, 3) + " s";
 }
@@ -63,7 +63,7 @@
 struct Lane {
   std::string Instance;
   std::vector<Span> Spans;
-  std::vector<size_t> Rows; ///< Of each span.
+  std::vector<size_t> SpanRows; ///< Of each span.
   size_t RowCount = 1;
   std::vector<const TimelineEvent *> Events;
   std::vector<const EventGap *> Gaps;
@@ -85,7 +85,7 @@
     if (row == ends.size())
       ends.push_back(span.End);
     ends[row] = std::max(ends[row], span.End);
-    lane.Rows.push_back(row);
+    lane.SpanRows.push_back(row);
   }
   lane.RowCount = std::max<size_t>(ends.size(), 1);
 }
@@ -133,24 +133,24 @@
   }
 
 private:
-  double x(WallTime at) const {
-    double share = static_cast<double>((at - Start).count()) /
-                   static_cast<double>((End - Start).count());
-    return LaneLabelWidth +
-           std::clamp(share, 0.0, 1.0) * (DrawingWidth - LaneLabelWidth - 10);
+  double xPosition(WallTime at) const {
+    double fraction = static_cast<double>((at - Start).count()) /
+                      static_cast<double>((End - Start).count());
+    return LaneLabelWidth + std::clamp(fraction, 0.0, 1.0) *
+                                (DrawingWidth - LaneLabelWidth - 10);
   }
 
   void axis(double height) {
     for (int i = 0; i < AxisMarks; ++i) {
       Duration offset = (End - Start) * i / (AxisMarks - 1);
-      std::string at = fixed(x(Start + offset));
+      std::string at = fixed(xPosition(Start + offset));
       bool isLast = i + 1 == AxisMarks;
       Out.append("<line class=\"grid\" x1=\"").append(at);
       Out.append("\" x2=\"").append(at).append("\" y1=\"16\" y2=\"");
       Out.append(fixed(height)).append("\"/><text class=\"mark\" x=\"");
       Out.append(at).append("\" y=\"11\" text-anchor=\"");
       Out.append(isLast ? "end" : "start").append("\">+");
-      Out.append(spanTime(offset)).append("</text>\n");
+      Out.append(durationText(offset)).append("</text>\n");
     }
   }
 
@@ -162,23 +162,24 @@
     for (const EventGap *gap : lane.Gaps)
       drawGap(lane, *gap);
     for (size_t i = 0; i < lane.Spans.size(); ++i)
-      drawSpan(lane, lane.Spans[i], lane.Rows[i]);
+      drawSpan(lane, lane.Spans[i], lane.SpanRows[i]);
     for (const TimelineEvent *event : lane.Events)
       drawEvent(lane, *event);
   }
 
   void drawGap(const Lane &lane, const EventGap &gap) {
-    Out += "<rect class=\"gap\" x=\"" + fixed(LaneLabelWidth) + "\" y=\"" +
-           fixed(lane.Top + 1) + "\" width=\"" +
-           fixed(std::max(x(gap.Until) - LaneLabelWidth, LeastSpanWidth)) +
-           "\" height=\"" + fixed(lane.height() - 2) + "\"><title>" +
-           std::to_string(gap.Lost) +
-           " earlier events were overwritten</title></rect>\n";
+    Out +=
+        "<rect class=\"gap\" x=\"" + fixed(LaneLabelWidth) + "\" y=\"" +
+        fixed(lane.Top + 1) + "\" width=\"" +
+        fixed(std::max(xPosition(gap.Until) - LaneLabelWidth, MinSpanWidth)) +
+        "\" height=\"" + fixed(lane.height() - 2) + "\"><title>" +
+        std::to_string(gap.Lost) +
+        " earlier events were overwritten</title></rect>\n";
   }
 
   void drawSpan(const Lane &lane, const Span &span, size_t row) {
-    double left = x(span.Start);
-    double width = std::max(x(span.End) - left, LeastSpanWidth);
+    double left = xPosition(span.Start);
+    double width = std::max(xPosition(span.End) - left, MinSpanWidth);
     double top =
         lane.Top + LanePadding / 2 + static_cast<double>(row) * RowHeight;
     std::string state = span.IsOpen ? ", not ended" : "";
@@ -187,13 +188,13 @@
            (span.Reason.empty() ? "" : " bad") + "\" x=\"" + fixed(left) +
            "\" y=\"" + fixed(top) + "\" width=\"" + fixed(width) +
            "\" height=\"" + fixed(RowHeight - 3) + "\" rx=\"2\"><title>" +
-           span.Name + " " + spanTime(span.End - span.Start) + ", request " +
-           escaped(span.Request) + state + escaped(reason) +
+           span.Name + " " + durationText(span.End - span.Start) +
+           ", request " + escaped(span.Request) + state + escaped(reason) +
            "</title></rect>\n";
   }
 
   void drawEvent(const Lane &lane, const TimelineEvent &event) {
-    if (++Drawn > MaxDrawnEvents)
+    if (++DrawnEvents > MaxDrawnEvents)
       return;
     double top = lane.Top + LanePadding / 2 +
                  static_cast<double>(lane.RowCount) * RowHeight;
@@ -203,21 +204,22 @@
         event.Reason.empty() ? "" : " (" + escaped(event.Reason) + ")";
     Out += "<circle class=\"event" +
            std::string(event.Reason.empty() ? "" : " bad") + "\" cx=\"" +
-           fixed(x(event.At)) + "\" cy=\"" + fixed(top + RowHeight / 2) +
-           "\" r=\"3\"><title>" + escaped(event.Name) + subject + reason +
-           ", +" + spanTime(event.At - Start) + "</title></circle>\n";
+           fixed(xPosition(event.At)) + "\" cy=\"" +
+           fixed(top + RowHeight / 2) + "\" r=\"3\"><title>" +
+           escaped(event.Name) + subject + reason + ", +" +
+           durationText(event.At - Start) + "</title></circle>\n";
   }
 
   std::vector<Lane> Lanes;
   WallTime Start;
   WallTime End{Duration(1)};
   std::string Out;
-  size_t Drawn = 0;
+  size_t DrawnEvents = 0;
 };
 
-std::string bar(double share, const char *kind) {
+std::string bar(double fraction, const char *kind) {
   return "<span class=\"bar\"><span class=\"" + std::string(kind) +
-         "\" style=\"width:" + fixed(std::clamp(share, 0.0, 1.0) * 100) +
+         "\" style=\"width:" + fixed(std::clamp(fraction, 0.0, 1.0) * 100) +
          "%\"></span></span>";
 }
 
@@ -236,26 +238,26 @@
     out += "<tr><td>" + escaped(pair.first) + "</td><td>" +
            escaped(pair.second) + "</td><td class=\"n\">" +
            std::to_string(it.requests()) + "</td><td class=\"n\">" +
-           secondsText(it.firstToken(0.5)) + "</td><td class=\"n\">" +
-           secondsText(it.firstToken(0.95)) + "</td><td class=\"n\">" +
+           secondsText(it.firstTokenQuantile(0.5)) + "</td><td class=\"n\">" +
+           secondsText(it.firstTokenQuantile(0.95)) + "</td><td class=\"n\">" +
            fixed(it.recomputedShare() * 100) + "%</td><td>" +
            bar(it.recomputedShare(), "run") + "</td></tr>\n";
   return out + "</tbody></table></div>\n";
 }
 
 std::string linkTable(const Measures &measures) {
-  uint64_t most = 1;
+  uint64_t largest = 1;
   for (const auto &[key, bytes] : measures.LinkBytes)
-    most = std::max(most, bytes);
+    largest = std::max(largest, bytes);
   std::string out = "<div class=\"scroll\"><table><thead><tr>"
                     "<th>direction</th><th colspan=\"2\">bytes</th></tr>"
                     "</thead><tbody>";
   for (const auto &[key, bytes] : measures.LinkBytes)
-    out +=
-        "<tr><td>" + escaped(key) + "</td><td class=\"n\">" +
-        std::to_string(bytes) + "</td><td>" +
-        bar(static_cast<double>(bytes) / static_cast<double>(most), "fetch") +
-        "</td></tr>\n";
+    out += "<tr><td>" + escaped(key) + "</td><td class=\"n\">" +
+           std::to_string(bytes) + "</td><td>" +
+           bar(static_cast<double>(bytes) / static_cast<double>(largest),
+               "fetch") +
+           "</td></tr>\n";
   return out + "</tbody></table></div>\n";
 }
 
@@ -274,7 +276,7 @@
     out += "<p class=\"note\">Of " + std::to_string(timeline.Events.size()) +
            " events the first " + std::to_string(MaxDrawnEvents) +
            " are drawn.</p>\n";
-  for (const SilentInstance &it : timeline.Silent)
+  for (const QueryFailure &it : timeline.Failures)
     out += "<p class=\"note\">" + escaped(it.Name) +
            " did not answer: " + escaped(it.Reason) + "</p>\n";
   return out;
--- a/src/query/timeline_text.cpp
+++ b/src/query/timeline_text.cpp
@@ -114,7 +114,7 @@
   }
   for (; gap != timeline.Gaps.end(); ++gap)
     out += gapLine(*gap, colours);
-  for (const SilentInstance &it : timeline.Silent)
+  for (const QueryFailure &it : timeline.Failures)
     out +=
         coloured("silent: " + printable(it.Name) + ": " + printable(it.Reason),
                  Colour::Yellow, colours) +
--- a/src/query/token_reader.cpp
+++ b/src/query/token_reader.cpp
@@ -26,13 +26,13 @@
   return true;
 }
 
-bool TokenReader::number(uint64_t &out, uint64_t least, uint64_t most) {
+bool TokenReader::number(uint64_t &out, uint64_t min, uint64_t max) {
   auto parsed =
-      inRange<int64_t>(parseInteger(peek().Text), static_cast<int64_t>(least),
-                       static_cast<int64_t>(most));
+      inRange<int64_t>(parseInteger(peek().Text), static_cast<int64_t>(min),
+                       static_cast<int64_t>(max));
   if (peek().Kind != TokenKind::Word || !parsed)
-    return fail("a whole number from " + std::to_string(least) + " to " +
-                    std::to_string(most),
+    return fail("a whole number from " + std::to_string(min) + " to " +
+                    std::to_string(max),
                 "write such a number");
   out = static_cast<uint64_t>(*parsed);
   ++At;
@@ -55,8 +55,8 @@
 bool TokenReader::failAt(const Token &token, std::string_view expected,
                          std::string_view remedy) {
   if (!HasFailed)
-    Wrong = {token.Column, std::string(expected), token.Text,
-             std::string(remedy)};
+    FirstError = {token.Column, std::string(expected), token.Text,
+                  std::string(remedy)};
   HasFailed = true;
   return false;
 }
--- a/src/query/token_reader.h
+++ b/src/query/token_reader.h
@@ -11,7 +11,7 @@
 class TokenReader {
 public:
   TokenReader(std::vector<Token> tokens, ParseError &error)
-      : Tokens(std::move(tokens)), Wrong(error) {}
+      : Tokens(std::move(tokens)), FirstError(error) {}
 
   const Token &peek() const { return Tokens[At]; }
   bool atEnd() const { return peek().Kind == TokenKind::End; }
@@ -22,8 +22,8 @@
   /// Takes a word or a quoted text. Expected names it in the error.
   bool value(std::string &out, std::string_view expected,
              std::string_view remedy);
-  /// Takes a whole number from least to most.
-  bool number(uint64_t &out, uint64_t least, uint64_t most);
+  /// Takes a whole number from min to max.
+  bool number(uint64_t &out, uint64_t min, uint64_t max);
   bool expectEnd(std::string_view alternatives);
   /// Notes an error at the next token; returns false.
   bool fail(std::string_view expected, std::string_view remedy);
@@ -34,7 +34,7 @@
 
 private:
   std::vector<Token> Tokens; ///< Ends with End.
-  ParseError &Wrong;
+  ParseError &FirstError;
   size_t At = 0;
   bool HasFailed = false;
 };
--- a/src/runtime/operator_command.cpp
+++ b/src/runtime/operator_command.cpp
@@ -141,7 +141,7 @@
 void OperatorCommands::run(const query::OperatorCommand &command,
                            std::string_view text, const OperatorCaller &caller,
                            Duration wait, const DoneHook &done) {
-  if (const auto *it = std::get_if<query::StopWork>(&command)) {
+  if (const auto *it = std::get_if<query::StopRequests>(&command)) {
     stop(it->Target, text, caller, done);
     return;
   }
--- a/src/runtime/operator_query.cpp
+++ b/src/runtime/operator_query.cpp
@@ -15,8 +15,8 @@
 constexpr unsigned HttpOk = 200;
 
 void addSilent(query::Answer &out, std::string name, std::string reason) {
-  if (out.Silent.size() < query::MaxSilentNames)
-    out.Silent.push_back({std::move(name), std::move(reason)});
+  if (out.Failures.size() < query::MaxListedFailures)
+    out.Failures.push_back({std::move(name), std::move(reason)});
 }
 
 /// The answer in a reply; nothing with the reason when there is none.
@@ -49,7 +49,7 @@
     Part &part = Parts[index];
     part.Answer = answerIn(reply, part.Reason);
     RowCount += part.Answer ? part.Answer->Rows.Rows.size() : 0;
-    return Plan.All || RowCount < Query.Limit;
+    return Plan.NeedsAllInstances || RowCount < Query.Limit;
   }
 
   /// A page ends after the instance whose rows fill it, so that none shows in
@@ -59,14 +59,14 @@
     std::vector<query::Table> tables;
     size_t rows = 0;
     size_t i = 0;
-    for (; i < asked && (Plan.All || rows < Query.Limit); ++i) {
+    for (; i < asked && (Plan.NeedsAllInstances || rows < Query.Limit); ++i) {
       addPart(out, tables, i);
       rows += Parts[i].Answer ? Parts[i].Answer->Rows.Rows.size() : 0;
     }
     if (i > 0 && i < Parts.size())
       out.Next = Plan.Instances[i - 1].Name;
     query::Query whole = Query;
-    whole.Limit = Plan.All ? Query.Limit : rows;
+    whole.Limit = Plan.NeedsAllInstances ? Query.Limit : rows;
     out.Rows = query::merge(whole, tables);
     return out;
   }
@@ -81,7 +81,7 @@
   void addPart(query::Answer &out, std::vector<query::Table> &tables,
                size_t index) const {
     const Part &part = Parts[index];
-    ++out.Asked;
+    ++out.Queried;
     if (!part.Answer) {
       addSilent(out, Plan.Instances[index].Name, reasonText(part.Reason));
       return;
@@ -109,7 +109,7 @@
 query::Answer entryIsSilent(const query::Query &query, const Member &entry,
                             const Error &reason) {
   query::Answer out = nothingAsked(query);
-  out.Asked = 1;
+  out.Queried = 1;
   addSilent(out, entry.Name, reasonText(reason));
   return out;
 }
@@ -146,7 +146,7 @@
                           const OperatorCaller &caller, DoneHook done) const {
   auto snapshot = Init.Control.Snapshots();
   query::QueryPlan plan = query::planQuery(query, *snapshot);
-  if (plan.Local || caller.IsLocal)
+  if (plan.AnsweredLocally || caller.IsLocal)
     done(View.answer(query, caller.Role));
   else if (plan.RequestEntry)
     follow(query, caller, std::move(plan), std::move(done));
@@ -184,7 +184,7 @@
   if (!query::hasRows(query.From, MemberRole::Agent))
     return plan;
   auto snapshot = Init.Control.Snapshots();
-  for (Member &it : query::serversNamedBy(events, *snapshot))
+  for (Member &it : query::serversInEvents(events, *snapshot))
     plan.Instances.push_back(std::move(it));
   return plan;
 }
--- a/src/runtime/operator_view.cpp
+++ b/src/runtime/operator_view.cpp
@@ -20,7 +20,7 @@
                                    OperatorRole role) const {
   query::Answer out;
   out.Rows = query::execute(query, rows(query, role));
-  out.Asked = 1;
+  out.Queried = 1;
   out.Answered = 1;
   out.Truncated = !query.Count && out.Rows.Rows.size() == query.Limit;
   if (query.From == TableName::Events)
--- a/tests/operators/operator_http_test.cpp
+++ b/tests/operators/operator_http_test.cpp
@@ -211,10 +211,10 @@
   Processes["agent-1"].Rows = {row(query::RequestState::Waiting),
                                row(query::RequestState::Running)};
   query::Answer it = ask("show waiting");
-  EXPECT_EQ(it.Asked, 2U);
+  EXPECT_EQ(it.Queried, 2U);
   EXPECT_EQ(it.Answered, 1U);
-  ASSERT_EQ(it.Silent.size(), 1U);
-  EXPECT_EQ(it.Silent[0].Name, "agent-2");
+  ASSERT_EQ(it.Failures.size(), 1U);
+  EXPECT_EQ(it.Failures[0].Name, "agent-2");
   EXPECT_EQ(it.Rows.Rows.size(), 1U);
   EXPECT_EQ(ask("show running count").Rows.Rows[0][0], query::Cell(int64_t{1}));
 }
@@ -243,10 +243,10 @@
   Processes["agent-1"].Rows = {row(query::RequestState::Running, id),
                                row(query::RequestState::Running)};
   query::Answer it = ask("show running where request = " + toHex(id));
-  EXPECT_EQ(it.Asked, 1U);
+  EXPECT_EQ(it.Queried, 1U);
   EXPECT_EQ(it.Rows.Rows.size(), 1U);
   query::Answer events = ask("show events where request = " + toHex(id));
-  EXPECT_EQ(events.Asked, 2U);
+  EXPECT_EQ(events.Queried, 2U);
   EXPECT_EQ(events.Rows.Rows.size(), 1U);
 }
 
@@ -340,13 +340,13 @@
 TEST(Answers, RoundTripThroughJson) {
   query::Answer it;
   it.Rows.Columns = {
-      {"a", query::CellType::Text}, {"b", query::CellType::Span},
+      {"a", query::CellType::Text}, {"b", query::CellType::Duration},
       {"c", query::CellType::Time}, {"d", query::CellType::Number},
       {"e", query::CellType::Flag}, {"f", query::CellType::Bytes}};
   it.Rows.Rows = {{std::string("x\"y"), Duration(5), WallTime(Duration(6)), 0.5,
                    true, int64_t{7}},
                   {{}, {}, {}, {}, {}, {}}};
-  it.Silent = {{"agent-1", "timeout"}};
+  it.Failures = {{"agent-1", "timeout"}};
   it.Gaps = {{"agent-2", 3, WallTime(Duration(9))}};
   it.Next = "agent-1";
   Error reason;
--- a/tests/query/cell_test.cpp
+++ b/tests/query/cell_test.cpp
@@ -7,7 +7,7 @@
 
 namespace daisytack::query {
 
-TEST(Time, RoundTripsAndRefusesWhatIsNoTime) {
+TEST(Time, RoundTripsAndRejectsInvalidText) {
   EXPECT_EQ(timeText(*parseTime("2026-12-02T16:00:00Z")),
             "2026-12-02T16:00:00.000000Z");
   EXPECT_EQ(*parseTime("1970-01-01T00:00:01.5Z"),
@@ -25,8 +25,9 @@
   RC_ASSERT(parseTime(timeText(time)) == time);
 }
 
-RC_GTEST_PROP(Cells, AnyTextParsesOrNot, (const std::string &text)) {
-  for (int i = 0; i <= static_cast<int>(CellType::Span); ++i) {
+RC_GTEST_PROP(Cells, ParsedCellRoundTripsForAnyText,
+              (const std::string &text)) {
+  for (int i = 0; i <= static_cast<int>(CellType::Duration); ++i) {
     auto type = static_cast<CellType>(i);
     auto cell = parseCell(type, text);
     if (cell)
@@ -34,7 +35,7 @@
   }
 }
 
-TEST(RequestIds, TellTheirEntry) {
+TEST(RequestIds, IdentifyIssuingEntry) {
   uint64_t seed = 7;
   RandomSource random = [&] {
     return seed = seed * 6364136223846793005ULL + 1;
--- a/tests/query/command_test.cpp
+++ b/tests/query/command_test.cpp
@@ -15,7 +15,7 @@
   return out.value_or(OperatorCommand{});
 }
 
-struct Mistake {
+struct SyntaxErrorCase {
   const char *Text;
   size_t Column;
   const char *Expected;
@@ -49,12 +49,12 @@
     uint64_t n = 0;
     CommandContext context{"ann", WallTime(Duration(1000)),
                            [&] { return ++n; }};
-    return planCommand(parsed(text), View, context, Reason);
+    return planCommand(parsed(text), CurrentSnapshot, context, Reason);
   }
 
   /// The object after the only change of a command.
-  std::optional<ConfigObject> after(const std::string &text,
-                                    std::optional<ConfigObject> object) {
+  std::optional<ConfigObject> objectAfter(const std::string &text,
+                                          std::optional<ConfigObject> object) {
     auto changes = plan(text);
     EXPECT_TRUE(changes) << Reason.Detail;
     if (!changes || changes->size() != 1)
@@ -64,14 +64,14 @@
     return object;
   }
 
-  Snapshot View = sample();
+  Snapshot CurrentSnapshot = sample();
   Error Reason;
   bool Refused = false;
 };
 
 } // namespace
 
-TEST(CommandParser, ReadsEveryCommand) {
+TEST(CommandParser, ParsesEveryCommand) {
   EXPECT_EQ(parsed("drain agent-1"), OperatorCommand(DrainServer{"agent-1"}));
   EXPECT_EQ(parsed("drain server agent-1"), parsed("drain agent-1"));
   EXPECT_EQ(parsed("admit server agent-1"), parsed("undrain agent-1"));
@@ -80,10 +80,10 @@
   EXPECT_EQ(parsed("swap m to v2 adapter none"),
             OperatorCommand(SwapModel{"m", "v2", ""}));
   EXPECT_EQ(parsed("stop class c"),
-            OperatorCommand(StopWork{{std::nullopt, "c"}}));
+            OperatorCommand(StopRequests{{std::nullopt, "c"}}));
   EXPECT_EQ(parsed("stop request 00000000000000000000000000000001"),
             parsed("stop 00000000000000000000000000000001"));
-  EXPECT_EQ(parsed("purge acme"), OperatorCommand(PurgeKept{"acme"}));
+  EXPECT_EQ(parsed("purge acme"), OperatorCommand(PurgeContext{"acme"}));
   EXPECT_EQ(std::get<ReleaseClass>(parsed("release c in 10m")).In,
             std::chrono::minutes(10));
   EXPECT_EQ(
@@ -94,8 +94,8 @@
             "acme");
 }
 
-TEST(CommandParser, NamesColumnAndExpectationOfEachMistake) {
-  const Mistake mistakes[] = {
+TEST(CommandParser, ReportsColumnAndExpectedTokenOfEachError) {
+  const SyntaxErrorCase cases[] = {
       {"", 1, "a command"},
       {"frobnicate", 1, "a command"},
       {"drain", 6, "the name of a server"},
@@ -113,7 +113,7 @@
       {"release c in noon", 14, "a duration such as"},
       {"release c", 10, "'at'"},
   };
-  for (const Mistake &it : mistakes) {
+  for (const SyntaxErrorCase &it : cases) {
     ParseError error;
     EXPECT_FALSE(parseCommand(it.Text, error)) << it.Text;
     EXPECT_EQ(error.Column, it.Column) << it.Text << ": " << toString(error);
@@ -122,7 +122,7 @@
   }
 }
 
-RC_GTEST_PROP(CommandParser, AnyWordsGiveACommandOrAColumnWithinTheText, ()) {
+RC_GTEST_PROP(CommandParser, AnyWordsYieldCommandOrErrorWithinText, ()) {
   auto words = *rc::gen::container<std::vector<std::string>>(
       rc::gen::element<std::string>(
           "set", "organisation", "reuse", "acme", "acme:*", "weight", "=", "3",
@@ -138,7 +138,7 @@
   }
 }
 
-TEST(Roles, ConfigurationNeedsAnAdministrator) {
+TEST(Roles, ConfigurationRequiresAdministrator) {
   EXPECT_EQ(roleFor(parsed("drain agent-1")), OperatorRole::Operator);
   EXPECT_EQ(roleFor(parsed("release c now")), OperatorRole::Operator);
   for (const char *text : {"set class c priority=3", "admit class c",
@@ -146,7 +146,7 @@
     EXPECT_EQ(roleFor(parsed(text)), OperatorRole::Administrator) << text;
 }
 
-TEST_F(Plan, RefusesWhatTheSnapshotDoesNotKnow) {
+TEST_F(Plan, RejectsUnknownNamesAndEpochChanges) {
   for (const char *text : {"drain other", "swap other to v2",
                            "release other now", "purge other"}) {
     EXPECT_FALSE(plan(text)) << text;
@@ -158,31 +158,34 @@
 }
 
 TEST_F(Plan, EditsTheObject) {
-  auto drained = after("drain agent-1", std::nullopt);
+  auto drained = objectAfter("drain agent-1", std::nullopt);
   EXPECT_TRUE(std::get<ServerOverride>(*drained).Drained);
   EXPECT_FALSE(
-      std::get<ServerOverride>(*after("undrain agent-1", drained)).Drained);
-  Model model = View.Models[0];
-  auto swapped = std::get<Model>(*after("swap m to v2", model));
+      std::get<ServerOverride>(*objectAfter("undrain agent-1", drained))
+          .Drained);
+  Model model = CurrentSnapshot.Models[0];
+  auto swapped = std::get<Model>(*objectAfter("swap m to v2", model));
   EXPECT_EQ(swapped.Version, "v2");
   EXPECT_EQ(swapped.Adapter, "lora");
-  auto released = after("release bulletin in 1s", View.Classes[0]);
+  auto released =
+      objectAfter("release bulletin in 1s", CurrentSnapshot.Classes[0]);
   EXPECT_EQ(std::get<RequestClass>(*released).ReleaseAt,
             WallTime(Duration(1'001'000)));
-  EXPECT_FALSE(after("delete class bulletin", View.Classes[0]));
+  EXPECT_FALSE(
+      objectAfter("delete class bulletin", CurrentSnapshot.Classes[0]));
 }
 
-TEST_F(Plan, AdmitRefusesWhatExistsAndDeleteWhatDoesNot) {
-  after("admit class bulletin", View.Classes[0]);
+TEST_F(Plan, AdmitRejectsExistingAndDeleteRejectsMissingObjects) {
+  objectAfter("admit class bulletin", CurrentSnapshot.Classes[0]);
   EXPECT_TRUE(Refused);
   EXPECT_EQ(Reason.Kind, ErrorKind::Conflict);
-  after("delete class bulletin", std::nullopt);
+  objectAfter("delete class bulletin", std::nullopt);
   EXPECT_TRUE(Refused);
   EXPECT_EQ(Reason.Kind, ErrorKind::NotFound);
 }
 
-TEST_F(Plan, PurgeRaisesEveryPolicyAboveAllEpochsSeen) {
-  View.Policies = {policy("*", 2), policy("bulletin", 7)};
+TEST_F(Plan, PurgeRaisesEveryPolicyAboveHighestEpoch) {
+  CurrentSnapshot.Policies = {policy("*", 2), policy("bulletin", 7)};
   auto changes = plan("purge acme");
   ASSERT_TRUE(changes);
   ASSERT_EQ(changes->size(), 2U);
@@ -194,10 +197,11 @@
   EXPECT_NE(changes->at(0).Id, changes->at(1).Id);
 }
 
-TEST_F(Plan, PurgedContextCannotBeNamedAgain) {
-  View.Policies = {policy("*", 3)};
+TEST_F(Plan, PurgedContextCannotBeReused) {
+  CurrentSnapshot.Policies = {policy("*", 3)};
   // A policy that is new starts at the organisation's epoch.
-  auto created = after("set reuse acme:bulletin reuse=true", std::nullopt);
+  auto created =
+      objectAfter("set reuse acme:bulletin reuse=true", std::nullopt);
   EXPECT_EQ(std::get<ReusePolicy>(*created).Epoch, 3U);
   // Without the policy for all classes, the default epoch would return.
   EXPECT_FALSE(plan("delete reuse acme:*"));
@@ -208,14 +212,14 @@
   EXPECT_EQ(std::get<ReusePolicy>(*raced).Epoch, 10U);
 }
 
-TEST_F(Plan, APurgeCoversAPolicyThatIsWrittenAtTheSameTime) {
+TEST_F(Plan, PurgeCoversConcurrentlyWrittenPolicy) {
   // The policy was planned before the purge and written after it.
-  View.Policies = {policy("*", 4), policy("bulletin", 3)};
-  View.finish();
-  EXPECT_EQ(View.policy("acme", "bulletin").Epoch, 4U);
-  EXPECT_EQ(View.policy("acme", "bulletin").Class, "bulletin");
-  EXPECT_EQ(View.policy("acme", "other").Epoch, 4U);
-  EXPECT_EQ(View.policy("nobody", "other").Epoch, 0U);
+  CurrentSnapshot.Policies = {policy("*", 4), policy("bulletin", 3)};
+  CurrentSnapshot.finish();
+  EXPECT_EQ(CurrentSnapshot.policy("acme", "bulletin").Epoch, 4U);
+  EXPECT_EQ(CurrentSnapshot.policy("acme", "bulletin").Class, "bulletin");
+  EXPECT_EQ(CurrentSnapshot.policy("acme", "other").Epoch, 4U);
+  EXPECT_EQ(CurrentSnapshot.policy("nobody", "other").Epoch, 0U);
 }
 
 } // namespace daisytack::query
--- a/tests/query/docs_test.cpp
+++ b/tests/query/docs_test.cpp
@@ -30,7 +30,7 @@
   return out.str();
 }
 
-bool names(const std::string &text, std::string_view word) {
+bool mentions(const std::string &text, std::string_view word) {
   return text.find("`" + std::string(word) + "`") != std::string::npos;
 }
 
@@ -48,7 +48,7 @@
 
 } // namespace
 
-TEST(Docs, EveryRefusalStandsWithItsRemedy) {
+TEST(Docs, EveryRefusalIsListedWithItsRemedy) {
   std::string text = page("OPERATORS.md");
   ASSERT_FALSE(text.empty());
   for (int i = 1; i <= static_cast<int>(ErrorKind::Internal); ++i) {
@@ -60,23 +60,23 @@
   }
 }
 
-TEST(Docs, EveryTableFieldKindAndVerbStands) {
+TEST(Docs, EveryTableFieldKindAndVerbIsDocumented) {
   std::string text = page("LANGUAGE.md");
   ASSERT_FALSE(text.empty());
-  for (size_t i = 0; i < TableNames; ++i) {
+  for (size_t i = 0; i < TableNameCount; ++i) {
     auto table = static_cast<TableName>(i);
-    EXPECT_TRUE(names(text, tableNameText(table))) << tableNameText(table);
+    EXPECT_TRUE(mentions(text, tableNameText(table))) << tableNameText(table);
     for (const Column &it : columnsOf(table))
-      EXPECT_TRUE(names(text, it.Name)) << it.Name;
+      EXPECT_TRUE(mentions(text, it.Name)) << it.Name;
   }
   for (std::string_view it : commandVerbs())
     EXPECT_NE(text.find("\"" + std::string(it) + "\""), std::string::npos)
         << it;
   for (size_t i = 0; i < control::ObjectKinds; ++i) {
     control::ObjectKey key{static_cast<control::ObjectKind>(i), "a:b"};
-    EXPECT_TRUE(names(text, control::objectKindName(key.Kind)));
+    EXPECT_TRUE(mentions(text, control::objectKindName(key.Kind)));
     for (const auto &it : control::fieldsOf(control::defaultObject(key)))
-      EXPECT_TRUE(names(text, it.Field)) << it.Field;
+      EXPECT_TRUE(mentions(text, it.Field)) << it.Field;
   }
 }
 
@@ -90,7 +90,7 @@
   }
 }
 
-TEST(Docs, TheExampleOfAMistakeIsWhatTheParserSays) {
+TEST(Docs, ExampleErrorMatchesParserOutput) {
   std::string text = page("LANGUAGE.md");
   text = text.substr(text.find("## Mistakes"));
   auto examples = statements(text, "show ");
@@ -119,13 +119,13 @@
   EXPECT_GE(parsed, 12U);
 }
 
-TEST(Docs, EverySharedMetricStands) {
+TEST(Docs, EverySharedMetricIsDocumented) {
   std::string text = page("METRICS.md");
   for (const char *it :
        {metric::FirstToken, metric::PromptTokens, metric::RecomputedTokens,
         metric::LinkBytes, metric::ProcessCpu, metric::ProcessMemory,
         metric::CpuBudget, metric::MemoryBudget, metric::BytesBudget})
-    EXPECT_TRUE(names(text, it)) << it;
+    EXPECT_TRUE(mentions(text, it)) << it;
 }
 
 } // namespace daisytack::query
--- a/tests/query/query_test.cpp
+++ b/tests/query/query_test.cpp
@@ -19,7 +19,7 @@
   return out.value_or(Query{});
 }
 
-struct Mistake {
+struct SyntaxErrorCase {
   const char *Text;
   size_t Column;
   const char *Expected;
@@ -59,7 +59,7 @@
   return out;
 }
 
-std::vector<std::string> asked(const std::string &text) {
+std::vector<std::string> plannedInstances(const std::string &text) {
   std::vector<std::string> out;
   for (const Member &it : planQuery(parsed(text), fleet()).Instances)
     out.push_back(it.Name);
@@ -68,8 +68,8 @@
 
 } // namespace
 
-TEST(QueryParser, NamesColumnAndExpectationOfEachMistake) {
-  const Mistake mistakes[] = {
+TEST(QueryParser, ReportsColumnAndExpectedTokenOfEachError) {
+  const SyntaxErrorCase cases[] = {
       {"", 1, "'show'"},
       {"list requests", 1, "'show'"},
       {"show", 5, "a table"},
@@ -87,7 +87,7 @@
       {"show running where model = \"m", 28, "a closing double quote"},
       {"show running; drop", 13, "a word"},
   };
-  for (const Mistake &it : mistakes) {
+  for (const SyntaxErrorCase &it : cases) {
     ParseError error;
     EXPECT_FALSE(parseQuery(it.Text, error)) << it.Text;
     EXPECT_EQ(error.Column, it.Column) << it.Text << ": " << toString(error);
@@ -96,7 +96,7 @@
   }
 }
 
-TEST(QueryParser, PrintsWhatItParsed) {
+TEST(QueryParser, PrintsParsedQueryUnchanged) {
   for (const char *text :
        {"show requests",
         "show waiting where organisation = \"a b\\\"c\" and age >= 3s",
@@ -107,7 +107,7 @@
     EXPECT_EQ(toString(parsed(text)), text);
 }
 
-RC_GTEST_PROP(QueryParser, AnyBytesGiveAQueryOrAColumnWithinTheText,
+RC_GTEST_PROP(QueryParser, AnyBytesYieldQueryOrErrorWithinText,
               (const std::vector<unsigned char> &bytes)) {
   std::string text(bytes.begin(), bytes.end());
   ParseError error;
@@ -120,7 +120,7 @@
   RC_ASSERT(!error.Expected.empty() && !error.Remedy.empty());
 }
 
-RC_GTEST_PROP(QueryParser, AnyWordsGiveAQueryOrAColumnWithinTheText, ()) {
+RC_GTEST_PROP(QueryParser, AnyWordsYieldQueryOrErrorWithinText, ()) {
   auto words = *rc::gen::container<std::vector<std::string>>(
       rc::gen::element<std::string>(
           "show", "waiting", "kept", "events", "where", "age", "bytes", "=",
@@ -195,25 +195,26 @@
             merge(query, {execute(query, whole)}));
 }
 
-TEST(QueryPlan, AsksOnlyTheProcessesConcerned) {
-  EXPECT_TRUE(planQuery(parsed("show servers"), fleet()).Local);
-  EXPECT_EQ(asked("show events").size(), 8U);
-  EXPECT_EQ(asked("show requests").size(), 2U);
-  EXPECT_EQ(asked("show waiting").size(), 6U);
-  EXPECT_EQ(asked("show kept where model = n").size(), 3U);
-  EXPECT_EQ(asked("show waiting where instance = agent-2"),
+TEST(QueryPlan, QueriesOnlyMatchingProcesses) {
+  EXPECT_TRUE(planQuery(parsed("show servers"), fleet()).AnsweredLocally);
+  EXPECT_EQ(plannedInstances("show events").size(), 8U);
+  EXPECT_EQ(plannedInstances("show requests").size(), 2U);
+  EXPECT_EQ(plannedInstances("show waiting").size(), 6U);
+  EXPECT_EQ(plannedInstances("show kept where model = n").size(), 3U);
+  EXPECT_EQ(plannedInstances("show waiting where instance = agent-2"),
             (std::vector<std::string>{"agent-2"}));
-  EXPECT_EQ(asked("show running where server = agent-4"),
+  EXPECT_EQ(plannedInstances("show running where server = agent-4"),
             (std::vector<std::string>{"agent-4"}));
-  EXPECT_EQ(asked("show waiting after agent-3"),
+  EXPECT_EQ(plannedInstances("show waiting after agent-3"),
             (std::vector<std::string>{"agent-4", "agent-5"}));
-  EXPECT_TRUE(planQuery(parsed("show waiting order by age"), fleet()).All);
+  EXPECT_TRUE(planQuery(parsed("show waiting order by age"), fleet())
+                  .NeedsAllInstances);
 }
 
-TEST(QueryPlan, ARequestIsLookedUpAtItsEntry) {
+TEST(QueryPlan, LooksUpRequestAtIssuingEntry) {
   RequestId id = makeRequestId("entry-2", [] { return uint64_t{5}; });
   std::string text = "where request = " + toHex(id);
-  EXPECT_EQ(asked("show events " + text),
+  EXPECT_EQ(plannedInstances("show events " + text),
             (std::vector<std::string>{"entry-2"}));
   auto plan = planQuery(parsed("show running " + text), fleet());
   ASSERT_TRUE(plan.RequestEntry);
@@ -224,13 +225,14 @@
   offered.Request = id;
   offered.Subject = "agent-1";
   auto servers =
-      serversNamedBy(eventTable("entry-2", 0, {&offered, 1}), fleet());
+      serversInEvents(eventTable("entry-2", 0, {&offered, 1}), fleet());
   ASSERT_EQ(servers.size(), 1U);
   EXPECT_EQ(servers[0].Name, "agent-1");
   EXPECT_EQ(execute(eventsOfRequest(id), eventTable("e", 0, {&offered, 1}))
                 .Rows.size(),
             1U);
-  EXPECT_TRUE(asked("show events where request = " + toHex(Id)).empty());
+  EXPECT_TRUE(
+      plannedInstances("show events where request = " + toHex(Id)).empty());
 }
 
 TEST(Schema, RowsAreAsWideAsTheirColumns) {
--- a/tests/query/timeline_test.cpp
+++ b/tests/query/timeline_test.cpp
@@ -14,8 +14,8 @@
 
 const RequestId Id{0xabcdef0000000000ULL, 1};
 
-Event at(uint64_t wall, uint32_t logical, EventKind kind,
-         const std::string &subject = "") {
+Event eventAt(uint64_t wall, uint32_t logical, EventKind kind,
+              const std::string &subject = "") {
   Event out;
   out.At = {wall, logical};
   out.Kind = kind;
@@ -34,14 +34,14 @@
 /// An entry whose events stand between those of an agent.
 Timeline sample() {
   Answer entry =
-      page("entry-1", {at(100, 0, EventKind::RequestReceived),
-                       at(100, 1, EventKind::RequestOffered, "agent-1"),
-                       at(900, 0, EventKind::RequestAnswered)});
-  Answer agent = page("agent-1", {at(100, 2, EventKind::RunQueued),
-                                  at(300, 0, EventKind::RunStarted),
-                                  at(800, 0, EventKind::RunFinished)});
+      page("entry-1", {eventAt(100, 0, EventKind::RequestReceived),
+                       eventAt(100, 1, EventKind::RequestOffered, "agent-1"),
+                       eventAt(900, 0, EventKind::RequestAnswered)});
+  Answer agent = page("agent-1", {eventAt(100, 2, EventKind::RunQueued),
+                                  eventAt(300, 0, EventKind::RunStarted),
+                                  eventAt(800, 0, EventKind::RunFinished)});
   agent.Gaps = {{"agent-1", 7, WallTime(Duration(100))}};
-  agent.Silent = {{"agent-2", "timeout <b>"}};
+  agent.Failures = {{"agent-2", "timeout <b>"}};
   return timelineOf({agent, entry}, WallTime(Duration(50)));
 }
 
@@ -64,7 +64,7 @@
                        "run_started", "run_finished", "request_answered"}));
 }
 
-TEST(Timeline, FindsSpansAndThoseNotEnded) {
+TEST(Timeline, FindsFinishedAndOpenSpans) {
   Timeline it = sample();
   auto spans = spansOf(it);
   ASSERT_EQ(spans.size(), 3U);
@@ -76,11 +76,11 @@
   EXPECT_TRUE(spansOf(it)[1].IsOpen);
 }
 
-TEST(Timeline, AnEntryWaitsForTheFirstToken) {
+TEST(Timeline, EntryWaitEndsAtFirstToken) {
   auto spans = spansOf(
-      timelineOf({page("entry-1", {at(100, 0, EventKind::OfferAccepted),
-                                   at(700, 0, EventKind::FirstToken),
-                                   at(900, 0, EventKind::RunFinished)})},
+      timelineOf({page("entry-1", {eventAt(100, 0, EventKind::OfferAccepted),
+                                   eventAt(700, 0, EventKind::FirstToken),
+                                   eventAt(900, 0, EventKind::RunFinished)})},
                  WallTime()));
   ASSERT_EQ(spans.size(), 1U);
   EXPECT_EQ(spans[0].Name, "wait");
@@ -93,7 +93,7 @@
   EXPECT_TRUE(timelineOf({old}, WallTime(Duration(50))).Gaps.empty());
 }
 
-TEST(Timeline, TextShowsGapsAndSilentInstances) {
+TEST(Timeline, TextShowsGapsAndFailedQueries) {
   std::string text = timelineText(sample(), false);
   EXPECT_NE(text.find("gap: 7 earlier events"), std::string::npos) << text;
   EXPECT_NE(text.find("silent: agent-2"), std::string::npos);
@@ -126,7 +126,7 @@
   EXPECT_FALSE(timelinePage({}, {}, "empty").empty());
 }
 
-TEST(Measures, AddUpWhatProcessesExpose) {
+TEST(Measures, SumsMetricsOfAllProcesses) {
   Metrics first;
   Metrics second;
   for (Metrics *it : {&first, &second}) {
@@ -143,12 +143,12 @@
   const ServingMeasure &it = out.Serving.at({"m", "bul\"letin"});
   EXPECT_EQ(it.requests(), 2U);
   EXPECT_EQ(it.recomputedShare(), 0.25);
-  EXPECT_NEAR(it.firstToken(0.95), 0.5, 0.3);
+  EXPECT_NEAR(it.firstTokenQuantile(0.95), 0.5, 0.3);
   EXPECT_EQ((out.LinkBytes.at("fetch")), 20U);
-  EXPECT_EQ(ServingMeasure{}.firstToken(0.5), 0);
+  EXPECT_EQ(ServingMeasure{}.firstTokenQuantile(0.5), 0);
 }
 
-TEST(ServingMetrics, ThePairsAreBounded) {
+TEST(ServingMetrics, BoundsModelClassPairs) {
   Metrics metrics;
   ServingMetrics serving(metrics);
   for (size_t i = 0; i < ServingMetrics::MaxPairs + 10; ++i)
@@ -157,13 +157,13 @@
   EXPECT_EQ(serving.of("m", "0").PromptTokens.get(), 1U);
 }
 
-TEST(TableText, AlignsAndTellsWhatIsMissing) {
+TEST(TableText, AlignsColumnsAndListsMissingInstances) {
   Answer it;
   it.Rows.Columns = {{"name", CellType::Text}, {"n", CellType::Integer}};
   it.Rows.Rows = {{std::string("a\033[2J"), int64_t{100}}, {{}, int64_t{7}}};
-  it.Asked = 3;
+  it.Queried = 3;
   it.Answered = 2;
-  it.Silent = {{"agent-2", "timeout"}};
+  it.Failures = {{"agent-2", "timeout"}};
   it.Next = "agent-1";
   EXPECT_EQ(renderAnswer(it, false), "name     n\n"
                                      "a?[2J  100\n"
--- a/tools/agent/agent_operators.cpp
+++ b/tools/agent/agent_operators.cpp
@@ -69,10 +69,10 @@
   query::ServerRow row;
   row.Name = options.Core.Instance;
   row.Version = picture->Load.Version;
-  row.Wait = Duration(static_cast<int64_t>(picture->Load.WaitMicros));
+  row.PredictedWait = Duration(static_cast<int64_t>(picture->Load.WaitMicros));
   row.Running = picture->Load.Running;
   row.Waiting = picture->Load.Waiting;
-  row.Heard = monotonicNow() - picture->At;
+  row.ReportAge = monotonicNow() - picture->At;
   return {row};
 }
 
--- a/tools/client/completion.cpp
+++ b/tools/client/completion.cpp
@@ -14,7 +14,7 @@
 
 std::string tables() {
   std::string out;
-  for (size_t i = 0; i < query::TableNames; ++i)
+  for (size_t i = 0; i < query::TableNameCount; ++i)
     out += std::string(tableNameText(static_cast<query::TableName>(i))) + " ";
   return out;
 }
@@ -36,7 +36,7 @@
 /// One case per table: its fields after "where", "by".
 std::string fieldCases() {
   std::string out;
-  for (size_t i = 0; i < query::TableNames; ++i) {
+  for (size_t i = 0; i < query::TableNameCount; ++i) {
     auto table = static_cast<query::TableName>(i);
     std::string fields;
     for (const query::Column &it : query::columnsOf(table))
--- a/tools/client/statements.cpp
+++ b/tools/client/statements.cpp
@@ -72,8 +72,8 @@
     std::cout << response.Body << std::endl;
   else
     std::cout << query::renderAnswer(*answer, options.Colours) << std::flush;
-  return answer->Answered < answer->Asked ? ExitCode::Incomplete
-                                          : ExitCode::Done;
+  return answer->Answered < answer->Queried ? ExitCode::Incomplete
+                                            : ExitCode::Done;
 }
 
 ExitCode queryOnce(const std::string &text, const Options &options,
--- a/tools/client/timeline_command.cpp
+++ b/tools/client/timeline_command.cpp
@@ -135,7 +135,7 @@
   }
   query::Timeline timeline = query::timelineOf(*pages, since);
   print(timeline, options, connection);
-  return timeline.Silent.empty() ? ExitCode::Done : ExitCode::Incomplete;
+  return timeline.Failures.empty() ? ExitCode::Done : ExitCode::Incomplete;
 }
 
 } // namespace daisytack::client
--- a/tools/entry/operator_rows.cpp
+++ b/tools/entry/operator_rows.cpp
@@ -26,12 +26,12 @@
     row.Ejected = state.Ejected.isEjected(it.NameHash, now);
     LoadEstimate load = state.Loads.estimate(it.NameHash, now);
     if (load.Known)
-      row.Wait = load.Wait;
+      row.PredictedWait = load.Wait;
     if (auto heard = state.Heard.of(it.Name)) {
       row.Version = heard->Load.Version;
       row.Running = heard->Load.Running;
       row.Waiting = heard->Load.Waiting;
-      row.Heard = now - heard->At;
+      row.ReportAge = now - heard->At;
     }
     out.push_back(std::move(row));
   }
