--- a/src/base/decision_log.cpp
+++ b/src/base/decision_log.cpp
@@ -18,7 +18,7 @@
     : Settings(settings), Process(std::move(process)), Write(std::move(sink)),
       Written(metrics.counter("daisytack_log_lines_total",
                               "Structured log lines written")),
-      LeftOut(metrics.counter("daisytack_log_lines_left_out_total",
+      Dropped(metrics.counter("daisytack_log_lines_left_out_total",
                               "Structured log lines over the bound")) {}
 
 DecisionLog::~DecisionLog() {
@@ -26,29 +26,29 @@
     Write(Buffer);
 }
 
-bool DecisionLog::admitLocked(LogWeight weight, TimePoint now) {
+bool DecisionLog::admitLocked(LogPriority priority, TimePoint now) {
   if (now >= SecondStart + OneSecond) {
     SecondStart = now;
-    InSecond = 0;
-    tellLossLocked(now);
+    LinesInSecond = 0;
+    reportDroppedLocked(now);
   }
   auto bound = static_cast<double>(Settings.LinesPerSecond);
-  if (weight == LogWeight::Routine)
+  if (priority == LogPriority::Routine)
     bound *= 1 - Settings.NotableReserve;
-  if (InSecond >= bound || Buffer.size() >= Settings.BufferBytes) {
-    LeftOut.add();
-    ++Untold;
+  if (LinesInSecond >= bound || Buffer.size() >= Settings.BufferBytes) {
+    Dropped.add();
+    ++UnreportedDrops;
     return false;
   }
-  ++InSecond;
+  ++LinesInSecond;
   return true;
 }
 
-void DecisionLog::tellLossLocked(TimePoint now) {
-  if (Untold == 0 || Buffer.size() >= Settings.BufferBytes)
+void DecisionLog::reportDroppedLocked(TimePoint now) {
+  if (UnreportedDrops == 0 || Buffer.size() >= Settings.BufferBytes)
     return;
-  Fields fields{{"lines", Untold}};
-  Untold = 0;
+  Fields fields{{"lines", UnreportedDrops}};
+  UnreportedDrops = 0;
   appendLocked("log_lines_left_out", std::move(fields), now);
 }
 
@@ -64,17 +64,17 @@
   Written.add();
 }
 
-void DecisionLog::write(LogWeight weight, std::string_view event, Fields fields,
-                        TimePoint now) {
+void DecisionLog::write(LogPriority priority, std::string_view event,
+                        Fields fields, TimePoint now) {
   std::lock_guard guard(Lock);
-  if (admitLocked(weight, now))
+  if (admitLocked(priority, now))
     appendLocked(event, std::move(fields), now);
 }
 
 void DecisionLog::flush(TimePoint now) {
   std::lock_guard guard(Lock);
   if (now >= SecondStart + OneSecond)
-    tellLossLocked(now);
+    reportDroppedLocked(now);
   if (Buffer.empty())
     return;
   Buffer.erase(0, Write(Buffer));
--- a/src/base/decision_log.h
+++ b/src/base/decision_log.h
@@ -21,7 +21,7 @@
 namespace daisytack {
 
 /// Routine lines are left out first.
-enum class LogWeight : uint8_t { Routine, Notable };
+enum class LogPriority : uint8_t { Routine, Notable };
 
 struct DecisionLogSettings {
   /// Lines a second; a share of them is kept for notable ones. At about 250
@@ -50,26 +50,27 @@
   DecisionLog &operator=(const DecisionLog &) = delete;
 
   /// Adds "at_us" (monotonic), "process" and "event" to the fields.
-  void write(LogWeight weight, std::string_view event, Fields fields,
+  void write(LogPriority priority, std::string_view event, Fields fields,
              TimePoint now);
   /// Gives the sink what waits. Call several times a second.
   void flush(TimePoint now);
 
 private:
-  bool admitLocked(LogWeight weight, TimePoint now);
+  bool admitLocked(LogPriority priority, TimePoint now);
   void appendLocked(std::string_view event, Fields fields, TimePoint now);
-  void tellLossLocked(TimePoint now);
+  void reportDroppedLocked(TimePoint now);
 
   DecisionLogSettings Settings;
   std::string Process;
   Sink Write;
   Counter &Written;
-  Counter &LeftOut;
+  Counter &Dropped;
   std::mutex Lock;
   std::string Buffer;
   TimePoint SecondStart;
-  uint32_t InSecond = 0;
-  uint64_t Untold = 0; ///< Lines left out since the last line that said so.
+  uint32_t LinesInSecond = 0;
+  uint64_t UnreportedDrops =
+      0; ///< Lines left out since the last line that said so.
 };
 
 /// Writes to standard output, which it makes non-blocking.
--- a/src/gateway/context_follower.cpp
+++ b/src/gateway/context_follower.cpp
@@ -90,7 +90,7 @@
   followed.Next = list->Next;
   followed.IncompleteParts = {list->Incomplete.begin(), list->Incomplete.end()};
   State.StoredParts.apply(store, *list);
-  State.Log.write(LogWeight::Notable, "store_listed",
+  State.Log.write(LogPriority::Notable, "store_listed",
                   {{"store", store},
                    {"epoch", list->Epoch},
                    {"parts", list->Kept.size()},
@@ -148,7 +148,7 @@
   if (changes->ClockMs)
     State.Clock.observe(*changes->ClockMs, now);
   if (followed.Epoch != changes->Epoch)
-    State.Log.write(LogWeight::Notable, "store_restarted",
+    State.Log.write(LogPriority::Notable, "store_restarted",
                     {{"store", store},
                      {"epoch", changes->Epoch},
                      {"epoch_before", followed.Epoch}},
@@ -163,14 +163,14 @@
 void ContextFollower::onCallFailed(const std::string &store) {
   State.StoredParts.onUnreachable(store);
   if (!std::exchange(Stores[store].IsUnreachable, true))
-    State.Log.write(LogWeight::Notable, "store_lost", {{"store", store}},
+    State.Log.write(LogPriority::Notable, "store_lost", {{"store", store}},
                     monotonicNow());
   scheduleNext(store, Settings.RetryInterval);
 }
 
 void ContextFollower::markAnswered(const std::string &store, TimePoint now) {
   if (std::exchange(Stores[store].IsUnreachable, false))
-    State.Log.write(LogWeight::Notable, "store_regained", {{"store", store}},
+    State.Log.write(LogPriority::Notable, "store_regained", {{"store", store}},
                     now);
 }
 
@@ -195,7 +195,7 @@
 void ContextFollower::onEntryAnswered(const direct::NotifyEntry &notification,
                                       bool hasAgreed) {
   TimePoint now = monotonicNow();
-  State.Log.write(LogWeight::Notable, "context_retirement_told",
+  State.Log.write(LogPriority::Notable, "context_retirement_told",
                   {{"peer", toString(notification.Peer)},
                    {"revision", notification.Revision},
                    {"agreed", hasAgreed}},
@@ -241,7 +241,7 @@
     std::optional<int64_t> until = State.Clock.at(now);
     if (until)
       *until += Settings.FreeTimeout.count() / 1000;
-    State.Log.write(LogWeight::Notable, "parts_freed",
+    State.Log.write(LogPriority::Notable, "parts_freed",
                     {{"store", store},
                      {"parts", parts.size()},
                      {"first", parts.front().Scope + "/" + parts.front().Part},
--- a/src/gateway/entry_lease.cpp
+++ b/src/gateway/entry_lease.cpp
@@ -39,7 +39,7 @@
 void EntryLease::announceAgain() {
   if (IsStopped || !std::exchange(IsAnnounced, false))
     return;
-  Log.write(LogWeight::Notable, "entry_announcement_lost", {{"lease", Lease}},
+  Log.write(LogPriority::Notable, "entry_announcement_lost", {{"lease", Lease}},
             monotonicNow());
   Timer.cancel();
   announce();
@@ -79,7 +79,7 @@
 void EntryLease::logEndFailure(const edge::KvHeader &answer) {
   if (answer.Status == edge::KvStatus::Ok)
     return;
-  Log.write(LogWeight::Notable, "entry_lease_left",
+  Log.write(LogPriority::Notable, "entry_lease_left",
             {{"reason", answer.Reason.Detail}}, monotonicNow());
 }
 
@@ -143,7 +143,7 @@
             return self->schedule(RetryPause, &EntryLease::acquireLease);
           self->RegistrationRevision = header.Revision;
           self->IsAnnounced = true;
-          self->Log.write(LogWeight::Notable, "entry_announced",
+          self->Log.write(LogPriority::Notable, "entry_announced",
                           {{"lease", self->Lease}}, monotonicNow());
           self->schedule(self->Term / RenewalsPerTerm, &EntryLease::renew);
         });
@@ -163,7 +163,7 @@
                                   &EntryLease::renew);
           if (!isOk)
             return self->schedule(RetryPause, &EntryLease::renew);
-          self->Log.write(LogWeight::Notable, "entry_lease_lapsed",
+          self->Log.write(LogPriority::Notable, "entry_lease_lapsed",
                           {{"lease", self->Lease}}, monotonicNow());
           self->IsAnnounced = false;
           self->acquireLease();
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -148,7 +148,7 @@
     commitAsHolder(
         {key, State.WireProtocol.EncodeRetired({write.Retirements}), 0, false},
         write.ExpectedRevision, [this, done](const edge::KvHeader &header) {
-          Log.write(LogWeight::Notable, "context_retired",
+          Log.write(LogPriority::Notable, "context_retired",
                     {{"status", edge::kvStatusName(header.Status)},
                      {"revision", header.Revision}},
                     monotonicNow());
@@ -160,7 +160,7 @@
     std::string key = State.WireProtocol.RegistrationKey(remove.Peer);
     commitAsHolder({key, {}, 0, true}, remove.Revision,
                    [this, done, remove](const edge::KvHeader &header) {
-                     Log.write(LogWeight::Notable, "registration_removed",
+                     Log.write(LogPriority::Notable, "registration_removed",
                                {{"peer", toString(remove.Peer)},
                                 {"status", edge::kvStatusName(header.Status)},
                                 {"revision", header.Revision}},
@@ -208,7 +208,7 @@
 }
 
 bool Gateway::start(Error &reason) {
-  Log.write(LogWeight::Notable, "started",
+  Log.write(LogPriority::Notable, "started",
             {{"failure_domain", Options.FailureDomain},
              {"callers", toString(Options.Callers)},
              {"service", toString(Options.Store)}},
@@ -233,7 +233,7 @@
       !(options.SlowStart == Options.SlowStart) ||
       !(options.Placement == Options.Placement);
   Peers->setSeeds(options.Seeds);
-  Log.write(LogWeight::Notable, "settings_reloaded",
+  Log.write(LogPriority::Notable, "settings_reloaded",
             {{"seeds", options.Seeds.size()}, {"needs_restart", needsRestart}},
             monotonicNow());
 }
@@ -289,7 +289,7 @@
             .insert_or_assign(start, server.Weights.front().Version)
             .second;
     if (isNewlyKnown)
-      Log.write(LogWeight::Notable, "server_avoided",
+      Log.write(LogPriority::Notable, "server_avoided",
                 {{"server", server.Id}, {"reason", "it takes new weights"}},
                 monotonicNow());
   }
@@ -345,7 +345,7 @@
   const direct::ServingConfig &config = catalog->Config->config();
   CallerServer.setLimits(config.Limits);
   State.StoredParts.setStores(config.Services);
-  Log.write(LogWeight::Notable, "configuration_applied",
+  Log.write(LogPriority::Notable, "configuration_applied",
             {{"version", config.Version},
              {"revision", AppliedConfigRevision},
              {"routes", config.Routes.size()},
@@ -407,7 +407,7 @@
 void Gateway::beginDrain(TimePoint now) {
   Orders->stop();
   LastBusyAt = now;
-  Log.write(LogWeight::Notable, "draining",
+  Log.write(LogPriority::Notable, "draining",
             {{"running", State.Running.size()},
              {"connections", CallerServer.openConnections()},
              {"since_last_tick_ms", (now - LastTickAt.load()).count() / 1000}},
@@ -440,7 +440,7 @@
     return;
   LastBusyAt = now;
   CallerServer.stopAccepting();
-  Log.write(LogWeight::Notable, "listener_closed",
+  Log.write(LogPriority::Notable, "listener_closed",
             {{"running", State.Running.size()},
              {"connections", CallerServer.openConnections()}},
             now);
@@ -452,7 +452,7 @@
   std::vector<std::shared_ptr<GatewayRequest>> running = State.Running.all();
   for (const auto &request : running)
     request->failIfUnanswered();
-  Log.write(LogWeight::Notable, "last_word", {{"running", running.size()}},
+  Log.write(LogPriority::Notable, "last_word", {{"running", running.size()}},
             now);
 }
 
@@ -482,7 +482,7 @@
   Follower->stop();
   TimePoint now = monotonicNow();
   Duration drained = State.Drain.load()->elapsed(now);
-  Log.write(LogWeight::Notable, "stopped",
+  Log.write(LogPriority::Notable, "stopped",
             {{"drained_ms", drained.count() / 1000},
              {"cut_off", State.Running.size()}},
             now);
--- a/src/gateway/gateway_http.cpp
+++ b/src/gateway/gateway_http.cpp
@@ -106,7 +106,7 @@
   unsigned status = errorStatus(reason.Kind);
   State.Stats.Refused.add();
   auto catalog = State.catalog();
-  State.Log.write(LogWeight::Notable, "request_refused",
+  State.Log.write(LogPriority::Notable, "request_refused",
                   {{"request", head.RequestId},
                    {"host", head.Host},
                    {"path", head.Path},
@@ -125,7 +125,7 @@
   std::shared_ptr<const direct::DrainPlan> drain = State.Drain.load();
   if (!drain)
     return;
-  State.Log.write(LogWeight::Notable, "request_while_draining",
+  State.Log.write(LogPriority::Notable, "request_while_draining",
                   {{"request", requestId},
                    {"drained_ms", drain->elapsed(now).count() / 1000},
                    {"on_connection", request.OnConnection},
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -210,7 +210,7 @@
     fields["fetch_until_ms"] = *order.FetchUntilMs;
   if (order.SlowestSource)
     fields["slowest_source"] = toString(*order.SlowestSource);
-  State.Log.write(LogWeight::Routine, "attempt_sent", std::move(fields), now);
+  State.Log.write(LogPriority::Routine, "attempt_sent", std::move(fields), now);
   net::HttpHooks hooks;
   hooks.IsOwn = [self = shared_from_this()](const auto &headers) {
     return self->State.WireProtocol.IsAnswerTo(self->Flow.request().Head,
@@ -270,7 +270,7 @@
   bool isNewlyKnown =
       head.IsLeaving && State.Loads.onLeaving(Order.server().key(), now);
   if (isNewlyKnown)
-    State.Log.write(LogWeight::Notable, "server_avoided",
+    State.Log.write(LogPriority::Notable, "server_avoided",
                     {{"server", Order.ServerId},
                      {"reason", "its answers say that it leaves"}},
                     now);
@@ -332,7 +332,7 @@
     fields["identity"] = toHex(identity());
   if (FirstByteAt)
     fields["first_byte_ms"] = millisecondsOf(*FirstByteAt - SentAt);
-  State.Log.write(isSuccess ? LogWeight::Routine : LogWeight::Notable,
+  State.Log.write(isSuccess ? LogPriority::Routine : LogPriority::Notable,
                   "attempt_ended", std::move(fields), now);
 }
 
@@ -346,7 +346,7 @@
   if (mayBeWeights)
     return;
   State.Loads.onReplaced(order.server(), now);
-  State.Log.write(LogWeight::Notable, "server_avoided",
+  State.Log.write(LogPriority::Notable, "server_avoided",
                   {{"server", order.ServerId},
                    {"reason", "its address belongs to another instance"}},
                   now);
@@ -376,7 +376,7 @@
       EjectionVerdict::Ejected)
     return;
   State.Stats.Ejections.add();
-  State.Log.write(LogWeight::Notable, "server_ejected",
+  State.Log.write(LogPriority::Notable, "server_ejected",
                   {{"server", order.ServerId},
                    {"service", Flow.request().Service},
                    {"request", Flow.request().Head.RequestId}},
@@ -442,7 +442,7 @@
     fields["identity"] = toHex(identity());
   if (outcome == "refused")
     fields["retry_after_ms"] = millisecondsOf(reason.RetryAfter);
-  State.Log.write(isSuccess ? LogWeight::Routine : LogWeight::Notable,
+  State.Log.write(isSuccess ? LogPriority::Routine : LogPriority::Notable,
                   "request_ended", std::move(fields), now);
 }
 
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -69,7 +69,7 @@
   out.Changed = [&log](const direct::RecordSubject &subject,
                        std::string_view change, uint64_t revision,
                        TimePoint now) {
-    log.write(LogWeight::Notable, "belief_changed",
+    log.write(LogPriority::Notable, "belief_changed",
               {{"subject", kindName(subject.Kind)},
                {"name", subject.Name},
                {"change", change},
@@ -78,7 +78,7 @@
   };
   out.Unreadable = [&log](const direct::StoreRecord &record,
                           const Error &reason, TimePoint now) {
-    log.write(LogWeight::Notable, "record_unreadable",
+    log.write(LogPriority::Notable, "record_unreadable",
               {{"key", record.Key},
                {"revision", record.Revision},
                {"reason", reason.Detail}},
--- a/src/gateway/holder_lease.cpp
+++ b/src/gateway/holder_lease.cpp
@@ -91,7 +91,7 @@
   if (IsStopped || LeaseState.hasLapsed(now))
     return release();
   Token = token;
-  Log.write(LogWeight::Notable, "order_right_taken",
+  Log.write(LogPriority::Notable, "order_right_taken",
             {{"token", Token}, {"lease", LeaseState.id()}}, now);
 }
 
@@ -107,7 +107,7 @@
 void HolderLease::abandon(TimePoint now) {
   if (Token == 0)
     return;
-  Log.write(LogWeight::Notable, "order_right_given_up", {{"token", Token}},
+  Log.write(LogPriority::Notable, "order_right_given_up", {{"token", Token}},
             now);
   release();
 }
@@ -116,7 +116,7 @@
   if (Token == 0 || IsStopped)
     return;
   if (LeaseState.hasLapsed(now)) {
-    Log.write(LogWeight::Notable, "order_right_lapsed", {{"token", Token}},
+    Log.write(LogPriority::Notable, "order_right_lapsed", {{"token", Token}},
               now);
     return release();
   }
--- a/src/gateway/kv_service_follower.cpp
+++ b/src/gateway/kv_service_follower.cpp
@@ -162,7 +162,7 @@
   StopWatch = nullptr;
   // Lost history is no failure of the service; a new snapshot replaces it.
   if (compactRevision > 0) {
-    State.Log.write(LogWeight::Notable, "service_history_lost",
+    State.Log.write(LogPriority::Notable, "service_history_lost",
                     {{"complete_to", State.SyncedRevision.load()}},
                     monotonicNow());
     HasSnapshot = false;
@@ -181,7 +181,7 @@
   State.Stats.ServiceEra.set(static_cast<int64_t>(header.Era));
   if (!HasBeenReachable || header.Era <= before)
     return;
-  State.Log.write(LogWeight::Notable, "service_restored",
+  State.Log.write(LogPriority::Notable, "service_restored",
                   {{"era", header.Era},
                    {"era_before", before},
                    {"revision", header.Revision},
@@ -196,7 +196,7 @@
     return;
   State.Stats.ServiceReachable.set(1);
   State.Catalog.onStoreRecovered(now);
-  State.Log.write(LogWeight::Notable,
+  State.Log.write(LogPriority::Notable,
                   HasBeenReachable ? "service_regained" : "service_reached",
                   {{"revision", State.Catalog.revision()}}, now);
   HasBeenReachable = true;
@@ -208,7 +208,7 @@
   if (std::exchange(IsReachable, false)) {
     State.Stats.ServiceReachable.set(0);
     State.Catalog.onStoreLost();
-    State.Log.write(LogWeight::Notable, "service_lost",
+    State.Log.write(LogPriority::Notable, "service_lost",
                     {{"reason", reason.Detail},
                      {"complete_to", State.SyncedRevision.load()}},
                     now);
@@ -241,7 +241,7 @@
   if (isWatching) {
     IsWatchPaused = false;
     State.Stats.ServiceWatched.set(1);
-    State.Log.write(LogWeight::Notable, "service_watched",
+    State.Log.write(LogPriority::Notable, "service_watched",
                     {{"complete_to", State.SyncedRevision.load()}},
                     monotonicNow());
     return watch();
@@ -252,7 +252,7 @@
   State.Stats.ServiceWatched.set(0);
   ++Epoch;
   std::exchange(StopWatch, nullptr)();
-  State.Log.write(LogWeight::Notable, "service_left_to_readers",
+  State.Log.write(LogPriority::Notable, "service_left_to_readers",
                   {{"complete_to", State.SyncedRevision.load()}},
                   monotonicNow());
 }
--- a/src/gateway/order_driver.cpp
+++ b/src/gateway/order_driver.cpp
@@ -127,7 +127,7 @@
 
 void OrderDriver::reportLoaded(const direct::NoteLoaded &action) {
   TimePoint now = monotonicNow();
-  State.Log.write(LogWeight::Notable, "server_loaded",
+  State.Log.write(LogPriority::Notable, "server_loaded",
                   {{"server", action.ServerId},
                    {"model", action.LoadedVersion.Model},
                    {"version", action.LoadedVersion.Version}},
@@ -162,7 +162,7 @@
   std::optional<uint64_t> token = this->token(now);
   if (!token)
     return;
-  State.Log.write(LogWeight::Notable, "order_given",
+  State.Log.write(LogPriority::Notable, "order_given",
                   {{"server", action.ServerId},
                    {"model", action.Desired.Model},
                    {"version", action.Desired.Version},
@@ -200,7 +200,7 @@
                                 const Error &error, unsigned status) {
   TimePoint now = monotonicNow();
   OrderAnswer answer = orderAnswer(error, status);
-  State.Log.write(LogWeight::Notable, "order_answered",
+  State.Log.write(LogPriority::Notable, "order_answered",
                   {{"server", server.Id},
                    {"started_ms", server.StartedMs},
                    {"status", error ? 0 : status},
--- a/src/gateway/quarantine.cpp
+++ b/src/gateway/quarantine.cpp
@@ -27,7 +27,7 @@
   if (requests.empty())
     return;
   for (const Id128 &request : requests)
-    state.Log.write(LogWeight::Notable, "request_quarantined",
+    state.Log.write(LogPriority::Notable, "request_quarantined",
                     {{"identity", toHex(request)}}, now);
   for (const auto &running : state.Running.all())
     running->failIfQuarantined();
@@ -167,7 +167,7 @@
                                   const edge::KvHeader &answer, bool isLifted) {
   TimePoint now = monotonicNow();
   endCall(request, now);
-  State.Log.write(LogWeight::Notable,
+  State.Log.write(LogPriority::Notable,
                   isLifted ? "quarantine_lifted" : "quarantine_recorded",
                   recordLogFields(request, answer), now);
 }
--- a/src/gateway/server_limit.cpp
+++ b/src/gateway/server_limit.cpp
@@ -12,7 +12,7 @@
   if (head.Status == net::StatusMisdirected)
     return;
   if (head.IsLimitUnreadable)
-    return state.Log.write(LogWeight::Notable, "server_limit_unreadable",
+    return state.Log.write(LogPriority::Notable, "server_limit_unreadable",
                            {{"server", server.Id}}, now);
   // An error may come from a proxy in front of the server, which names no
   // limit.
@@ -23,11 +23,11 @@
   direct::LimitChange change =
       state.Limits.onAnswer(server, head.RequestLimit, now);
   if (change == direct::LimitChange::Imposed)
-    state.Log.write(LogWeight::Notable, "server_limited",
+    state.Log.write(LogPriority::Notable, "server_limited",
                     {{"server", server.Id}, {"per_second", *head.RequestLimit}},
                     now);
   if (change == direct::LimitChange::Lifted)
-    state.Log.write(LogWeight::Notable, "server_limit_lifted",
+    state.Log.write(LogPriority::Notable, "server_limit_lifted",
                     {{"server", server.Id}}, now);
 }
 
--- a/tests/base/decision_log_test.cpp
+++ b/tests/base/decision_log_test.cpp
@@ -41,7 +41,7 @@
   Pipe pipe;
   Metrics metrics;
   DecisionLog log(smallLog(), "e1", pipe.sink(), metrics);
-  log.write(LogWeight::Notable, "started", {{"text", "two\nlines"}}, Start);
+  log.write(LogPriority::Notable, "started", {{"text", "two\nlines"}}, Start);
   EXPECT_EQ(pipe.Text, "");
   log.flush(Start);
   ASSERT_EQ(pipe.lines(), 1);
@@ -57,9 +57,9 @@
   Metrics metrics;
   DecisionLog log(smallLog(), "e1", pipe.sink(), metrics);
   for (int i = 0; i < 100; ++i)
-    log.write(LogWeight::Routine, "routine", {}, Start);
+    log.write(LogPriority::Routine, "routine", {}, Start);
   for (int i = 0; i < 100; ++i)
-    log.write(LogWeight::Notable, "notable", {}, Start);
+    log.write(LogPriority::Notable, "notable", {}, Start);
   log.flush(Start);
   EXPECT_EQ(pipe.lines(), 10);
   log.flush(Start + 1s);
@@ -73,7 +73,7 @@
   Metrics metrics;
   {
     DecisionLog log(smallLog(), "e1", pipe.sink(), metrics);
-    log.write(LogWeight::Notable, "draining", {}, Start);
+    log.write(LogPriority::Notable, "draining", {}, Start);
   }
   EXPECT_EQ(pipe.lines(), 1) << pipe.Text;
 }
@@ -87,7 +87,7 @@
   settings.BufferBytes = 4096;
   DecisionLog log(settings, "e1", pipe.sink(), metrics);
   for (int i = 0; i < 1000; ++i) {
-    log.write(LogWeight::Notable, "event", {{"n", i}}, Start);
+    log.write(LogPriority::Notable, "event", {{"n", i}}, Start);
     log.flush(Start);
   }
   EXPECT_EQ(pipe.Text.size(), 100);
