--- a/src/base/standard_metrics.cpp
+++ b/src/base/standard_metrics.cpp
@@ -61,11 +61,11 @@
       .set(BytesPerSecondBudget);
 }
 
-void ProcessMetrics::show(const ProcessUsage &usage) {
+void ProcessMetrics::update(const ProcessUsage &usage) {
   std::lock_guard guard(Lock);
-  uint64_t shown = Cpu.get();
-  if (usage.CpuMicros > shown)
-    Cpu.add(usage.CpuMicros - shown);
+  uint64_t reported = Cpu.get();
+  if (usage.CpuMicros > reported)
+    Cpu.add(usage.CpuMicros - reported);
   Memory.set(static_cast<int64_t>(usage.ResidentBytes));
 }
 
--- a/src/base/standard_metrics.h
+++ b/src/base/standard_metrics.h
@@ -72,7 +72,7 @@
 public:
   explicit ProcessMetrics(Metrics &metrics);
   /// Called before the metrics are written out. Thread-safe.
-  void show(const ProcessUsage &usage);
+  void update(const ProcessUsage &usage);
 
 private:
   std::mutex Lock;
--- a/src/runtime/operator_http.cpp
+++ b/src/runtime/operator_http.cpp
@@ -149,7 +149,7 @@
 void OperatorHttp::Impl::routeOpen(const net::HttpRequest &request,
                                    const Exchange &exchange) {
   if (request.Path == "/metrics") {
-    Usage.show(processUsage());
+    Usage.update(processUsage());
     exchange->respond(plainResponse(HttpOk, "text/plain; version=0.0.4",
                                     Counts.prometheusText()));
     return;
