--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -15,8 +15,8 @@
 
 namespace bh = boost::histogram;
 
-constexpr double LeastSeconds = 1e-5;
-constexpr double MostSeconds = 1e3;
+constexpr double MinSeconds = 1e-5;
+constexpr double MaxSeconds = 1e3;
 /// Five bins for each of the eight decades.
 constexpr unsigned SecondsBins = 40;
 constexpr unsigned ShareBins = 20;
@@ -32,7 +32,7 @@
 Histogram makeHistogram(Distribution::Unit unit) {
   std::vector<Axis> axes;
   if (unit == Distribution::Unit::Seconds)
-    axes.emplace_back(SecondsAxis(SecondsBins, LeastSeconds, MostSeconds));
+    axes.emplace_back(SecondsAxis(SecondsBins, MinSeconds, MaxSeconds));
   else
     axes.emplace_back(ShareAxis(ShareBins, 0.0, 1.0));
   return {std::move(axes), bh::dense_storage<Cell>{}};
--- a/src/base/rcu.h
+++ b/src/base/rcu.h
@@ -28,7 +28,7 @@
     /// when the pointer is copied.
     const std::shared_ptr<const T> &get() {
       uint64_t latest = Source->Version.load(std::memory_order_acquire);
-      if (!Cached || latest != Seen)
+      if (!Cached || latest != CachedVersion)
         refresh();
       return Cached;
     }
@@ -37,12 +37,12 @@
     void refresh() {
       std::lock_guard guard(Source->Lock);
       Cached = Source->Current;
-      Seen = Source->Version.load(std::memory_order_relaxed);
+      CachedVersion = Source->Version.load(std::memory_order_relaxed);
     }
 
     const Rcu *Source;
     std::shared_ptr<const T> Cached;
-    uint64_t Seen = 0;
+    uint64_t CachedVersion = 0;
   };
 
   /// Makes the snapshot visible to every reader's next get().
--- a/src/base/setting_text.cpp
+++ b/src/base/setting_text.cpp
@@ -37,14 +37,14 @@
 template <size_t N>
 std::optional<uint64_t> parseUnits(std::string_view text,
                                    const std::array<Unit, N> &units,
-                                   uint64_t most) {
+                                   uint64_t maximum) {
   size_t digits = std::min(text.find_first_not_of("0123456789"), text.size());
   auto count = parseWhole<uint64_t>(text.substr(0, digits));
   if (!count)
     return std::nullopt;
   for (const Unit &unit : units)
     if (unit.Suffix == text.substr(digits)) {
-      if (*count > most / unit.Factor)
+      if (*count > maximum / unit.Factor)
         return std::nullopt;
       return *count * unit.Factor;
     }
@@ -129,20 +129,20 @@
 }
 
 std::optional<Duration> parseDuration(std::string_view text) {
-  constexpr uint64_t Most = std::numeric_limits<int64_t>::max();
+  constexpr uint64_t Max = std::numeric_limits<int64_t>::max();
   size_t point = text.find('.');
   size_t unit = std::min(text.find_first_not_of("0123456789."), text.size());
   std::string whole(text.substr(0, std::min(point, unit)));
   whole += text.substr(unit);
-  auto micros = parseUnits(whole, DurationUnits, Most);
+  auto micros = parseUnits(whole, DurationUnits, Max);
   if (!micros)
     return std::nullopt;
   if (point == std::string_view::npos)
     return Duration(static_cast<int64_t>(*micros));
   auto fraction = parseFraction(
       text.substr(point + 1, unit - point - 1),
-      *parseUnits("1" + std::string(text.substr(unit)), DurationUnits, Most));
-  if (!fraction || *micros > Most - *fraction)
+      *parseUnits("1" + std::string(text.substr(unit)), DurationUnits, Max));
+  if (!fraction || *micros > Max - *fraction)
     return std::nullopt;
   return Duration(static_cast<int64_t>(*micros + *fraction));
 }
--- a/src/base/setting_text.h
+++ b/src/base/setting_text.h
@@ -27,8 +27,8 @@
 
 /// The value when it lies between both limits, which belong to the range.
 template <class T>
-std::optional<T> inRange(std::optional<T> value, T least, T most) {
-  if (!value || *value < least || most < *value)
+std::optional<T> inRange(std::optional<T> value, T minimum, T maximum) {
+  if (!value || *value < minimum || maximum < *value)
     return std::nullopt;
   return value;
 }
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -47,14 +47,14 @@
 struct Settings::Impl {
   std::string File;
   std::map<std::string, std::string, std::less<>> Values;
-  std::set<std::string, std::less<>> Known;
+  std::set<std::string, std::less<>> RequestedKeys;
   std::set<std::string, std::less<>> Secrets;
   std::vector<SettingError> Errors;
   std::optional<SettingError> FileError; ///< Hides all others.
 
   void parse(std::string_view text);
   const std::string *find(std::string_view key);
-  std::string shown(std::string_view key) const;
+  std::string displayValue(std::string_view key) const;
   void fail(std::string_view key, std::string remedy);
   SettingError unknownKey(const std::string &key) const;
 
@@ -62,16 +62,16 @@
   /// with an error noted.
   template <class T, class Parse>
   T read(std::string_view key, std::optional<T> fallback,
-         const std::string &wanted, Parse parseValue) {
+         const std::string &expected, Parse parseValue) {
     const std::string *value = find(key);
     if (!value) {
       if (!fallback)
-        fail(key, "set it; expected " + wanted);
+        fail(key, "set it; expected " + expected);
       return fallback.value_or(T{});
     }
     std::optional<T> parsed = parseValue(std::string_view(*value));
     if (!parsed)
-      fail(key, "expected " + wanted);
+      fail(key, "expected " + expected);
     return parsed.value_or(fallback.value_or(T{}));
   }
 };
@@ -100,12 +100,12 @@
 }
 
 const std::string *Settings::Impl::find(std::string_view key) {
-  Known.emplace(key);
+  RequestedKeys.emplace(key);
   auto it = Values.find(key);
   return it == Values.end() ? nullptr : &it->second;
 }
 
-std::string Settings::Impl::shown(std::string_view key) const {
+std::string Settings::Impl::displayValue(std::string_view key) const {
   auto it = Values.find(key);
   if (it == Values.end())
     return std::string(MissingValue);
@@ -113,13 +113,14 @@
 }
 
 void Settings::Impl::fail(std::string_view key, std::string remedy) {
-  Errors.push_back({File, std::string(key), shown(key), std::move(remedy)});
+  Errors.push_back(
+      {File, std::string(key), displayValue(key), std::move(remedy)});
 }
 
 SettingError Settings::Impl::unknownKey(const std::string &key) const {
   std::string section = sectionOf(key);
   std::vector<std::string> known;
-  for (const std::string &name : Known)
+  for (const std::string &name : RequestedKeys)
     if (sectionOf(name) == section)
       known.push_back(name);
   std::string remedy = "unknown key; remove it";
@@ -177,42 +178,44 @@
 }
 
 int64_t Settings::integer(std::string_view key, std::optional<int64_t> fallback,
-                          int64_t least, int64_t most) {
-  std::string wanted = "a whole number from " + std::to_string(least) + " to " +
-                       std::to_string(most);
-  return Self->read<int64_t>(key, fallback, wanted, [&](std::string_view text) {
-    return inRange(parseInteger(text), least, most);
-  });
+                          int64_t minimum, int64_t maximum) {
+  std::string expected = "a whole number from " + std::to_string(minimum) +
+                         " to " + std::to_string(maximum);
+  return Self->read<int64_t>(
+      key, fallback, expected, [&](std::string_view text) {
+        return inRange(parseInteger(text), minimum, maximum);
+      });
 }
 
 double Settings::number(std::string_view key, std::optional<double> fallback,
-                        double least, double most) {
-  std::string wanted =
-      "a number from " + numberText(least) + " to " + numberText(most);
-  return Self->read<double>(key, fallback, wanted, [&](std::string_view text) {
-    return inRange(parseNumber(text), least, most);
-  });
+                        double minimum, double maximum) {
+  std::string expected =
+      "a number from " + numberText(minimum) + " to " + numberText(maximum);
+  return Self->read<double>(
+      key, fallback, expected, [&](std::string_view text) {
+        return inRange(parseNumber(text), minimum, maximum);
+      });
 }
 
 Duration Settings::duration(std::string_view key,
-                            std::optional<Duration> fallback, Duration least,
-                            Duration most) {
-  std::string wanted = "a duration with its unit (us, ms, s, m, h, d) from " +
-                       toString(least) + " to " + toString(most);
+                            std::optional<Duration> fallback, Duration minimum,
+                            Duration maximum) {
+  std::string expected = "a duration with its unit (us, ms, s, m, h, d) from " +
+                         toString(minimum) + " to " + toString(maximum);
   return Self->read<Duration>(
-      key, fallback, wanted, [&](std::string_view text) {
-        return inRange(parseDuration(text), least, most);
+      key, fallback, expected, [&](std::string_view text) {
+        return inRange(parseDuration(text), minimum, maximum);
       });
 }
 
 uint64_t Settings::bytes(std::string_view key, std::optional<uint64_t> fallback,
-                         uint64_t least, uint64_t most) {
-  std::string wanted = "bytes, as in 64k, 16M or 1G, from " + bytesText(least) +
-                       " to " + bytesText(most);
-  return Self->read<uint64_t>(key, fallback, wanted,
-                              [&](std::string_view text) {
-                                return inRange(parseBytes(text), least, most);
-                              });
+                         uint64_t minimum, uint64_t maximum) {
+  std::string expected = "bytes, as in 64k, 16M or 1G, from " +
+                         bytesText(minimum) + " to " + bytesText(maximum);
+  return Self->read<uint64_t>(
+      key, fallback, expected, [&](std::string_view text) {
+        return inRange(parseBytes(text), minimum, maximum);
+      });
 }
 
 Endpoint Settings::endpoint(std::string_view key,
@@ -260,7 +263,7 @@
        ++it) {
     if (!it->first.starts_with(prefix))
       break;
-    Self->Known.insert(it->first);
+    Self->RequestedKeys.insert(it->first);
     out.push_back(it->first.substr(prefix.size()));
   }
   return out;
@@ -276,7 +279,7 @@
     return {*Self->FileError};
   std::vector<SettingError> out = Self->Errors;
   for (const auto &[key, value] : Self->Values)
-    if (!Self->Known.contains(key))
+    if (!Self->RequestedKeys.contains(key))
       out.push_back(Self->unknownKey(key));
   return out;
 }
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -42,15 +42,15 @@
   std::string secret(std::string_view key, std::optional<std::string> fallback);
   bool flag(std::string_view key, std::optional<bool> fallback);
   int64_t integer(std::string_view key, std::optional<int64_t> fallback,
-                  int64_t least, int64_t most);
+                  int64_t minimum, int64_t maximum);
   double number(std::string_view key, std::optional<double> fallback,
-                double least, double most);
+                double minimum, double maximum);
   /// "250us", "10ms", "3s", "5m", "2h", "7d".
   Duration duration(std::string_view key, std::optional<Duration> fallback,
-                    Duration least, Duration most);
+                    Duration minimum, Duration maximum);
   /// "64", "64k", "16M", "1G" (powers of 1024).
   uint64_t bytes(std::string_view key, std::optional<uint64_t> fallback,
-                 uint64_t least, uint64_t most);
+                 uint64_t minimum, uint64_t maximum);
   Endpoint endpoint(std::string_view key, std::optional<Endpoint> fallback);
   /// Comma-separated; empty when absent.
   std::vector<Endpoint> endpoints(std::string_view key);
