--- a/src/edge/engine_codec.cpp
+++ b/src/edge/engine_codec.cpp
@@ -36,23 +36,23 @@
   return value ? value->if_object() : nullptr;
 }
 
-void takeText(const json::object &holder, std::string_view key,
-              EnginePart &out) {
-  const json::value *text = holder.if_contains(key);
+void readText(const json::object &object, std::string_view key,
+              EngineStreamEvent &out) {
+  const json::value *text = object.if_contains(key);
   if (!text || !text->is_string())
     return;
   out.Text.assign(text->get_string().data(), text->get_string().size());
   out.HasText = !out.Text.empty();
 }
 
-void takeChoice(const json::object &choice, EnginePart &out) {
-  takeText(choice, "text", out);
+void readChoice(const json::object &choice, EngineStreamEvent &out) {
+  readText(choice, "text", out);
   if (const json::object *delta = objectOf(choice, "delta"))
-    takeText(*delta, "content", out);
+    readText(*delta, "content", out);
   out.FinishReason = textOf(choice, "finish_reason");
 }
 
-void takeUsage(const json::object &usage, EnginePart &out) {
+void readUsage(const json::object &usage, EngineStreamEvent &out) {
   out.HasUsage = true;
   out.PromptTokens = smallCountOf(usage, "prompt_tokens");
   out.CachedTokens = smallCountOf(usage, "cached_tokens");
@@ -104,13 +104,13 @@
   return json::serialize(out);
 }
 
-std::optional<EnginePart> parseEnginePart(std::string_view data) {
+std::optional<EngineStreamEvent> parseEngineStreamEvent(std::string_view data) {
   unsigned char buffer[2048];
   json::monotonic_resource memory(buffer);
   auto object = parseObject(data, &memory);
   if (!object)
     return std::nullopt;
-  EnginePart out;
+  EngineStreamEvent out;
   if (const json::value *id = object->if_contains("id"))
     if (id->is_string())
       out.Answer = serve::parseRunToken(std::string_view(id->get_string()))
@@ -120,9 +120,9 @@
   if (const json::value *choices = object->if_contains("choices"))
     if (choices->is_array() && !choices->get_array().empty())
       if (const json::object *choice = choices->get_array()[0].if_object())
-        takeChoice(*choice, out);
+        readChoice(*choice, out);
   if (const json::object *usage = objectOf(*object, "usage"))
-    takeUsage(*usage, out);
+    readUsage(*usage, out);
   if (const json::object *error = objectOf(*object, "error"))
     out.Failure = "engine: " + textOf(*error, "message");
   return out;
--- a/src/edge/engine_codec.h
+++ b/src/edge/engine_codec.h
@@ -15,7 +15,7 @@
                                              Error &reason);
 
 /// What one event of the engine's stream holds.
-struct EnginePart {
+struct EngineStreamEvent {
   serve::RunToken Answer; ///< Invalid when the event names no run.
   std::optional<uint32_t> Sequence;
   std::string Text;
@@ -29,7 +29,7 @@
 };
 
 /// Nothing when the data is no JSON object of that shape.
-std::optional<EnginePart> parseEnginePart(std::string_view data);
+std::optional<EngineStreamEvent> parseEngineStreamEvent(std::string_view data);
 
 std::optional<serve::EngineStatus> parseEngineStatus(std::string_view body);
 std::optional<serve::CacheEvents> parseCacheEvents(std::string_view body,
--- a/src/edge/engine_http.cpp
+++ b/src/edge/engine_http.cpp
@@ -37,7 +37,7 @@
 }
 
 /// An engine that answers with a status of its own has not run the request.
-serve::RunFailed refusedBy(const serve::RunToken &run, unsigned status,
+serve::RunFailed refusalOf(const serve::RunToken &run, unsigned status,
                            const std::string &body) {
   ErrorKind kind = ErrorKind::ServerFailed;
   if (status == StatusBadRequest)
@@ -76,7 +76,7 @@
     if (error)
       return Sink(failureOf(Run, error));
     if (Status != StatusOk)
-      return Sink(refusedBy(Run, Status, Refusal));
+      return Sink(refusalOf(Run, Status, Refusal));
     if (!SawEnd)
       return Sink(serve::RunFailed{
           Run, {ErrorKind::ServerFailed, "the engine broke its answer off"}});
@@ -91,26 +91,26 @@
       SawEnd = true;
       return;
     }
-    auto part = parseEnginePart(event.Data);
-    if (!part)
+    auto parsed = parseEngineStreamEvent(event.Data);
+    if (!parsed)
       return fail("an event of the engine can't be read");
-    if (!part->Failure.empty())
-      return fail(part->Failure);
-    takePart(*part);
+    if (!parsed->Failure.empty())
+      return fail(parsed->Failure);
+    forwardEvent(*parsed);
   }
 
-  void takePart(EnginePart &part) {
-    if (part.HasText)
-      Sink(serve::RunText{Run, part.Answer, part.Sequence, 1,
-                          std::move(part.Text)});
+  void forwardEvent(EngineStreamEvent &parsed) {
+    if (parsed.HasText)
+      Sink(serve::RunText{Run, parsed.Answer, parsed.Sequence, 1,
+                          std::move(parsed.Text)});
     Final.Run = Run;
-    Final.Answer = part.Answer;
-    if (!part.FinishReason.empty())
-      Final.FinishReason = part.FinishReason;
-    if (part.HasUsage) {
-      Final.PromptTokens = part.PromptTokens;
-      Final.CachedTokens = part.CachedTokens;
-      Final.CompletionTokens = part.CompletionTokens;
+    Final.Answer = parsed.Answer;
+    if (!parsed.FinishReason.empty())
+      Final.FinishReason = parsed.FinishReason;
+    if (parsed.HasUsage) {
+      Final.PromptTokens = parsed.PromptTokens;
+      Final.CachedTokens = parsed.CachedTokens;
+      Final.CompletionTokens = parsed.CompletionTokens;
     }
   }
 
@@ -166,9 +166,9 @@
     Calls.cancel(run);
   }
 
-  void control(const std::string &what, const serve::RunToken &run) {
+  void control(const std::string &action, const serve::RunToken &run) {
     Client.fetch(Init.Address,
-                 jsonRequest("POST", "/control/" + what,
+                 jsonRequest("POST", "/control/" + action,
                              R"({"request_id":")" + toString(run) + "\"}"),
                  Init.ControlTimeout, [](const Error &, const auto &) {});
   }
@@ -185,10 +185,11 @@
         });
   }
 
-  void exportPiece(const serve::ExportPiece &ask) {
-    fetch(getRequest("/control/pieces/" + toHex(ask.Key)), Init.PieceTimeout,
-          [call = ask.Call](Error error,
-                            net::HttpResponse response) -> serve::AgentInput {
+  void exportPiece(const serve::ExportPiece &command) {
+    fetch(getRequest("/control/pieces/" + toHex(command.Key)),
+          Init.PieceTimeout,
+          [call = command.Call](
+              Error error, net::HttpResponse response) -> serve::AgentInput {
             if (error)
               return serve::PieceExport{call, nullptr, error};
             return serve::PieceExport{
@@ -198,14 +199,14 @@
           });
   }
 
-  void importPiece(const serve::ImportPiece &ask) {
+  void importPiece(const serve::ImportPiece &command) {
     net::HttpRequest request;
     request.Method = "PUT";
-    request.Path = "/control/pieces/" + toHex(ask.Key);
-    request.Body = *ask.Bytes;
+    request.Path = "/control/pieces/" + toHex(command.Key);
+    request.Body = *command.Bytes;
     fetch(std::move(request), Init.PieceTimeout,
-          [call = ask.Call](Error error,
-                            const net::HttpResponse &) -> serve::AgentInput {
+          [call = command.Call](
+              Error error, const net::HttpResponse &) -> serve::AgentInput {
             return serve::PieceImport{call, error};
           });
   }
@@ -237,10 +238,10 @@
   template <class Parser> void get(const std::string &target, Parser parse) {
     net::HttpRequest request;
     request.Method = "GET";
-    size_t mark = target.find('?');
-    request.Path = target.substr(0, mark);
-    if (mark != std::string::npos)
-      request.Query = target.substr(mark + 1);
+    size_t queryStart = target.find('?');
+    request.Path = target.substr(0, queryStart);
+    if (queryStart != std::string::npos)
+      request.Query = target.substr(queryStart + 1);
     fetch(std::move(request), Init.ControlTimeout,
           [parse](const Error &error,
                   const net::HttpResponse &response) -> serve::AgentInput {
@@ -287,14 +288,14 @@
     self->control("resume", run);
   };
   out.PollStatus = [self] { self->pollStatus(); };
-  out.PollCacheEvents = [self](serve::PollCacheEvents ask) {
-    self->pollCacheEvents(ask.From);
+  out.PollCacheEvents = [self](serve::PollCacheEvents command) {
+    self->pollCacheEvents(command.From);
   };
-  out.Export = [self](const serve::ExportPiece &ask) {
-    self->exportPiece(ask);
+  out.Export = [self](const serve::ExportPiece &command) {
+    self->exportPiece(command);
   };
-  out.Import = [self](const serve::ImportPiece &ask) {
-    self->importPiece(ask);
+  out.Import = [self](const serve::ImportPiece &command) {
+    self->importPiece(command);
   };
   out.Order = [self](const serve::SendOrder &order) { self->order(order); };
   return out;
--- a/src/edge/kv.h
+++ b/src/edge/kv.h
@@ -69,7 +69,7 @@
 struct KvCompare {
   enum class Target : uint8_t { CreateRevision, ModRevision, Version, Lease };
   std::string Key;
-  Target What = Target::ModRevision;
+  Target Field = Target::ModRevision;
   uint64_t Number = 0;
 };
 
--- a/src/edge/kv_etcd.cpp
+++ b/src/edge/kv_etcd.cpp
@@ -15,7 +15,7 @@
 constexpr size_t MaxWatchLineBytes = 16U << 20;
 
 /// What every hook shares.
-struct Target {
+struct EtcdGateway {
   net::HttpClient &Client;
   std::vector<Endpoint> Endpoints;
   std::atomic<size_t> Current{0};
@@ -23,9 +23,9 @@
   const Endpoint &endpoint() const {
     return Endpoints[Current.load() % Endpoints.size()];
   }
-  void moveOn() { Current.fetch_add(1); }
+  void useNextEndpoint() { Current.fetch_add(1); }
 };
-using TargetPtr = std::shared_ptr<Target>;
+using EtcdGatewayPtr = std::shared_ptr<EtcdGateway>;
 
 net::HttpRequest post(std::string path, std::string body) {
   return {"POST",
@@ -64,15 +64,15 @@
 
 /// One call: sends the text, classifies what comes back, and hands it on.
 template <class Result>
-void call(const TargetPtr &to, std::string path, std::string body,
+void call(const EtcdGatewayPtr &gateway, std::string path, std::string body,
           Duration timeout, bool writes, Parser<Result> parse,
           std::function<void(Result)> done) {
-  auto finish = [to, writes, parse, done = std::move(done)](
+  auto finish = [gateway, writes, parse, done = std::move(done)](
                     const Error &error, const net::HttpResponse &response) {
     Result out;
     Error reason;
     if (error) {
-      to->moveOn();
+      gateway->useNextEndpoint();
       out.Header = callFailed(error, writes);
     } else if (response.Status != StatusOk) {
       out.Header = answerFailed(response.Status, response.Body, writes);
@@ -83,22 +83,23 @@
     }
     done(std::move(out));
   };
-  to->Client.fetch(to->endpoint(), post(std::move(path), std::move(body)),
-                   timeout, std::move(finish));
+  gateway->Client.fetch(gateway->endpoint(),
+                        post(std::move(path), std::move(body)), timeout,
+                        std::move(finish));
 }
 
 /// Splits a watch's stream into lines and reports them.
 class WatchReader {
 public:
-  WatchReader(TargetPtr to, KvWatchHooks hooks)
-      : To(std::move(to)), Hooks(std::move(hooks)) {}
+  WatchReader(EtcdGatewayPtr gateway, KvWatchHooks hooks)
+      : Gateway(std::move(gateway)), Hooks(std::move(hooks)) {}
 
   void head(unsigned status) { Status = status; }
 
   void data(std::string_view bytes) {
     Buffer += bytes;
     size_t begin = 0;
-    for (size_t end = Buffer.find('\n'); end != std::string::npos && !Over;
+    for (size_t end = Buffer.find('\n'); end != std::string::npos && !HasEnded;
          end = Buffer.find('\n', begin)) {
       line(std::string_view(Buffer).substr(begin, end - begin));
       begin = end + 1;
@@ -112,7 +113,7 @@
 
   void done(const Error &error) {
     if (error)
-      To->moveOn();
+      Gateway->useNextEndpoint();
     if (Status != 0 && Status != StatusOk)
       end(answerFailed(Status, Buffer, false), 0);
     else
@@ -134,28 +135,28 @@
   }
 
   void end(const KvHeader &header, uint64_t compactRevision) {
-    if (std::exchange(Over, true))
+    if (std::exchange(HasEnded, true))
       return;
     Hooks.Ended(header, compactRevision);
   }
 
-  TargetPtr To;
+  EtcdGatewayPtr Gateway;
   KvWatchHooks Hooks;
   unsigned Status = 0;
   std::string Buffer;
-  bool Over = false;
+  bool HasEnded = false;
 };
 
-KvCancel watch(const TargetPtr &to, const std::string &begin,
+KvCancel watch(const EtcdGatewayPtr &gateway, const std::string &begin,
                const std::string &end, uint64_t fromRevision,
                KvWatchHooks hooks) {
-  auto reader = std::make_shared<WatchReader>(to, std::move(hooks));
+  auto reader = std::make_shared<WatchReader>(gateway, std::move(hooks));
   net::HttpHooks http;
   http.Head = [reader](unsigned status, const auto &) { reader->head(status); };
   http.Data = [reader](std::string_view data) { reader->data(data); };
   http.Done = [reader](const Error &error) { reader->done(error); };
-  net::HttpCall running = to->Client.call(
-      to->endpoint(),
+  net::HttpCall running = gateway->Client.call(
+      gateway->endpoint(),
       post("/v3/watch", etcd::watchRequest(begin, end, fromRevision)),
       Duration(0), std::move(http));
   return [running] { running.cancel(); };
@@ -165,36 +166,36 @@
 
 KvStore makeEtcdStore(net::HttpClient &client,
                       std::vector<Endpoint> endpoints) {
-  TargetPtr to(new Target{client, std::move(endpoints)});
+  EtcdGatewayPtr gateway(new EtcdGateway{client, std::move(endpoints)});
   KvStore out;
-  out.Range = [to](const KvRange &range, Duration timeout, auto done) {
-    call<KvRangeResult>(to, "/v3/kv/range", etcd::rangeRequest(range), timeout,
-                        false, &etcd::parseRange, std::move(done));
+  out.Range = [gateway](const KvRange &range, Duration timeout, auto done) {
+    call<KvRangeResult>(gateway, "/v3/kv/range", etcd::rangeRequest(range),
+                        timeout, false, &etcd::parseRange, std::move(done));
   };
-  out.Commit = [to](const KvTransaction &transaction, Duration timeout,
-                    auto done) {
-    call<KvTransactionResult>(to, "/v3/kv/txn",
+  out.Commit = [gateway](const KvTransaction &transaction, Duration timeout,
+                         auto done) {
+    call<KvTransactionResult>(gateway, "/v3/kv/txn",
                               etcd::transactionRequest(transaction), timeout,
                               true, &etcd::parseTransaction, std::move(done));
   };
-  out.GrantLease = [to](Duration timeToLive, Duration timeout, auto done) {
-    call<KvLeaseResult>(to, "/v3/lease/grant",
+  out.GrantLease = [gateway](Duration timeToLive, Duration timeout, auto done) {
+    call<KvLeaseResult>(gateway, "/v3/lease/grant",
                         etcd::leaseGrantRequest(timeToLive), timeout, true,
                         &etcd::parseLeaseGrant, std::move(done));
   };
-  out.KeepLease = [to](uint64_t lease, Duration timeout, auto done) {
-    call<KvLeaseResult>(to, "/v3/lease/keepalive", etcd::leaseRequest(lease),
-                        timeout, true, &etcd::parseLeaseKeepalive,
-                        std::move(done));
+  out.KeepLease = [gateway](uint64_t lease, Duration timeout, auto done) {
+    call<KvLeaseResult>(gateway, "/v3/lease/keepalive",
+                        etcd::leaseRequest(lease), timeout, true,
+                        &etcd::parseLeaseKeepalive, std::move(done));
   };
-  out.RevokeLease = [to](uint64_t lease, Duration timeout, auto done) {
-    call<KvLeaseResult>(to, "/v3/lease/revoke", etcd::leaseRequest(lease),
+  out.RevokeLease = [gateway](uint64_t lease, Duration timeout, auto done) {
+    call<KvLeaseResult>(gateway, "/v3/lease/revoke", etcd::leaseRequest(lease),
                         timeout, true, &etcd::parseLeaseRevoke,
                         std::move(done));
   };
-  out.Watch = [to](const std::string &begin, const std::string &end,
-                   uint64_t fromRevision, KvWatchHooks hooks) {
-    return watch(to, begin, end, fromRevision, std::move(hooks));
+  out.Watch = [gateway](const std::string &begin, const std::string &end,
+                        uint64_t fromRevision, KvWatchHooks hooks) {
+    return watch(gateway, begin, end, fromRevision, std::move(hooks));
   };
   return out;
 }
--- a/src/edge/kv_etcd_json.cpp
+++ b/src/edge/kv_etcd_json.cpp
@@ -127,14 +127,14 @@
 
 /// Parses an answer by a function that fills the result from the object.
 template <class Result, class Read>
-std::optional<Result> parseAnswer(std::string_view text, std::string_view what,
+std::optional<Result> parseAnswer(std::string_view text, std::string_view call,
                                   Error &reason, Read read) {
   std::optional<json::object> object = parseObject(text);
   Result out;
   if (object && read(*object, out))
     return out;
   reason = {ErrorKind::ProtocolError,
-            "key-value service: not an answer to " + std::string(what)};
+            "key-value service: not an answer to " + std::string(call)};
   return std::nullopt;
 }
 
@@ -147,7 +147,7 @@
 json::object compareJson(const KvCompare &compare) {
   std::string_view target;
   std::string_view field;
-  switch (compare.What) {
+  switch (compare.Field) {
   case KvCompare::Target::CreateRevision:
     target = "CREATE";
     field = "create_revision";
@@ -205,8 +205,8 @@
   if (!readHeader(from, out.Header) || !readNumber(from, "ID", out.Lease) ||
       !readNumber(from, "TTL", seconds))
     return false;
-  constexpr uint64_t MostSeconds = 1ULL << 32;
-  out.TimeLeft = Duration(static_cast<int64_t>(std::min(seconds, MostSeconds)) *
+  constexpr uint64_t MaxSeconds = 1ULL << 32;
+  out.TimeLeft = Duration(static_cast<int64_t>(std::min(seconds, MaxSeconds)) *
                           MicrosPerSecond);
   if (seconds == 0)
     out.Lease = 0;
@@ -331,13 +331,13 @@
 }
 
 std::string errorMessage(std::string_view text) {
-  constexpr size_t MostBytes = 200;
+  constexpr size_t MaxBytes = 200;
   std::optional<json::object> object = parseObject(text);
   const json::value *message =
       object ? object->if_contains("message") : nullptr;
   if (message && message->is_string())
     text = message->get_string();
-  return std::string(text.substr(0, MostBytes));
+  return std::string(text.substr(0, MaxBytes));
 }
 
 } // namespace daisytack::edge::etcd
--- a/src/edge/service_http.cpp
+++ b/src/edge/service_http.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 4> HopHeaders{
+constexpr std::array<std::string_view, 4> HopByHopHeaders{
     "connection", "transfer-encoding", "content-length", "keep-alive"};
 
-bool isHopHeader(std::string_view name) {
-  for (std::string_view hop : HopHeaders) {
+bool isHopByHopHeader(std::string_view name) {
+  for (std::string_view hop : HopByHopHeaders) {
     if (hop.size() != name.size())
       continue;
     bool same = true;
@@ -28,14 +28,14 @@
 net::HttpRequest requestOf(const wire::Offer &offer) {
   net::HttpRequest out;
   out.Method = offer.Call.Method;
-  size_t mark = offer.Call.Target.find('?');
-  out.Path = offer.Call.Target.substr(0, mark);
-  if (mark != std::string::npos)
-    out.Query = offer.Call.Target.substr(mark + 1);
+  size_t queryStart = offer.Call.Target.find('?');
+  out.Path = offer.Call.Target.substr(0, queryStart);
+  if (queryStart != std::string::npos)
+    out.Query = offer.Call.Target.substr(queryStart + 1);
   if (out.Path.empty() || out.Path[0] != '/')
     out.Path.insert(0, 1, '/');
   for (const wire::HeaderField &it : offer.Call.Headers)
-    if (!isHopHeader(it.Name))
+    if (!isHopByHopHeader(it.Name))
       out.Headers.push_back({it.Name, it.Value});
   out.Body = offer.Body;
   return out;
@@ -54,7 +54,7 @@
     hooks.Head = [final](unsigned status, const auto &headers) {
       final->ServiceStatus = static_cast<uint16_t>(status);
       for (const net::HttpHeader &it : headers)
-        if (!isHopHeader(it.Name))
+        if (!isHopByHopHeader(it.Name))
           final->ServiceHeaders.push_back({it.Name, it.Value});
     };
     hooks.Data = [self = shared_from_this(),
--- a/src/edge/store_codec.cpp
+++ b/src/edge/store_codec.cpp
@@ -48,48 +48,50 @@
   return out;
 }
 
-net::HttpRequest make(const serve::LookupPieces &ask) {
+net::HttpRequest encodeRequest(const serve::LookupPieces &operation) {
   json::array keys;
-  for (const PieceKey &key : ask.Keys)
+  for (const PieceKey &key : operation.Keys)
     keys.emplace_back(toHex(key));
   json::object body;
   body["keys"] = std::move(keys);
   return request("POST", "/lookup", json::serialize(body));
 }
-net::HttpRequest make(const serve::ReadPiece &ask) {
-  return request("GET", piecePath(ask.Key));
+net::HttpRequest encodeRequest(const serve::ReadPiece &operation) {
+  return request("GET", piecePath(operation.Key));
 }
-net::HttpRequest make(const serve::ReadGeneration &ask) {
-  return request("GET", piecePath(ask.Key) + "/generation");
+net::HttpRequest encodeRequest(const serve::ReadGeneration &operation) {
+  return request("GET", piecePath(operation.Key) + "/generation");
 }
-net::HttpRequest make(const serve::BeginPiece &ask) {
-  return request("POST", piecePath(ask.Key), "{}");
+net::HttpRequest encodeRequest(const serve::BeginPiece &operation) {
+  return request("POST", piecePath(operation.Key), "{}");
 }
-net::HttpRequest make(const serve::WritePiece &ask) {
-  return request("PUT", piecePath(ask.Key, ask.Generation), *ask.Bytes);
+net::HttpRequest encodeRequest(const serve::WritePiece &operation) {
+  return request("PUT", piecePath(operation.Key, operation.Generation),
+                 *operation.Bytes);
 }
-net::HttpRequest make(const serve::CommitPiece &ask) {
+net::HttpRequest encodeRequest(const serve::CommitPiece &operation) {
   json::object body;
-  body["length"] = ask.Length;
-  body["checksum"] = ask.Checksum;
-  body["meta"] = ask.Meta;
-  return request("POST", piecePath(ask.Key, ask.Generation) + "/commit",
+  body["length"] = operation.Length;
+  body["checksum"] = operation.Checksum;
+  body["meta"] = operation.Meta;
+  return request("POST",
+                 piecePath(operation.Key, operation.Generation) + "/commit",
                  json::serialize(body));
 }
-net::HttpRequest make(const serve::FreePiece &ask) {
-  return request("DELETE", piecePath(ask.Key, ask.Generation));
+net::HttpRequest encodeRequest(const serve::FreePiece &operation) {
+  return request("DELETE", piecePath(operation.Key, operation.Generation));
 }
-net::HttpRequest make(const serve::SamplePieces &ask) {
+net::HttpRequest encodeRequest(const serve::SamplePieces &operation) {
   net::HttpRequest out = request("GET", "/sample");
-  out.Query = "count=" + std::to_string(ask.Count);
+  out.Query = "count=" + std::to_string(operation.Count);
   return out;
 }
-net::HttpRequest make(const serve::ReadUsage &ask) {
+net::HttpRequest encodeRequest(const serve::ReadUsage &operation) {
   net::HttpRequest out = request("GET", "/usage");
-  out.Query = "meta_prefix=" + escapeQuery(ask.MetaPrefix);
+  out.Query = "meta_prefix=" + escapeQuery(operation.MetaPrefix);
   return out;
 }
-net::HttpRequest make(const serve::ReadStatus & /*ask*/) {
+net::HttpRequest encodeRequest(const serve::ReadStatus & /*operation*/) {
   return request("GET", "/status");
 }
 
@@ -142,19 +144,22 @@
 struct ResultReader {
   net::HttpResponse &Response;
 
-  serve::StoreResult operator()(const serve::LookupPieces & /*ask*/) const {
+  serve::StoreResult
+  operator()(const serve::LookupPieces & /*operation*/) const {
     return readPieces(Response, "found");
   }
-  serve::StoreResult operator()(const serve::SamplePieces & /*ask*/) const {
+  serve::StoreResult
+  operator()(const serve::SamplePieces & /*operation*/) const {
     return readPieces(Response, "pieces");
   }
-  serve::StoreResult operator()(const serve::ReadGeneration & /*ask*/) const {
+  serve::StoreResult
+  operator()(const serve::ReadGeneration & /*operation*/) const {
     return readGeneration(Response);
   }
-  serve::StoreResult operator()(const serve::BeginPiece & /*ask*/) const {
+  serve::StoreResult operator()(const serve::BeginPiece & /*operation*/) const {
     return readGeneration(Response);
   }
-  serve::StoreResult operator()(const serve::ReadPiece & /*ask*/) const {
+  serve::StoreResult operator()(const serve::ReadPiece & /*operation*/) const {
     net::HttpRequest lookup;
     lookup.Headers = Response.Headers;
     auto generation = parseCount(lookup.header("X-Generation"));
@@ -172,14 +177,14 @@
     out.Bytes = std::move(Response.Body);
     return out;
   }
-  serve::StoreResult operator()(const serve::ReadUsage & /*ask*/) const {
+  serve::StoreResult operator()(const serve::ReadUsage & /*operation*/) const {
     auto object = parseObject(Response.Body);
     if (!object)
       return unreadable();
     return serve::StoreUsage{countOf(*object, "bytes"),
                              countOf(*object, "pieces")};
   }
-  serve::StoreResult operator()(const serve::ReadStatus & /*ask*/) const {
+  serve::StoreResult operator()(const serve::ReadStatus & /*operation*/) const {
     auto object = parseObject(Response.Body);
     if (!object)
       return unreadable();
@@ -188,13 +193,14 @@
         countOf(*object, "disk_used"), countOf(*object, "disk_total"),
         countOf(*object, "link_bytes_per_second")};
   }
-  serve::StoreResult operator()(const serve::WritePiece & /*ask*/) const {
+  serve::StoreResult operator()(const serve::WritePiece & /*operation*/) const {
     return serve::StoreDone{};
   }
-  serve::StoreResult operator()(const serve::CommitPiece & /*ask*/) const {
+  serve::StoreResult
+  operator()(const serve::CommitPiece & /*operation*/) const {
     return serve::StoreDone{};
   }
-  serve::StoreResult operator()(const serve::FreePiece & /*ask*/) const {
+  serve::StoreResult operator()(const serve::FreePiece & /*operation*/) const {
     return serve::StoreDone{};
   }
 };
@@ -202,7 +208,8 @@
 } // namespace
 
 net::HttpRequest storeRequest(const serve::StoreRequest &request) {
-  return std::visit([](const auto &ask) { return make(ask); }, request);
+  return std::visit(
+      [](const auto &operation) { return encodeRequest(operation); }, request);
 }
 
 serve::StoreResult storeResult(const serve::StoreRequest &request,
--- a/tests/fakes/fake_kv.h
+++ b/tests/fakes/fake_kv.h
@@ -116,7 +116,7 @@
     auto it = Entries.find(what.Key);
     edge::KvEntry entry = it == Entries.end() ? edge::KvEntry{} : it->second;
     using Target = edge::KvCompare::Target;
-    switch (what.What) {
+    switch (what.Field) {
     case Target::CreateRevision:
       return entry.CreateRevision == what.Number;
     case Target::ModRevision:
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -189,7 +189,7 @@
 }
 
 void runEngine(std::string_view text) {
-  edge::parseEnginePart(text);
+  edge::parseEngineStreamEvent(text);
   edge::parseEngineStatus(text);
   edge::parseCacheEvents(text, 0);
   edge::parseFence(text);
--- a/tests/once/key_binding_test.cpp
+++ b/tests/once/key_binding_test.cpp
@@ -47,7 +47,7 @@
   KeyBinding binding(request());
   auto call = std::get<KvTransaction>(binding.start());
   ASSERT_EQ(call.If.size(), 1U);
-  EXPECT_EQ(call.If[0].What, edge::KvCompare::Target::CreateRevision);
+  EXPECT_EQ(call.If[0].Field, edge::KvCompare::Target::CreateRevision);
   EXPECT_EQ(call.If[0].Number, 0U);
   EXPECT_EQ(call.Then[0].Lease, 9U);
   EXPECT_EQ(call.Then[0].Key.find("order 7"), std::string::npos);
