--- a/tests/base/decision_log_test.cpp
+++ b/tests/base/decision_log_test.cpp
@@ -52,7 +52,7 @@
   EXPECT_EQ(object["text"], "two\nlines");
 }
 
-TEST(DecisionLog, KeepsRoomForNotableLinesAndTellsWhatItLeftOut) {
+TEST(DecisionLog, ReservesCapacityForNotableLinesAndReportsDrops) {
   Pipe pipe;
   Metrics metrics;
   DecisionLog log(smallLog(), "e1", pipe.sink(), metrics);
@@ -68,7 +68,7 @@
       << pipe.Text;
 }
 
-TEST(DecisionLog, GivesTheSinkWhatWaitsAtItsEnd) {
+TEST(DecisionLog, FlushesBufferedLinesOnDestruction) {
   Pipe pipe;
   Metrics metrics;
   {
@@ -78,7 +78,7 @@
   EXPECT_EQ(pipe.lines(), 1) << pipe.Text;
 }
 
-TEST(DecisionLog, LosesLinesButNothingElseWhenThePipeIsFull) {
+TEST(DecisionLog, DropsOnlyWholeLinesWhenThePipeIsFull) {
   Pipe pipe;
   pipe.Room = 100;
   Metrics metrics;
--- a/tests/base/observe_test.cpp
+++ b/tests/base/observe_test.cpp
@@ -45,7 +45,7 @@
   EXPECT_EQ(ring.read(99, 10).NextSequence, 5U);
 }
 
-TEST(HybridClock, EffectSortsAfterCauseThoughClocksDiffer) {
+TEST(HybridClock, EffectSortsAfterCauseDespiteClockSkew) {
   HybridClock ahead;
   HybridClock behind;
   HybridTime cause = ahead.tick(at(5'000'000));
@@ -53,7 +53,7 @@
   EXPECT_GT(behind.tick(at(1'000'001)), cause);
 }
 
-TEST(HybridClock, GrowsThoughTheWallClockStepsBack) {
+TEST(HybridClock, IncreasesWhenTheWallClockStepsBack) {
   HybridClock it;
   HybridTime first = it.tick(at(1000));
   HybridTime second = it.tick(at(10));
@@ -61,13 +61,13 @@
   EXPECT_GT(it.tick(at(1000)), second);
 }
 
-TEST(HybridClock, DoesNotFollowABrokenClock) {
+TEST(HybridClock, IgnoresARemoteTimeTooFarAhead) {
   HybridClock it;
   it.observe({UINT64_MAX, 0}, at(1000));
   EXPECT_EQ(it.tick(at(2000)).Wall, 2000U);
 }
 
-TEST(Distribution, CountsEveryValueOnceWhateverItIs) {
+TEST(Distribution, CountsEveryValueOnce) {
   Distribution it(Distribution::Unit::Seconds);
   for (double value : {0.0, -1.0, 1e-6, 0.1, 999.0, 1e9})
     it.observe(value);
@@ -86,7 +86,7 @@
   EXPECT_EQ(Distribution(Distribution::Unit::Share).quantile(0.5), 0);
 }
 
-TEST(Distribution, ShareHoldsBothEnds) {
+TEST(Distribution, ShareIncludesBothBounds) {
   Distribution it(Distribution::Unit::Share);
   it.observe(0.0);
   it.observe(1.0);
@@ -96,7 +96,7 @@
   EXPECT_EQ(it.sum(), 1.0);
 }
 
-TEST(Distribution, LosesNothingAmongThreads) {
+TEST(Distribution, CountsAllObservationsAcrossThreads) {
   Distribution it(Distribution::Unit::Seconds);
   {
     std::vector<std::jthread> threads;
--- a/tests/base/process_test.cpp
+++ b/tests/base/process_test.cpp
@@ -62,14 +62,14 @@
   EXPECT_EQ(Calls, (std::vector<std::string>{"start", "drain", "stop"}));
 }
 
-TEST_F(Process, AnInterruptEndsADrainThatHangs) {
+TEST_F(Process, InterruptEndsAHungDrain) {
   Init.Drain = [](TimePoint, const std::function<void(bool)> &) {
     std::raise(SIGINT);
   };
   EXPECT_EQ(run({fileWith("[process]\nlog_level = error\n")}), 5);
 }
 
-TEST_F(Process, ARepeatedSignalCutsNothingOff) {
+TEST_F(Process, RepeatedSignalDoesNotAbortTheDrain) {
   boost::asio::io_context *context = nullptr;
   Init.Start = [&](boost::asio::io_context &io, Error &) {
     context = &io;
@@ -85,33 +85,33 @@
   EXPECT_EQ(run({fileWith("[process]\nlog_level = error\n")}), 0);
 }
 
-TEST_F(Process, TellsByItsCodeThatWorkWasCutOff) {
+TEST_F(Process, ExitCodeReportsAbortedWork) {
   Init.Drain = [](TimePoint, const std::function<void(bool)> &done) {
     done(false);
   };
   EXPECT_EQ(run({fileWith("[process]\nlog_level = error\n")}), 4);
 }
 
-TEST_F(Process, EndsByItselfBeforeThePlatformKillsIt) {
+TEST_F(Process, ExitsBeforeThePlatformKillsIt) {
   TimePoint drainedAt;
-  TimePoint told;
+  TimePoint drainDeadline;
   Init.Drain = [&](TimePoint end, const std::function<void(bool)> &) {
     drainedAt = monotonicNow();
-    told = end;
+    drainDeadline = end;
   };
   EXPECT_EQ(run({fileWith("[process]\nkill_after = 500ms\n"
                           "log_level = error\n")}),
             4);
-  EXPECT_LT(told, drainedAt + std::chrono::milliseconds(500));
+  EXPECT_LT(drainDeadline, drainedAt + std::chrono::milliseconds(500));
 }
 
-TEST_F(Process, CountsASignalThatWasHeldBackFromTheProcessStart) {
+TEST_F(Process, DeadlineOfABlockedSignalCountsFromProcessStart) {
   TimePoint startedAt;
-  TimePoint told;
-  sigset_t toStop;
-  sigemptyset(&toStop);
-  sigaddset(&toStop, SIGTERM);
-  pthread_sigmask(SIG_BLOCK, &toStop, nullptr);
+  TimePoint drainDeadline;
+  sigset_t stopSignals;
+  sigemptyset(&stopSignals);
+  sigaddset(&stopSignals, SIGTERM);
+  pthread_sigmask(SIG_BLOCK, &stopSignals, nullptr);
   std::raise(SIGTERM);
   Init.Start = [&](boost::asio::io_context &, Error &) {
     startedAt = monotonicNow();
@@ -119,17 +119,17 @@
     return true;
   };
   Init.Drain = [&](TimePoint end, const std::function<void(bool)> &done) {
-    told = end;
+    drainDeadline = end;
     done(true);
   };
   EXPECT_EQ(run({fileWith("[process]\nkill_after = 10s\n"
                           "log_level = error\n")}),
             0);
   // Counted from when it was handled, it would be 300 ms later.
-  EXPECT_LE(told, startedAt + std::chrono::milliseconds(9800));
+  EXPECT_LE(drainDeadline, startedAt + std::chrono::milliseconds(9800));
 }
 
-TEST_F(Process, ReadsItsSettingsAgainOnHangup) {
+TEST_F(Process, ReloadsSettingsOnHangup) {
   int64_t n = 0;
   Init.ReadSettings = [&](Settings &it) { n = it.integer("trial.n", 1, 0, 9); };
   Init.Reload = [&] {
@@ -147,7 +147,7 @@
   EXPECT_EQ(Calls, (std::vector<std::string>{"reload 7", "drain", "stop"}));
 }
 
-TEST_F(Process, NoticesAChangedFileWithoutASignal) {
+TEST_F(Process, ReloadsAChangedFileWithoutASignal) {
   Init.Reload = [&] {
     Calls.emplace_back("reload");
     std::raise(SIGTERM);
@@ -189,7 +189,7 @@
 }
 
 // Libraries wait in such handlers for threads of theirs, which may never end.
-TEST_F(Process, EndsWithoutTheHandlersOfLibraries) {
+TEST_F(Process, ExitsWithoutRunningAtexitHandlers) {
   testing::GTEST_FLAG(death_test_style) = "threadsafe";
   EXPECT_EXIT(
       {
@@ -199,14 +199,14 @@
       testing::ExitedWithCode(4), "");
 }
 
-TEST_F(Process, ADrainIsBoundedInTime) {
+TEST_F(Process, DrainTimeoutIsEnforced) {
   Init.Drain = [](TimePoint, const std::function<void(bool)> &) {};
   EXPECT_EQ(run({fileWith("[process]\ndrain_timeout = 0s\n"
                           "log_level = error\n")}),
             4);
 }
 
-TEST_F(Process, StartThatFailsHasItsOwnCode) {
+TEST_F(Process, FailedStartHasItsOwnExitCode) {
   Init.Start = [](boost::asio::io_context &, Error &reason) {
     reason = {ErrorKind::Internal, "address in use", {}};
     return false;
@@ -214,7 +214,7 @@
   EXPECT_EQ(run({fileWith("")}), 3);
 }
 
-TEST_F(Process, PrintsEveryMistakeOfTheSettings) {
+TEST_F(Process, PrintsEverySettingsError) {
   testing::internal::CaptureStderr();
   int code = run({fileWith("[process]\nthreads = x\n[trial]\nn = 11\nm = 1\n"),
                   "--check"});
@@ -232,7 +232,7 @@
   EXPECT_TRUE(Calls.empty());
 }
 
-TEST_F(Process, HelpShowsItsOwnFlagsAlone) {
+TEST_F(Process, HelpShowsOnlyItsOwnFlags) {
   testing::internal::CaptureStdout();
   EXPECT_EQ(run({"--help"}), 0);
   std::string text = testing::internal::GetCapturedStdout();
--- a/tests/edge/engine_test.cpp
+++ b/tests/edge/engine_test.cpp
@@ -69,13 +69,13 @@
   EXPECT_EQ(done.FinishReason, "stop");
 }
 
-TEST(Engine, AnswerOfAnotherRequestKeepsItsName) {
+TEST(Engine, AnswerOfAnotherRunKeepsItsToken) {
   std::string other = toString(RunToken{{3, 4}, 1, 6});
   auto inputs = runAgainst(200, textEvent(other, "a"), 1);
   EXPECT_EQ(std::get<RunText>(inputs.at(0)).Answer, (RunToken{{3, 4}, 1, 6}));
 }
 
-TEST(Engine, FailuresTellWhetherItMayHaveRun) {
+TEST(Engine, FailuresReportWhetherTheRunMayHaveStarted) {
   struct Case {
     const char *Name;
     unsigned Status;
@@ -120,7 +120,7 @@
   EXPECT_EQ(std::get<RunFailed>(inputs.at(0)).Ran, Outcome::MayHaveRun);
 }
 
-TEST(Engine, CancelEndsTheRunAndTellsTheEngine) {
+TEST(Engine, CancelEndsTheRunAndNotifiesTheEngine) {
   std::promise<std::string> cancelled;
   EdgeRig rig([&](const net::HttpRequest &request, const auto &exchange) {
     if (request.Path == "/control/cancel") {
--- a/tests/edge/store_test.cpp
+++ b/tests/edge/store_test.cpp
@@ -87,7 +87,7 @@
       std::get<StoreAnswer>(inputs.at(1)).Result));
 }
 
-TEST(Stores, StoppedCallIsAnswered) {
+TEST(Stores, CancelledCallIsAnswered) {
   EdgeRig rig([&](const auto &, const auto &exchange) {
     rig.keep(exchange);
     exchange->beginStream(200, {});
--- a/tests/edge_kv/etcd_json_test.cpp
+++ b/tests/edge_kv/etcd_json_test.cpp
@@ -44,7 +44,7 @@
   EXPECT_EQ(etcd::leaseGrantRequest(Duration(1'500'000)), R"({"TTL":"2"})");
 }
 
-TEST(EtcdJson, TellsFailedCompareFromWritten) {
+TEST(EtcdJson, DistinguishesFailedCompareFromWrite) {
   Error reason;
   std::optional<KvTransactionResult> failed = etcd::parseTransaction(
       R"({"header":{"revision":"9"},"responses":[{"response_range":)"
@@ -98,7 +98,7 @@
   EXPECT_EQ(compacted->CompactRevision, 50U);
 }
 
-TEST(EtcdJson, RefusesWhatIsNoAnswer) {
+TEST(EtcdJson, RejectsMalformedAnswers) {
   for (const std::string &text :
        {std::string(), std::string("[]"), std::string("{}"),
         std::string(R"({"header":{"revision":"-1"}})"),
@@ -119,7 +119,7 @@
 using control::InstanceDelta;
 using control::ListedMember;
 
-TEST(InstanceList, RoundTripsAndRefuses) {
+TEST(InstanceList, RoundTripsAndRejectsMalformedLists) {
   ListedMember listed;
   listed.Instance.Name = "a";
   listed.Instance.State = MemberState::Leaving;
