--- a/src/control/command_run.cpp
+++ b/src/control/command_run.cpp
@@ -64,7 +64,8 @@
   bool isBaseCurrent = !Requested.ExpectedRevision ||
                        *Requested.ExpectedRevision == knownRevision ||
                        (*Requested.ExpectedRevision == 0 && !exists);
-  // Another state than the operator saw: ask the service which one is newer.
+  // The operator's revision differs from this replica's: read the current one
+  // from the service.
   return isBaseCurrent ? prepare() : read();
 }
 
@@ -178,8 +179,8 @@
 CommandStep CommandRun::resolveOutcome(const edge::KvEntry &current,
                                        TimePoint now) {
   if (current.ModRevision == (Base ? Base->Revision : 0)) {
-    // Not applied so far, but the lost write may still arrive. Sending the
-    // same compare again settles it.
+    // Not applied yet, but a lost write may still arrive. Resending the same
+    // compare makes the result definite.
     Error noAnswer{ErrorKind::ServiceUnknown, "no answer to the write in time"};
     return now < Deadline ? commit() : waitOrGiveUp(noAnswer, now);
   }
--- a/src/control/command_run.h
+++ b/src/control/command_run.h
@@ -1,9 +1,9 @@
-/// Carries one command through the key-value service: compare-and-swap, and
-/// after a lost answer a read that finds out what became of it.
+/// Executes one command against the key-value service: a compare-and-swap and,
+/// if its answer is lost, a read to determine whether the write was applied.
 ///
-/// A write is sent again only with the same compare and the same command id
-/// after a read found the object unchanged: of several such writes at most one
-/// can ever take effect.
+/// A write is resent only with the same compare and the same command id, and
+/// only after a read found the object unchanged. At most one of these writes
+/// can take effect.
 #pragma once
 
 #include "control/command.h"
@@ -14,20 +14,20 @@
 
 namespace daisytack::control {
 
-/// What the shell has to do next.
+/// The next action for the caller, which performs the I/O.
 struct CommandStep {
   enum class Kind : uint8_t { Commit, Read, Wait, Done };
   Kind Action = Kind::Done;
-  edge::KvTransaction Transaction; ///< Commit.
-  edge::KvRange Range;             ///< Read.
-  Duration Delay{0};               ///< Wait.
-  CommandResult Result;            ///< Done.
+  edge::KvTransaction Transaction; ///< For Commit.
+  edge::KvRange Range;             ///< For Read.
+  Duration Delay{0};               ///< For Wait.
+  CommandResult Result;            ///< For Done.
 };
 
-/// One use each. Not thread-safe.
+/// State machine of one command; each object runs one command. Not thread-safe.
 class CommandRun {
 public:
-  /// Base is the object's state in force in this process, when it has one.
+  /// Base is the object's state in this process's replica, if it has one.
   CommandRun(Command command, std::optional<ReplicaEntry> base,
              TimePoint deadline);
 
@@ -55,7 +55,7 @@
   TimePoint Deadline;
   StoredObject BaseObject;
   std::string EncodedValue;
-  bool MayBeApplied = false; ///< A write was sent and its answer lost.
+  bool MayBeApplied = false; ///< A write was sent and its answer was lost.
   uint32_t WaitCount = 0;
 };
 
--- a/src/control/control_state.cpp
+++ b/src/control/control_state.cpp
@@ -15,7 +15,8 @@
   return out;
 }
 
-/// Whether the text under a key is a tombstone. Few values say the word at all.
+/// Whether the value of a key is a tombstone. The text search avoids decoding
+/// most values.
 bool isTombstone(const std::string &key, const std::string &value) {
   if (value.find("\"deleted\"") == std::string::npos)
     return false;
--- a/src/control/control_state.h
+++ b/src/control/control_state.h
@@ -1,5 +1,5 @@
-/// All that a process knows of configuration and membership, and the snapshot
-/// made from it.
+/// A process's copy of configuration and membership, and the snapshot built
+/// from it.
 #pragma once
 
 #include "control/instance_codec.h"
@@ -18,46 +18,48 @@
 namespace daisytack::control {
 
 struct ControlStateInit {
-  size_t MaxTombstones = 4096; ///< Per replica.
+  size_t MaxTombstones = 4096; ///< Tombstones kept per replica.
   Duration SignalLifetime{300'000'000};
   Duration ObservationLifetime{10'000'000};
 };
 
-/// Not thread-safe; its owner serialises access.
+/// Merges configuration, the instance list, signals and observations. Not
+/// thread-safe; its owner serialises access.
 class ControlState {
 public:
   ControlState(ControlStateInit init, EventSink events);
 
-  /// Each returns whether anything changed.
+  /// Merging and expire() return whether anything changed.
   bool mergeConfig(const ReplicaDelta &delta);
   bool mergeMembers(const ReplicaDelta &delta);
   bool mergeSignal(const AgedSignal &signal, TimePoint now);
   void observeLeaving(const std::string &instance, TimePoint now);
   bool expire(TimePoint now);
 
-  /// Checks an answer of the key-value service: another cluster, or one whose
-  /// revision went back behind what was known when it was asked, is not the
-  /// service that this state came from. The first one seen is taken.
+  /// Checks that an answer is from the key-value service that this state was
+  /// read from: the cluster id must match, and the revision must be at least
+  /// the one known when the call was made. The first cluster id is adopted.
   bool acceptService(const edge::KvHeader &header, uint64_t atLeast,
                      Error &reason);
-  /// The same for a peer's state.
+  /// Checks the cluster id of a peer's state in the same way; 0 is accepted.
   bool acceptPeer(uint64_t clusterId, Error &reason);
 
   const Replica &config() const { return Config; }
   const Replica &members() const { return Members; }
   const SignalTable &signals() const { return Signals; }
   uint64_t clusterId() const { return Cluster; }
-  /// Merged from list, signals and observations; gone ones are left out.
+  /// Members merged from the instance list, signals and observations, without
+  /// those that are gone.
   const std::map<std::string, Member> &memberTable() const {
     return Builder.members();
   }
-  /// Configuration keys whose value can't be acted on, and why. The last
-  /// understood value is in force.
+  /// Configuration keys whose value could not be decoded, with the reason. The
+  /// last valid value stays in force.
   const std::map<std::string, std::string> &rejectedConfig() const {
     return RejectedConfig;
   }
 
-  /// The snapshot when it differs from the last one taken.
+  /// A new snapshot, or null when nothing changed since the last call.
   std::shared_ptr<const Snapshot> takeSnapshot();
 
 private:
@@ -76,14 +78,13 @@
   uint64_t TakenVersion = 0;
 };
 
-/// What a read of the key-value service found above From, as a replica's
-/// delta.
+/// Converts the result of a key-value read above revision from to a delta.
 ReplicaDelta toDelta(uint64_t from, uint64_t through,
                      std::vector<edge::KvEntry> entries);
-/// What a watch reported.
+/// Converts the changes reported by a watch to a delta.
 ReplicaDelta toDelta(uint64_t from, uint64_t through,
                      const std::vector<edge::KvChange> &changes);
-/// What the instance list answered.
+/// Converts an answer of the instance list to a delta.
 ReplicaDelta toDelta(uint64_t since, const InstanceDelta &list);
 
 } // namespace daisytack::control
--- a/src/control/field_text.cpp
+++ b/src/control/field_text.cpp
@@ -36,7 +36,7 @@
   return true;
 }
 
-/// Digits of fixed width at the position, or -1.
+/// Parses width decimal digits at the position; -1 when they are not digits.
 int digitsAt(std::string_view text, size_t at, size_t width) {
   if (at + width > text.size())
     return -1;
@@ -49,7 +49,7 @@
   return out;
 }
 
-/// Microseconds of ".5Z" or "Z"; nothing when it is neither.
+/// Parses a suffix such as ".5Z" or "Z" into microseconds.
 std::optional<int64_t> parseFraction(std::string_view text) {
   constexpr size_t MaxDigits = 6;
   if (text == "Z")
--- a/src/control/field_text.h
+++ b/src/control/field_text.h
@@ -1,4 +1,4 @@
-/// Field values as the text that commands take and tables show.
+/// Conversion of field values to and from the text used in commands and tables.
 #pragma once
 
 #include "daisytack/objects.h"
@@ -17,11 +17,11 @@
 std::string fieldText(Duration value);
 std::string fieldText(KeepRule value);
 std::string fieldText(OperatorRole value);
-/// "none" without a time.
+/// "none" when there is no time.
 std::string fieldText(const std::optional<WallTime> &value);
 
-/// Inverses of fieldText: false, and the value left alone, when the text does
-/// not parse.
+/// Inverses of fieldText. Return false and leave the value unchanged when the
+/// text does not parse.
 bool parseField(std::string_view text, std::string &value);
 bool parseField(std::string_view text, bool &value);
 bool parseField(std::string_view text, uint32_t &value);
@@ -32,7 +32,7 @@
 bool parseField(std::string_view text, OperatorRole &value);
 bool parseField(std::string_view text, std::optional<WallTime> &value);
 
-/// What a field of that type is to be written as: one short phrase.
+/// Short description of the text format of a field of that type.
 std::string_view fieldFormat(const std::string &);
 std::string_view fieldFormat(bool);
 std::string_view fieldFormat(uint32_t);
@@ -43,7 +43,7 @@
 std::string_view fieldFormat(OperatorRole);
 std::string_view fieldFormat(const std::optional<WallTime> &);
 
-/// "2026-12-02T06:30:00Z", with a fraction of a second when there is one.
+/// Formats as "2026-12-02T06:30:00Z", with fractional seconds if not zero.
 std::string wallTimeText(WallTime time);
 std::optional<WallTime> parseWallTime(std::string_view text);
 
--- a/src/control/gossip.cpp
+++ b/src/control/gossip.cpp
@@ -9,25 +9,26 @@
 
 namespace {
 
-/// Least time between two pulls, so that one gap is asked for once.
+/// Minimum interval between pulls, so that one gap is not pulled several times.
 constexpr Duration PullInterval{200'000};
-/// Signals in one datagram; with names of ordinary length they fit besides one
-/// piece of other news.
+/// Maximum number of signals in one datagram. With names of usual length they
+/// fit together with one configuration or member change.
 constexpr size_t SignalsPerMessage = 8;
-/// Datagrams of signals in one answer.
+/// Maximum number of datagrams with signals in one answer.
 constexpr size_t MaxSignalMessages = 4;
-/// How long the signals may differ from every peer's before a process fetches
-/// all of them: datagrams are too slow when very many are new.
+/// Time without a peer whose signals are equal, after which a process fetches
+/// all signals by TCP: datagrams are too slow when very many are new.
 constexpr Duration SignalsMismatchTimeout{5'000'000};
-/// News of signals that may wait; anti-entropy finds what is left out.
+/// Maximum number of signals waiting to be sent. Anti-entropy spreads those
+/// that exceed it.
 constexpr size_t MaxPendingSignals = 1024;
-/// Bytes that the network adds to a payload: IP, UDP and the seal.
+/// Bytes added to a payload: 28 for IP and UDP, 44 for the seal.
 constexpr size_t DatagramOverhead = 28 + 44;
 constexpr double BurstSeconds = 4;
-/// News leaves this share of a full budget to digests and answers: without them
-/// no process that missed something could catch up.
+/// Share of the full byte budget that updates leave to digests and answers.
+/// Without these, a process that missed an update could not catch up.
 constexpr double AnswerReserveShare = 0.25;
-/// Values of a page; one value may be longer.
+/// A page ends after the entry that exceeds this number of bytes.
 constexpr size_t PageBytes = 256U << 10;
 
 using std::chrono::duration_cast;
@@ -45,7 +46,7 @@
   return age == NeverMillis ? NeverTime : now - milliseconds(age);
 }
 
-/// Cuts a delta into consecutive parts of bounded size.
+/// Splits a delta into consecutive parts of bounded size.
 std::vector<ReplicaDelta> splitDelta(ReplicaDelta delta) {
   std::vector<ReplicaDelta> out;
   out.push_back({delta.From, delta.Through, {}});
@@ -268,7 +269,7 @@
   NextUpdate = now + Init.UpdateInterval;
   std::vector<Endpoint> to = Peers.choose(Init.Fanout, Random);
   std::string payload = encodeOrFallback(update, Digest{header(now)});
-  // When the budget is spent the news stays news for a later round.
+  // Without budget the changes stay pending until a later tick.
   if (!takeBudget(payload.size() * to.size(), to.size(), AnswerReserveShare,
                   now))
     return;
@@ -290,8 +291,8 @@
     --FollowUpsDue;
     interval = std::min(interval, Init.FollowUpInterval);
   }
-  // Between half and one and a half of it, so that processes that started
-  // together fall out of step.
+  // Random delay of 0.5 to 1.5 intervals, so that processes that started
+  // together don't send their digests at the same time.
   constexpr int64_t Steps = 1024;
   auto draw = static_cast<int64_t>(Random() % Steps);
   return interval / 2 + interval * draw / Steps;
--- a/src/control/gossip.h
+++ b/src/control/gossip.h
@@ -1,6 +1,7 @@
-/// Spreads configuration, members and signals among all processes: news is told
-/// to a few random peers at once, and each process compares itself with one
-/// random peer at intervals, so that what was lost is found again.
+/// Spreads configuration, members and signals among all processes by gossip.
+/// Changes are sent to a few random peers immediately. In addition, each
+/// process periodically sends a digest of its state to one random peer
+/// (anti-entropy), which recovers updates that were lost.
 #pragma once
 
 #include "control/control_state.h"
@@ -15,8 +16,8 @@
 
 namespace daisytack::control {
 
-/// Stands for a time that never was: long before any process started, and far
-/// enough from the ends of the scale to be subtracted.
+/// Time of an event that has not happened: before any process started, and far
+/// enough from the limits of TimePoint that subtractions don't overflow.
 constexpr TimePoint NeverTime{std::chrono::hours(-24 * 365 * 100)};
 
 struct GossipInit {
@@ -24,14 +25,15 @@
   std::vector<Endpoint> Seeds;
   uint32_t Lineage = 0;
   Duration AntiEntropyInterval{1'000'000};
-  Duration UpdateInterval{20'000}; ///< Least between two rounds of news.
-  size_t Fanout = 3;               ///< Peers told in a round.
-  /// Digests sent soon after a round of news. Each costs a fraction of the news
-  /// and finds a peer that the news has missed.
+  Duration UpdateInterval{20'000}; ///< Minimum between updates.
+  size_t Fanout = 3;               ///< Peers per update.
+  /// Number of digests sent after an update, about FollowUpInterval apart. A
+  /// digest is a fraction of an update's size and finds peers that the update
+  /// did not reach.
   int FollowUps = 3;
   Duration FollowUpInterval{150'000};
-  size_t MaxPayload = 1200; ///< Of a datagram, in bytes.
-  uint64_t BytesPerSecond = 64U << 10;
+  size_t MaxPayload = 1200;            ///< Bytes per datagram.
+  uint64_t BytesPerSecond = 64U << 10; ///< Rate limit of gossip datagrams.
 };
 
 /// A message to one peer, in one datagram.
@@ -41,47 +43,53 @@
   auto operator<=>(const PeerSend &) const = default;
 };
 
-/// What the shell has to do.
+/// Actions for the caller, which performs the I/O.
 struct GossipActions {
   std::vector<PeerSend> Sends;
-  std::optional<Endpoint> Fetch; ///< Ask this peer by TCP with pullMessage().
+  std::optional<Endpoint> Fetch; ///< Send pullMessage() to this peer by TCP.
 };
 
-/// Figures of one process. Only grow.
+/// Counters of one process. They never decrease.
 struct GossipStats {
-  uint64_t UpdateRounds = 0;    ///< Rounds of news.
+  uint64_t UpdateRounds = 0;    ///< Updates sent, each to several peers.
   uint64_t DigestsSent = 0;     ///< Anti-entropy digests sent.
-  uint64_t PullsSent = 0;       ///< Asked a peer that was ahead.
-  uint64_t RateLimited = 0;     ///< Messages held back by the budget of bytes.
-  uint64_t StateMismatches = 0; ///< Messages of another lineage or service.
+  uint64_t PullsSent = 0;       ///< Pulls sent to peers with newer state.
+  uint64_t RateLimited = 0;     ///< Sends withheld by the rate limit.
+  uint64_t StateMismatches = 0; ///< Messages received from another lineage
+                                ///< or key-value service.
 };
 
-/// Adds a page to those before it; the joined deltas are taken as one.
+/// Appends a page to the pages already joined. The result is merged as one
+/// delta after the last page.
 void joinPage(StateUpdate &whole, const Page &page);
 
-/// Not thread-safe; its owner serialises access.
+/// Gossip protocol of one process, without I/O. Not thread-safe; its owner
+/// serialises access.
 class Gossip {
 public:
   Gossip(GossipInit init, ControlState &state, RandomSource random);
 
-  /// After a change of members.
+  /// Rebuilds the peer table; to be called after a change of members.
   void refreshPeers();
-  /// A signal of this process, or one that was learned here first.
+  /// Spreads a signal of this process, or one that this process received from
+  /// outside the gossip.
   void publishSignal(const Signal &signal, TimePoint now);
-  /// This process called the platform.
+  /// Records a call to the platform by this process and whether it was
+  /// answered.
   void recordPlatformCall(bool answered, TimePoint now);
 
-  /// To be called about every RumourInterval.
+  /// To be called about every UpdateInterval.
   GossipActions onTick(TimePoint now);
   GossipActions onMessage(const Endpoint &from, const PeerMessage &message,
                           TimePoint now);
-  /// Everything above the watermarks in pages of a bounded size.
+  /// All state above the watermarks in the pull, in pages of bounded size.
   std::vector<Page> pagesFor(const Pull &pull, TimePoint now) const;
-  /// What a fetch by TCP has brought, joined.
+  /// Merges the joined pages of a fetch by TCP.
   void onFetched(const StateUpdate &whole, TimePoint now);
   Pull pullMessage(TimePoint now) const { return {header(now)}; }
 
-  /// When any reader last called the platform, and was last answered.
+  /// When any reader last called the platform and when one was last answered,
+  /// as far as this process knows; NeverTime when unknown.
   TimePoint lastPlatformCall() const { return LastPlatformCall; }
   TimePoint lastPlatformAnswer() const { return LastPlatformAnswer; }
   size_t peers() const { return Peers.size(); }
@@ -127,17 +135,19 @@
   PeerTable Peers;
   TokenBucket Bytes;
   GossipStats Stats;
-  /// A first image is old news to everybody else.
+  /// Whether a first image was received. It is not sent as an update: the other
+  /// processes already have it.
   bool ConfigStarted = false;
   bool MembersStarted = false;
-  uint64_t SentConfig = 0; ///< Content that was told, or need not be.
+  /// Latest change that was sent as an update or needs none.
+  uint64_t SentConfig = 0;
   uint64_t SentMembers = 0;
   std::vector<Signal> PendingSignals;
   TimePoint NextDigest;
   int FollowUpsDue = 0;
   TimePoint NextUpdate;
   TimePoint NextPull;
-  TimePoint SignalsMatchedAt; ///< When a peer last had the same signals.
+  TimePoint SignalsMatchedAt; ///< When a peer last had equal signals.
   TimePoint LastPlatformCall = NeverTime;
   TimePoint LastPlatformAnswer = NeverTime;
 };
--- a/src/control/instance_codec.h
+++ b/src/control/instance_codec.h
@@ -1,5 +1,5 @@
-/// Instances of the platform's list as JSON (docs/PROTOCOL.md, "Instance
-/// list"): as the list answers them, and as replicas carry them.
+/// JSON encoding of instances (docs/PROTOCOL.md, "Instance list"), as used in
+/// answers of the platform's instance list and in replicas.
 #pragma once
 
 #include "daisytack/error.h"
@@ -13,22 +13,22 @@
 
 namespace daisytack::control {
 
-/// One instance, and the version at which the list last changed it.
+/// One instance and the list version at which it last changed.
 struct ListedMember {
   Member Instance;
   uint64_t Changed = 0;
   auto operator<=>(const ListedMember &) const = default;
 };
 
-/// What changed in the list after some version.
+/// The instances that changed after the requested version of the list.
 struct InstanceDelta {
-  uint64_t Version = 0; ///< Of the list when it answered.
+  uint64_t Version = 0; ///< Version of the list at its answer.
   std::vector<ListedMember> Members;
   bool operator==(const InstanceDelta &) const = default;
 };
 
 std::string encodeInstance(const ListedMember &instance);
-/// Each sets the reason and returns nothing when the text is no such thing.
+/// The decoders return nullopt and set the reason when the text is invalid.
 std::optional<ListedMember> decodeInstance(std::string_view json,
                                            Error &reason);
 std::optional<InstanceDelta> decodeInstanceDelta(std::string_view json,
--- a/src/control/object_codec.cpp
+++ b/src/control/object_codec.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view AnyClass = "*";
 constexpr uint32_t NestingLimit = 8;
 
-/// Names that values use besides the object's fields.
+/// Names of the fields that every value has besides those of its object.
 constexpr std::string_view DeletedField = "deleted";
 constexpr std::string_view SchemaField = "schema";
 constexpr std::string_view NeedsField = "needs";
@@ -31,7 +31,7 @@
   return {ErrorKind::BadValue, std::move(detail)};
 }
 
-/// Numbers and flags as JSON has them, all else as text.
+/// Numbers and booleans use the JSON types; all other fields are strings.
 json::value toJson(bool value) { return value; }
 json::value toJson(uint32_t value) { return value; }
 json::value toJson(uint64_t value) { return value; }
@@ -102,7 +102,8 @@
   return true;
 }
 
-/// Takes the fields that every value has; what is left belongs to the object.
+/// Decodes and removes the fields that every value has. The remaining ones
+/// belong to the object.
 bool extractCommonFields(json::object &fields, StoredObject &out,
                          bool &deleted) {
   auto take = [&](std::string_view name, auto read) {
@@ -125,7 +126,8 @@
               [&](const json::value &v) { return readTrail(v, out.Trail); });
 }
 
-/// Takes the object's own fields; the name of the first bad one, or empty.
+/// Decodes and removes the object's own fields. Returns the name of the first
+/// invalid one, or an empty string.
 std::string extractFields(json::object &fields, ConfigObject &object) {
   std::string bad;
   auto take = [&](std::string_view name, auto &member) {
--- a/src/control/object_fields.h
+++ b/src/control/object_fields.h
@@ -1,5 +1,5 @@
-/// The fields of each configuration object, listed once. Fields that make up
-/// the object's name are left out: they stand in its key.
+/// Lists the fields of each configuration object. The fields that form the
+/// object's name are not included because they are part of its key.
 #pragma once
 
 #include "daisytack/objects.h"
@@ -8,7 +8,7 @@
 
 namespace daisytack::control {
 
-/// Calls visit(name, member) for each field. T is the object, const or not.
+/// Calls visit(name, member) for each field. T may be const.
 template <class T, class Visitor> void visitFields(T &object, Visitor &&visit) {
   using Plain = std::remove_const_t<T>;
   if constexpr (std::is_same_v<Plain, Organisation>) {
--- a/src/control/object_validation.cpp
+++ b/src/control/object_validation.cpp
@@ -19,7 +19,7 @@
 constexpr Duration MaxKeepFor{365LL * 24 * 3600 * 1'000'000};
 constexpr size_t KeyHashDigits = 64;
 
-/// Collects the mistakes of one object.
+/// Collects the validation errors of one object.
 class Checker {
 public:
   template <class T>
--- a/src/control/peer_messages.h
+++ b/src/control/peer_messages.h
@@ -1,6 +1,6 @@
-/// Messages between the control parts of all processes. Encoded by
-/// wire/codec.h; carried by authenticated datagrams when they fit, and pages by
-/// an authenticated TCP connection.
+/// Messages between the control planes of all processes. Encoded by
+/// wire/codec.h. Messages that fit are sent as authenticated datagrams, pages
+/// over an authenticated TCP connection.
 #pragma once
 
 #include "control/replica.h"
@@ -14,21 +14,22 @@
 
 namespace daisytack::control {
 
-/// An age that was never taken.
+/// Age of an event that has not happened.
 constexpr uint32_t NeverMillis = UINT32_MAX;
 
-/// What a process knows, in a few numbers. Starts every message on state.
+/// Summary of a process's state. First field of every message about state.
 struct PeerHeader {
   uint32_t Lineage = 0;
-  uint64_t ClusterId = 0; ///< Of the key-value service; 0 when none is known.
-  uint64_t ConfigLastChange = 0; ///< Replica::content of the configuration.
-  uint64_t ConfigWatermark = 0;  ///< Replica::watermark of it.
-  uint64_t MemberLastChange = 0;
+  uint64_t ClusterId = 0;        ///< Of the key-value service; 0 if unknown.
+  uint64_t ConfigLastChange = 0; ///< Replica::lastChange of the config.
+  uint64_t ConfigWatermark = 0;  ///< Replica::watermark of the config.
+  uint64_t MemberLastChange = 0; ///< The same for the instance list.
   uint64_t MemberWatermark = 0;
   uint64_t SignalsHash = 0;
-  uint32_t PlatformCallMillis = NeverMillis; ///< Since a reader last called the
-                                             ///< platform, as far as known.
-  uint32_t PlatformAnswerMillis = NeverMillis; ///< Since one was answered.
+  /// Time since any reader last called the platform and since one was last
+  /// answered, as far as the sender knows; NeverMillis if unknown.
+  uint32_t PlatformCallMillis = NeverMillis;
+  uint32_t PlatformAnswerMillis = NeverMillis;
   bool operator==(const PeerHeader &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Lineage, ClusterId, ConfigLastChange, ConfigWatermark, MemberLastChange,
@@ -36,39 +37,40 @@
   }
 };
 
-/// Anti-entropy: answered by what the sender lacks, by Pull for what the
-/// receiver lacks, or not at all.
+/// Anti-entropy message. The receiver answers with the state that the sender
+/// lacks and with a Pull for the state that it lacks itself. Equal states need
+/// no answer.
 struct Digest {
   PeerHeader Header;
   bool operator==(const Digest &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(Header); }
 };
 
-/// News, or the answer to a Digest or Pull.
+/// State changes, sent when they occur or as the answer to a Digest or Pull.
 struct StateUpdate {
   PeerHeader Header;
   std::optional<ReplicaDelta> Config;
   std::optional<ReplicaDelta> Members;
   std::vector<AgedSignal> Signals;
-  /// SignalBoard::buckets when the signals differ: the receiver returns what it
-  /// has in other buckets.
+  /// SignalTable::buckets, set when the signals differ: the receiver returns
+  /// its signals from the buckets that differ.
   std::vector<uint32_t> SignalBuckets;
-  bool Answer = false; ///< Of a Digest: the receiver returns its buckets too.
+  bool Answer = false; ///< An answer: the receiver returns its buckets.
   bool operator==(const StateUpdate &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Header, Config, Members, Signals, SignalBuckets, Answer);
   }
 };
 
-/// Asks for everything above the header's watermarks: by datagram for a Rumour
-/// or TooLarge, by TCP for pages.
+/// Requests all state above the header's watermarks. The answer is StateUpdate
+/// or TooLarge to a datagram, and pages to a request by TCP.
 struct Pull {
   PeerHeader Header;
   bool operator==(const Pull &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(Header); }
 };
 
-/// What was asked for does not fit a datagram: fetch it by TCP.
+/// The requested state does not fit a datagram and must be fetched by TCP.
 struct TooLarge {
   PeerHeader Header;
   bool operator==(const TooLarge &) const = default;
@@ -76,7 +78,7 @@
 };
 
 /// Part of the answer to a Pull by TCP. The receiver joins the entries of all
-/// pages and takes them as one delta.
+/// pages and merges them as one delta.
 struct Page {
   StateUpdate Part;
   bool More = false; ///< Another page follows.
@@ -84,13 +86,14 @@
   template <class Archive> void serialize(Archive &ar) { ar(Part, More); }
 };
 
-/// Asks which configuration revision is in force.
+/// Requests the configuration revision in force.
 struct RevisionProbe {
-  uint64_t Nonce = 0; ///< Repeated by the answer.
+  uint64_t Nonce = 0; ///< Copied to the answer.
   bool operator==(const RevisionProbe &) const = default;
   template <class Archive> void serialize(Archive &ar) { ar(Nonce); }
 };
 
+/// The configuration revision in force in the sender.
 struct RevisionAnswer {
   uint64_t Nonce = 0;
   uint64_t ConfigRevision = 0;
@@ -100,7 +103,7 @@
   }
 };
 
-/// Every message. The order is part of the protocol: append only.
+/// All messages. The order is part of the protocol: append only.
 using PeerMessage =
     std::variant<Digest, StateUpdate, Pull, TooLarge, Page, RevisionProbe,
                  RevisionAnswer, QuotaRequest, QuotaGrant>;
--- a/src/control/peer_table.cpp
+++ b/src/control/peer_table.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Of 100 messages, to the own failure domain and to the rest of the region.
+/// Percentage of messages sent within the failure domain, and to other failure
+/// domains of the region.
 constexpr uint64_t DomainPercent = 45;
 constexpr uint64_t RegionPercent = 30;
 
@@ -36,8 +37,8 @@
                                         const RandomSource &random) const {
   count = std::min(count, size());
   std::vector<Endpoint> out;
-  // Repeated draws are few while the count is small; the bound ends the search
-  // when one group holds fewer peers than its share of the draws.
+  // Duplicate draws are rare for small counts. The maximum ends the loop when a
+  // group has fewer peers than its share of the draws.
   size_t draws = count * 8;
   for (size_t i = 0; i < draws && out.size() < count; ++i) {
     const std::vector<Endpoint> &group = chooseGroup(random);
--- a/src/control/peer_table.h
+++ b/src/control/peer_table.h
@@ -1,4 +1,4 @@
-/// The peers of one process, and the choice of whom to tell.
+/// The peers of one process and their random selection for gossip.
 #pragma once
 
 #include "daisytack/objects.h"
@@ -9,17 +9,18 @@
 
 namespace daisytack::control {
 
-/// Immutable. Most messages stay within the failure domain or the region, and
-/// enough cross both that news reaches everything in a few rounds.
+/// Immutable table of peers. Most messages stay within the failure domain or
+/// the region; the rest are enough to spread updates to all processes in a few
+/// rounds.
 class PeerTable {
 public:
   PeerTable() = default;
-  /// Seeds stand in while no peer is known.
+  /// Uses the seeds when members contain no other process.
   PeerTable(const std::map<std::string, Member> &members, const Member &self,
             const std::vector<Endpoint> &seeds);
 
   size_t size() const;
-  /// Distinct peers at random, fewer when there are fewer.
+  /// Returns up to count distinct random peers.
   std::vector<Endpoint> choose(size_t count, const RandomSource &random) const;
 
 private:
--- a/src/control/readers.cpp
+++ b/src/control/readers.cpp
@@ -12,7 +12,7 @@
 constexpr Duration FallbackDelay{10'000'000};
 constexpr Duration FallbackDelayPerRank{1'000'000};
 constexpr Duration FallbackDuration{30'000'000};
-/// Processes that the list does not show wait like this one.
+/// Rank of processes that are not in the member table, for the timeout.
 constexpr size_t MaxRank = 60;
 
 std::pair<uint64_t, std::string_view> orderOf(const std::string &name) {
--- a/src/control/readers.h
+++ b/src/control/readers.h
@@ -1,6 +1,6 @@
-/// Which processes read the platform's services. Each decides for itself from
-/// its own view of the members; two that differ do no harm, since what they
-/// read is merged by revision.
+/// Election of the processes that read the platform's services. Each process
+/// decides from its own member table. Differing decisions are harmless because
+/// the state that is read is merged by revision.
 #pragma once
 
 #include "daisytack/objects.h"
@@ -11,21 +11,22 @@
 
 namespace daisytack::control {
 
-/// Position of the member among the live ones of its failure domain in the
-/// order of a hash of their names; nothing when it is not among them.
+/// Rank of a member among the live members of its failure domain, ordered by
+/// the hash of their names; nullopt if it is not a live member.
 std::optional<size_t> readerRank(const std::map<std::string, Member> &members,
                                  const Member &self);
 
-/// The state of one process's decision. Not thread-safe.
+/// Decides whether one process is a reader. Not thread-safe.
 class ReaderChoice {
 public:
-  /// Position after a change of members.
+  /// Sets the readerRank; to be called after a change of members.
   void setRank(std::optional<size_t> rank) { Rank = rank; }
 
-  /// Whether to read now. The first ReadersPerDomain of each domain do. The
-  /// others follow one after the other when no reader anywhere has tried for
-  /// long: then all of them are gone, and with them the news that they are.
-  /// LastTry: of any reader, as far as known here.
+  /// Whether to read now. The first ReadersPerDomain members of each failure
+  /// domain do. The others become readers in the order of their rank when no
+  /// reader has called the platform for a timeout: then all readers are gone,
+  /// and no process would learn this from the instance list. lastTry is the
+  /// last call of any reader that this process knows of.
   bool shouldRead(TimePoint lastTry, TimePoint now);
 
 private:
--- a/src/control/replica.cpp
+++ b/src/control/replica.cpp
@@ -26,8 +26,8 @@
 bool Replica::mergeEntry(const ReplicaEntry &entry) {
   auto it = Entries.find(entry.Key);
   if (it == Entries.end()) {
-    // Complete through the watermark and yet without the key: its deletion was
-    // seen, and the tombstone dropped since.
+    // The replica is complete through the watermark, so a missing key at or
+    // below it was deleted and its tombstone dropped.
     if (entry.Revision <= Watermark)
       return false;
   } else {
@@ -73,7 +73,8 @@
 void Replica::trimTombstones() {
   while (Tombstones.size() > MaxTombstones) {
     RevisionKey oldest = *Tombstones.begin();
-    // One above the watermark may still be needed against an older image.
+    // A tombstone above the watermark may still be needed to reject the key in
+    // an older image.
     if (oldest.first > Watermark)
       return;
     DroppedThrough = std::max(DroppedThrough, oldest.first);
--- a/src/control/replica.h
+++ b/src/control/replica.h
@@ -1,9 +1,11 @@
-/// A process's copy of what the platform orders by one counter: configuration
-/// by the key-value service's revision, instances by the list's version.
+/// A process's copy of data that the platform orders by one counter:
+/// configuration by the key-value service's revision, instances by the version
+/// of the instance list.
 ///
-/// A replica is complete through its watermark: it holds the latest state of
-/// every key that changed at or below it. It merges by highest revision per
-/// key, so an older image never replaces a newer one, whoever brings it.
+/// A replica is complete through its watermark: it has the latest state of
+/// every key that changed at or below it. It merges by the highest revision per
+/// key, so an older image never replaces a newer one, independent of its
+/// sender.
 #pragma once
 
 #include "daisytack/types.h"
@@ -23,53 +25,55 @@
   std::string Key;
   std::string Value;
   uint64_t Revision = 0;
-  bool Deleted = false; ///< A tombstone; Value may still say who deleted it.
+  bool Deleted = false; ///< A tombstone; Value may name the operator.
   auto operator<=>(const ReplicaEntry &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Key, Value, Revision, Deleted);
   }
 };
 
-/// All entries whose latest change lies above From, complete through Through.
-/// An image (From 0) lists every key that exists: those it leaves out are gone.
+/// All entries whose latest change is after From, complete through Through. A
+/// delta with From 0 is an image: it contains every existing key, and keys that
+/// are not in it were deleted.
 struct ReplicaDelta {
   uint64_t From = 0;
   uint64_t Through = 0;
-  std::vector<ReplicaEntry> Entries; ///< In order of revision.
+  std::vector<ReplicaEntry> Entries; ///< Ordered by revision.
   bool operator==(const ReplicaDelta &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(From, Through, Entries);
   }
 };
 
-/// Not thread-safe; its owner serialises access.
+/// Merges deltas and creates them for peers. Not thread-safe; its owner
+/// serialises access.
 class Replica {
 public:
-  /// The newest tombstones are kept, so that a deletion spreads as a delta;
-  /// older ones are dropped and peers further behind receive an image.
+  /// Keeps the newest maxTombstones tombstones, so that deletions are part of
+  /// deltas. Older ones are dropped, and peers that need them receive an image.
   explicit Replica(size_t maxTombstones);
 
-  /// What a merge did.
+  /// Result of a merge.
   struct MergeResult {
-    std::vector<std::string> Changed; ///< Keys whose state is now another one.
-    bool Gap = false; ///< The delta starts above the watermark: entries were
-                      ///< merged, but the watermark stands, and what lies
-                      ///< between must be fetched.
+    std::vector<std::string> Changed; ///< Keys whose state changed.
+    bool Gap = false; ///< The delta starts above the watermark: its entries
+                      ///< were merged, but the watermark is unchanged, and the
+                      ///< changes in between must be fetched.
   };
   MergeResult merge(const ReplicaDelta &delta);
 
-  /// Complete through this revision; 0 before the first image.
+  /// The replica is complete through this revision; 0 before the first image.
   uint64_t watermark() const { return Watermark; }
-  /// Revision of the latest change at or below the watermark. Two replicas with
-  /// the same content differ at most in how far they know it to be complete.
+  /// Revision of the latest change at or below the watermark. Replicas where it
+  /// is equal differ at most in their watermarks.
   uint64_t lastChange() const { return lastChangeAt(Watermark); }
-  /// Everything after the revision, or an image when tombstones after it were
-  /// already dropped. From is the lowest one that costs no further entry.
+  /// All changes after the revision, or an image if tombstones after it were
+  /// dropped. From is the lowest revision that gives the same entries.
   ReplicaDelta deltaAfter(uint64_t revision) const;
-  /// Nothing when the key was never seen. The pointer holds until the next
-  /// merge.
+  /// The entry or tombstone of the key, or null if there is none. The pointer
+  /// is valid until the next merge.
   const ReplicaEntry *find(std::string_view key) const;
-  /// Existing keys, tombstones left out.
+  /// Number of existing keys, without tombstones.
   size_t size() const { return Entries.size() - Tombstones.size(); }
   const std::map<std::string, ReplicaEntry, std::less<>> &entries() const {
     return Entries;
@@ -88,8 +92,8 @@
   uint64_t Watermark = 0;
   uint64_t DroppedThrough = 0; ///< Highest revision of a dropped tombstone.
   std::map<std::string, ReplicaEntry, std::less<>> Entries;
-  std::set<RevisionKey> ByRevision; ///< Views into the keys of Entries.
-  std::set<RevisionKey> Tombstones; ///< The deleted ones among them.
+  std::set<RevisionKey> ByRevision; ///< Views of the keys in Entries.
+  std::set<RevisionKey> Tombstones; ///< The subset that is deleted.
 };
 
 } // namespace daisytack::control
--- a/src/control/rollout_check.h
+++ b/src/control/rollout_check.h
@@ -1,7 +1,8 @@
-/// Finds out how many live members have a configuration revision in force.
+/// Counts the live members that have a configuration revision in force.
 ///
-/// Every member of a small fleet is asked, a random sample of a large one; who
-/// does not answer or is not there yet is asked again until the time is over.
+/// Probes every member of a small fleet or a random sample of a large one.
+/// Members that do not answer or have an older revision are probed again until
+/// the deadline.
 #pragma once
 
 #include "control/peer_messages.h"
@@ -13,22 +14,25 @@
 
 namespace daisytack::control {
 
-/// How far a revision got.
+/// Rollout state of one configuration revision.
 struct RolloutReport {
-  size_t Members = 0; ///< Live members known here.
-  size_t Asked = 0;   ///< All of them, or a random sample of a large fleet.
-  size_t InForce = 0; ///< Of those asked, have the revision in force.
-  std::vector<std::string> Missing; ///< A few that haven't, or don't answer.
+  size_t Members = 0;               ///< Live members known to this process.
+  size_t Asked = 0;                 ///< Members sampled, with this process.
+  size_t InForce = 0;               ///< Sampled members that have the revision.
+  std::vector<std::string> Missing; ///< Names of up to MaxMissing sampled
+                                    ///< members without the revision or that
+                                    ///< do not answer.
   bool operator==(const RolloutReport &) const = default;
 };
 
-/// Not thread-safe; its owner serialises access.
+/// Probes members for one revision and collects their answers. Not thread-safe;
+/// its owner serialises access.
 class RolloutCheck {
 public:
   static constexpr size_t MaxSampled = 256;
   static constexpr size_t MaxMissing = 8;
 
-  /// One member to be asked.
+  /// A message to one member.
   struct Probe {
     Endpoint To;
     RevisionProbe Message;
@@ -38,11 +42,12 @@
                const std::string &self, uint64_t revision, TimePoint deadline,
                const RandomSource &random);
 
-  /// Who is to be asked now.
+  /// Returns the probes to send now: at each interval, one to every sampled
+  /// member that has not confirmed the revision.
   std::vector<Probe> onTick(TimePoint now);
   void onAnswer(const RevisionAnswer &answer);
   bool isOver(TimePoint now) const;
-  /// Own: the revision in force in this process.
+  /// ownRevision is the one in force in this process.
   RolloutReport report(uint64_t ownRevision) const;
 
 private:
@@ -56,7 +61,7 @@
   TimePoint Deadline;
   TimePoint NextProbe;
   size_t Members = 0;
-  std::map<uint64_t, Target> Targets; ///< By nonce.
+  std::map<uint64_t, Target> Targets; ///< Keyed by nonce.
 };
 
 } // namespace daisytack::control
--- a/src/control/signal_table.cpp
+++ b/src/control/signal_table.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Combined by exclusive or, so that it does not depend on the order.
+/// Hash of one signal. Hashes are combined by exclusive or, so that the result
+/// does not depend on the order.
 uint64_t hashOf(const std::string &instance, const SignalContent &content) {
   uint64_t state = static_cast<uint64_t>(content.State) + 1;
   uint64_t h = hashName(instance);
@@ -42,7 +43,7 @@
     it->second = {content, until};
   }
   Hash ^= hashOf(instance, content);
-  // The word of a newer process outweighs what a request showed of the old one.
+  // A live signal of a newer process overrides an observation of the old one.
   if (content.State == MemberState::Live)
     Observed.erase(instance);
   return true;
--- a/src/control/snapshot.cpp
+++ b/src/control/snapshot.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The element of a table sorted by Name.
+/// Finds a row in a table that is sorted by Name.
 template <class T>
 const T *findByName(const std::vector<T> &table, std::string_view name) {
   auto it = std::lower_bound(
@@ -27,7 +27,7 @@
   return {reinterpret_cast<const char *>(digest.data()), digest.size()};
 }
 
-/// Position by raw hash; rows whose hash is not one are left out.
+/// Maps raw key hashes to positions. Rows with an invalid hash are skipped.
 template <class T>
 std::unordered_map<std::string, uint32_t>
 indexKeys(const std::vector<T> &table) {
@@ -39,8 +39,8 @@
   return out;
 }
 
-/// Looks a bearer key up by its digest: the time taken tells nothing of the
-/// key.
+/// Looks a bearer key up by its digest, so that the time taken reveals nothing
+/// about the key.
 template <class T>
 const T *findByKey(const std::vector<T> &table,
                    const std::unordered_map<std::string, uint32_t> &index,
@@ -63,7 +63,7 @@
   return found ? &*it : nullptr;
 }
 
-/// Highest epoch of an organisation's policies. It holds for all of them, so
+/// Highest epoch of an organisation's policies. It applies to all of them, so
 /// that a purge also covers a policy that is written at the same time.
 uint32_t highestEpoch(const std::vector<ReusePolicy> &table,
                       std::string_view organisation) {
--- a/src/control/snapshot.h
+++ b/src/control/snapshot.h
@@ -1,5 +1,5 @@
-/// What the path of a request reads: one immutable snapshot of configuration
-/// and membership.
+/// Immutable snapshot of configuration and membership, read while a request is
+/// handled.
 #pragma once
 
 #include "daisytack/objects.h"
@@ -13,15 +13,15 @@
 
 namespace daisytack {
 
-/// Backend servers of one model or plain service, sorted by name; index is
-/// ServerHandle within the snapshot.
+/// The backend servers of one model or plain service, sorted by name. A
+/// ServerHandle is an index into Snapshot::Servers.
 struct Pool {
   std::string Name;
   bool IsService = false;
   std::vector<ServerHandle> Servers; ///< Live, not leaving, not drained.
 };
 
-/// One backend server as routing sees it.
+/// The properties of one backend server that routing uses.
 struct Server {
   std::string Name; ///< Instance name, unique.
   std::string Serves;
@@ -36,8 +36,8 @@
   bool IsService = false;
 };
 
-/// Immutable. Built by SnapshotBuilder whenever configuration or membership
-/// changes.
+/// Immutable after finish(). Built by SnapshotBuilder whenever configuration or
+/// membership changes.
 class Snapshot {
 public:
   uint64_t ConfigRevision = 0;
@@ -48,27 +48,29 @@
   std::vector<ReusePolicy> Policies;
   std::vector<PlainService> Services;
   std::vector<OperatorAccount> Operators;
-  std::vector<Server> Servers; ///< All known ones, sorted by name.
+  std::vector<Server> Servers; ///< All known, sorted by name.
   std::vector<Pool> Pools;     ///< Sorted by (IsService, Name).
   std::vector<Member> Entries; ///< Live entries, sorted by name.
 
   const Organisation *organisation(std::string_view name) const;
-  /// Constant-time over the hashes; nothing when no organisation has the key.
+  /// Looks the key up by its hash, so that the time taken reveals nothing about
+  /// the key; null if no organisation has it.
   const Organisation *organisationByKey(std::string_view bearerKey) const;
   const OperatorAccount *operatorByKey(std::string_view bearerKey) const;
   const Model *model(std::string_view name) const;
-  /// The class of that name; for an empty name the class "default" or the
-  /// built-in one.
+  /// The class with the name; null if there is none. For an empty name, the
+  /// configured class "default" or the built-in one.
   const RequestClass *requestClass(std::string_view name) const;
   const PlainService *service(std::string_view name) const;
-  /// Most specific policy: (organisation, class), then (organisation, "*"),
-  /// then the defaults. The epoch is the highest of the organisation's.
+  /// The most specific policy: (organisation, class), then (organisation, "*"),
+  /// then the defaults. Its epoch is the highest of all the organisation's
+  /// policies.
   ReusePolicy policy(std::string_view organisation,
                      std::string_view requestClass) const;
   const Pool *pool(std::string_view name, bool isService) const;
   const Server *server(std::string_view name) const;
 
-  /// Indices made by finish(); key hash (raw) to position.
+  /// Indices built by finish(), from raw key hash to position.
   std::unordered_map<std::string, uint32_t> OrganisationKeys;
   std::unordered_map<std::string, uint32_t> OperatorKeys;
   /// Sorts the tables and builds pools and indices. Called once, before
--- a/src/control/snapshot_builder.cpp
+++ b/src/control/snapshot_builder.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// The table of a snapshot that holds objects of one type.
+/// The snapshot's table for objects of one type.
 std::vector<Organisation> &tableOf(Snapshot &to, const Organisation &) {
   return to.Organisations;
 }
@@ -86,7 +86,8 @@
     else if (member.State == MemberState::Live)
       out->Entries.push_back(member);
   }
-  // Members are sorted by name, so servers are, and overrides find theirs.
+  // Members are sorted by name and thus also the servers, as the binary search
+  // in applyOverride requires.
   for (const auto &[key, object] : Objects)
     std::visit(
         [&](const auto &o) {
--- a/src/control/snapshot_builder.h
+++ b/src/control/snapshot_builder.h
@@ -1,5 +1,5 @@
-/// Turns replicated texts into the snapshot that the path of a request reads.
-/// Decodes each text once; building copies tables.
+/// Builds the snapshot that request handling reads from replicated values. Each
+/// value is decoded once; build() copies the decoded tables.
 #pragma once
 
 #include "control/object_codec.h"
@@ -12,21 +12,22 @@
 
 namespace daisytack::control {
 
-/// Not thread-safe; its owner serialises access.
+/// Keeps the decoded objects and members between snapshots. Not thread-safe;
+/// its owner serialises access.
 class SnapshotBuilder {
 public:
-  /// Takes the text under a configuration key; an empty one or a tombstone
-  /// removes the object. Sets the reason and returns false when the text can't
-  /// be acted on: the last understood object then stays.
+  /// Applies the value of a configuration key; an empty value or a tombstone
+  /// removes the object. If the value can't be decoded, returns false, sets the
+  /// reason and keeps the last valid object.
   bool applyConfig(std::string_view key, std::string_view json, Error &reason);
-  /// Takes a member with its state merged from list and signals; returns
-  /// whether that changes anything.
+  /// Applies a member whose state is merged from the instance list and signals.
+  /// Returns whether anything changed.
   bool applyMember(const Member &member);
   bool removeMember(const std::string &name);
 
   const std::map<std::string, Member> &members() const { return Members; }
 
-  /// A finished snapshot.
+  /// Builds a snapshot and calls finish() on it.
   std::shared_ptr<const Snapshot> build(uint64_t configRevision,
                                         uint64_t memberVersion) const;
 
--- a/src/control/token_bucket.h
+++ b/src/control/token_bucket.h
@@ -1,4 +1,4 @@
-/// A budget that refills at a constant rate, up to a burst.
+/// Token bucket: refilled at a constant rate up to the burst size.
 #pragma once
 
 #include "daisytack/types.h"
@@ -7,13 +7,13 @@
 
 namespace daisytack::control {
 
-/// Not thread-safe. Time that goes back refills nothing.
+/// Starts full. Not thread-safe. Times before the last call refill nothing.
 class TokenBucket {
 public:
   TokenBucket(double perSecond, double burst)
       : PerSecond(perSecond), Burst(burst), Tokens(burst) {}
 
-  /// Takes n when that leaves at least the reserve.
+  /// Takes n tokens and returns true if at least reserve tokens remain.
   bool take(double n, double reserve, TimePoint now) {
     refill(now);
     if (Tokens < n + reserve)
