--- a/tests/control/command_run_test.cpp
+++ b/tests/control/command_run_test.cpp
@@ -12,12 +12,12 @@
 constexpr TimePoint Start{};
 constexpr Duration CommandTimeout{10'000'000};
 
-/// One key of the key-value service, with writes that arrive late.
+/// Fake key-value service with one key; writes can be delayed.
 struct FakeService {
   edge::KvEntry Entry;
   uint64_t Revision = 1;
   std::deque<edge::KvTransaction> Delayed;
-  std::map<Id128, int> Applied; ///< Times that each command took effect.
+  std::map<Id128, int> Applied; ///< Times each command was applied.
 
   edge::KvTransactionResult commit(const edge::KvTransaction &transaction) {
     edge::KvTransactionResult out;
@@ -88,7 +88,7 @@
   return out;
 }
 
-/// Runs a command to its end against the service, without faults.
+/// Executes a command on the service without faults.
 CommandResult runPlain(FakeService &service, Command command) {
   CommandRun run(std::move(command), service.base(), Start + CommandTimeout);
   CommandStep step = run.begin();
@@ -116,7 +116,7 @@
   EXPECT_EQ(service.Entry.ModRevision, 0U);
 }
 
-TEST(CommandRun, TwoOperatorsAtOnceConflictShowsTheOther) {
+TEST(CommandRun, ConflictReportsTheOtherOperator) {
   FakeService service;
   runPlain(service, setVersion(1, "v1"));
   CommandRun slow(setVersion(2, "v2"), service.base(), Start + CommandTimeout);
@@ -142,7 +142,7 @@
   EXPECT_EQ(step.Result.Revision, service.Revision);
 }
 
-TEST(CommandRun, AppliedThenOverwrittenIsAppliedAndShowsWhatCameOnTop) {
+TEST(CommandRun, AppliedThenOverwrittenReportsTheLaterChange) {
   FakeService service;
   CommandRun run(setVersion(1, "v1"), service.base(), Start + CommandTimeout);
   CommandStep step = run.begin();
@@ -155,7 +155,7 @@
   EXPECT_EQ(step.Result.Other->Stamp.Operator, "operator2");
 }
 
-TEST(CommandRun, SilentServiceIsUnknownNotRetriedBlindly) {
+TEST(CommandRun, NoAnswerIsUnknownAndNotRetriedBlindly) {
   FakeService service;
   CommandRun run(setVersion(1, "v1"), service.base(), Start + CommandTimeout);
   run.begin();
@@ -168,7 +168,7 @@
   EXPECT_EQ(step.Result.Outcome, CommandOutcome::Unknown);
 }
 
-TEST(CommandRun, DownServiceIsUnavailable) {
+TEST(CommandRun, ServiceDownIsUnavailable) {
   FakeService service;
   CommandRun run(setVersion(1, "v1"), service.base(), Start + CommandTimeout);
   run.begin();
@@ -176,7 +176,7 @@
   EXPECT_EQ(step.Result.Outcome, CommandOutcome::Unavailable);
 }
 
-TEST(CommandRun, ExpectedRevisionOfAnotherStateConflicts) {
+TEST(CommandRun, UnexpectedRevisionConflicts) {
   FakeService service;
   runPlain(service, setVersion(1, "v1"));
   Command command = setVersion(2, "v2");
@@ -186,8 +186,9 @@
   EXPECT_EQ(runPlain(service, command).Outcome, CommandOutcome::Applied);
 }
 
-/// Any mixture of lost answers, delayed writes, other operators and outages:
-/// no command takes effect twice, and what is reported is true.
+/// Guards against commands that are applied twice or reported with a wrong
+/// outcome, with random lost answers, delayed writes, other operators and
+/// outages.
 RC_GTEST_PROP(CommandRun, NeverDoubleAppliesOrMisreports, ()) {
   enum Fault { None, LostBefore, LostAfter, Late, Down };
   FakeService service;
--- a/tests/control/fake_platform.h
+++ b/tests/control/fake_platform.h
@@ -1,5 +1,5 @@
-/// In-process fakes of the platform's key-value service and instance list, with
-/// switches for their faults. Not thread-safe: results arrive within the call.
+/// In-process fakes of the platform's key-value service and instance list with
+/// fault injection. Not thread-safe; callbacks run within the call.
 #pragma once
 
 #include "edge/instance_list.h"
@@ -16,7 +16,7 @@
 class FakeKv {
 public:
   bool Down = false;
-  int LoseAnswers = 0; ///< Writes applied but not answered.
+  int LoseAnswers = 0; ///< Number of writes to apply without an answer.
   uint64_t ClusterId = 7;
   uint64_t Revision = 1;
   uint64_t Calls = 0;
--- a/tests/control/fleet.h
+++ b/tests/control/fleet.h
@@ -1,5 +1,6 @@
-/// A few hundred processes' gossip in one test, joined by a queue of messages
-/// with a delay and faults. Time is the queue's.
+/// Simulates the gossip of up to a few hundred processes in one test, with a
+/// queue of messages that have a delay and can be lost. The queue provides the
+/// simulated time.
 #pragma once
 
 #include "control/gossip.h"
@@ -26,7 +27,7 @@
     std::unique_ptr<Gossip> Gossiper;
   };
 
-  /// Whether a message is lost.
+  /// Whether to drop a message.
   std::function<bool(const Node &from, const Node &to)> ShouldDrop =
       [](const Node &, const Node &) { return false; };
   std::vector<Node> Nodes;
@@ -43,7 +44,7 @@
   Fleet(const Fleet &) = delete;
   Fleet &operator=(const Fleet &) = delete;
 
-  /// Adds a process that knows the seeds alone.
+  /// Adds a process that knows only the seeds.
   size_t add(size_t domains, size_t regions, std::vector<Endpoint> seeds) {
     size_t i = Nodes.size();
     Node node;
@@ -57,7 +58,7 @@
     return i;
   }
 
-  /// Empties the process, as a restart does.
+  /// Replaces the process by one with empty state.
   void restart(size_t i, std::vector<Endpoint> seeds) {
     Node &node = Nodes[i];
     GossipInit init;
@@ -71,7 +72,7 @@
     schedule(i, Now + Duration(static_cast<int64_t>(mix64(++Draws) % 20'000)));
   }
 
-  /// Gives every process the list of all.
+  /// Merges the list of all processes into every process.
   void distributeMemberList() {
     ReplicaDelta list{0, Nodes.size(), {}};
     for (size_t i = 0; i < Nodes.size(); ++i)
@@ -84,7 +85,7 @@
     }
   }
 
-  /// A reader takes a change from the service.
+  /// Merges a configuration change into one process, as a reader does.
   void change(size_t reader, const std::string &model, uint64_t revision,
               const std::string &version) {
     ControlState &state = *Nodes[reader].State;
@@ -115,7 +116,7 @@
     return entry ? entry->Value : "";
   }
 
-  /// Processes that are up and complete through the revision.
+  /// Number of processes that are up and complete through the revision.
   size_t countAtRevision(uint64_t revision) const {
     size_t out = 0;
     for (const Node &node : Nodes)
@@ -131,7 +132,8 @@
   static constexpr Duration Delay{1'500};
   static constexpr Duration FetchDelay{20'000};
 
-  /// To itself: a tick. Payload empty: a fetch by TCP.
+  /// A message from a process to itself is a tick. One to another process with
+  /// an empty payload is a fetch by TCP.
   struct Message {
     TimePoint At;
     uint64_t Order = 0;
--- a/tests/control/gossip_test.cpp
+++ b/tests/control/gossip_test.cpp
@@ -14,7 +14,7 @@
 constexpr size_t Domains = 4;
 constexpr size_t Regions = 2;
 
-/// All know one another and the first revision.
+/// All processes know each other and the first revision.
 struct StartedFleet : Fleet {
   explicit StartedFleet(size_t count) : Fleet(count, Domains, Regions, Seed) {
     distributeMemberList();
@@ -53,16 +53,16 @@
                                            SpreadCase{100, 5},
                                            SpreadCase{300, 5}));
 
-TEST(Gossip, RestsWhenNothingChanges) {
+TEST(Gossip, SendsOnlyDigestsWithoutChanges) {
   StartedFleet fleet(50);
   fleet.run(seconds(5));
   uint64_t sent = fleet.Sent;
   fleet.run(seconds(10));
-  // One digest per second and process, unanswered.
+  // Each process sends one digest per second and gets no answer.
   EXPECT_NEAR(static_cast<double>(fleet.Sent - sent), 500, 60);
 }
 
-TEST(Gossip, ProcessThatSleptNeverBringsOldStateBack) {
+TEST(Gossip, ProcessThatWasDownDoesNotRevertState) {
   StartedFleet fleet(20);
   fleet.Nodes[3].Down = true;
   for (uint64_t i = 0; i < 30; ++i) {
@@ -77,12 +77,13 @@
     EXPECT_EQ(fleet.versionAt(i, "m"), R"({"version": "w29"})");
 }
 
-TEST(Gossip, RegionsPartedForAnHourRejoin) {
+TEST(Gossip, PartitionedRegionsConvergeAfterAnHour) {
   StartedFleet fleet(40);
   fleet.ShouldDrop = [](const auto &from, const auto &to) {
     return from.Self.Region != to.Self.Region;
   };
-  // Both regions have readers, one of them with a slower path to the service.
+  // Both regions have readers. The one in r1 has a slower path to the service
+  // and has only read revision 20.
   fleet.change(0, "m", 20, "v2");
   fleet.change(0, "other", 30, "v9");
   fleet.change(1, "m", 20, "v2");
@@ -95,7 +96,7 @@
   EXPECT_EQ(fleet.versionAt(1, "other"), R"({"version": "v9"})");
 }
 
-TEST(Gossip, HalfOfThePeersUnreachable) {
+TEST(Gossip, SpreadsWithHalfOfThePeersUnreachable) {
   StartedFleet fleet(60);
   for (size_t i = 30; i < 60; ++i)
     fleet.Nodes[i].Down = true;
@@ -104,11 +105,11 @@
   EXPECT_EQ(fleet.countAtRevision(20), 30U);
 }
 
-TEST(Gossip, LostFailureDomainIsKnownOnceTheListShowsIt) {
+TEST(Gossip, LostFailureDomainIsRemovedOnceTheListShowsIt) {
   StartedFleet fleet(80);
   for (Fleet::Node &node : fleet.Nodes)
     node.Down = node.Self.FailureDomain == "d1";
-  // The list lags by a minute; changes go on spreading meanwhile.
+  // The list can lag by a minute; changes must still spread in that time.
   fleet.change(0, "m", 20, "v2");
   fleet.run(seconds(5));
   EXPECT_EQ(fleet.countAtRevision(20), 60U);
@@ -122,7 +123,7 @@
     EXPECT_EQ(node.State->memberTable().size(), node.Down ? 80U : 60U);
 }
 
-TEST(Gossip, NewProcessStartsFromASeedAlone) {
+TEST(Gossip, NewProcessStartsFromOneSeed) {
   StartedFleet fleet(20);
   for (uint64_t i = 0; i < 200; ++i)
     fleet.change(0, "model" + std::to_string(i), 20 + i, "v1");
@@ -134,7 +135,7 @@
   EXPECT_GE(fleet.Fetches, 1U);
 }
 
-TEST(Gossip, AllProcessesReplacedOneAfterTheOther) {
+TEST(Gossip, RollingRestartKeepsState) {
   StartedFleet fleet(30);
   for (size_t i = 0; i < 30; ++i) {
     fleet.restart(i, {fleet.Nodes[(i + 1) % 30].Self.Peer,
@@ -160,7 +161,7 @@
   EXPECT_NE(reason.Detail.find("control.lineage"), std::string::npos);
 }
 
-TEST(Gossip, LeavingReachesEveryProcessAheadOfTheList) {
+TEST(Gossip, LeavingReachesEveryProcessBeforeTheList) {
   StartedFleet fleet(100);
   Signal leaving{"n7", {1000, {1, 1}, MemberState::Leaving, 0}};
   fleet.Nodes[7].Gossiper->publishSignal(leaving, fleet.Now);
@@ -172,17 +173,17 @@
   };
   fleet.run(seconds(3));
   EXPECT_EQ(leavingCount(), 100U);
-  // The next process of that name is told apart from the one that left.
+  // A new process of the same name must not be taken for the one that left.
   Signal live{"n7", {2000, {2, 2}, MemberState::Live, 0}};
   fleet.Nodes[7].Gossiper->publishSignal(live, fleet.Now);
   fleet.run(seconds(3));
   EXPECT_EQ(leavingCount(), 0U);
   fleet.Nodes[9].Gossiper->publishSignal(leaving, fleet.Now);
   fleet.run(seconds(3));
-  EXPECT_EQ(leavingCount(), 0U) << "the old process's word came late";
+  EXPECT_EQ(leavingCount(), 0U) << "late signal of the old process";
 }
 
-TEST(Gossip, ManyLeavingAtOnceAreKnownToAllWithinSeconds) {
+TEST(Gossip, ManyLeavingSignalsReachAllWithinSeconds) {
   StartedFleet fleet(200);
   for (size_t i = 0; i < 60; ++i)
     fleet.Nodes[i].Gossiper->publishSignal(
@@ -195,7 +196,7 @@
   uint64_t fetches = fleet.Fetches;
   uint64_t sent = fleet.Sent;
   fleet.run(seconds(10));
-  EXPECT_EQ(fleet.Fetches, fetches) << "rests once all are equal";
+  EXPECT_EQ(fleet.Fetches, fetches) << "no fetches once all are equal";
   EXPECT_LT(fleet.Sent - sent, 200U * 12);
 }
 
@@ -226,7 +227,7 @@
   EXPECT_LT(perSecond, 64 * 1024 * 1.4);
 }
 
-TEST(Gossip, HostileMessagesChangeNothing) {
+TEST(Gossip, InvalidMessagesChangeNothing) {
   StartedFleet fleet(2);
   StateUpdate update;
   update.Config = ReplicaDelta{0, UINT64_MAX, {{"", "x", UINT64_MAX, false}}};
@@ -241,7 +242,7 @@
     EXPECT_FALSE(wire::decode<PeerMessage>(bytes.substr(0, n), reason));
 }
 
-TEST(Readers, ConstantNumberPerDomainAndStandInsWhenAllAreGone) {
+TEST(Readers, ConstantNumberPerDomainAndFallbackWhenAllAreGone) {
   StartedFleet fleet(100);
   std::map<std::string, int> readers;
   for (const Fleet::Node &node : fleet.Nodes) {
@@ -261,7 +262,7 @@
   EXPECT_TRUE(third.shouldRead(fleet.Now, fleet.Now + seconds(20)));
   EXPECT_TRUE(
       third.shouldRead(fleet.Now + seconds(20), fleet.Now + seconds(21)))
-      << "holds for a while, so that it does not flap";
+      << "stays a reader for a while to avoid flapping";
   EXPECT_FALSE(
       third.shouldRead(fleet.Now + seconds(60), fleet.Now + seconds(61)));
   ReaderChoice unknown;
--- a/tests/control/object_codec_test.cpp
+++ b/tests/control/object_codec_test.cpp
@@ -111,7 +111,7 @@
   EXPECT_NE(reason.Remedy.find("weight"), std::string::npos);
 }
 
-TEST(SnapshotBuilder, KeepsLastUnderstoodObject) {
+TEST(SnapshotBuilder, KeepsLastValidObject) {
   SnapshotBuilder builder;
   Error reason;
   std::string key = toText({ObjectKind::Model, "m"});
--- a/tests/control/replica_test.cpp
+++ b/tests/control/replica_test.cpp
@@ -18,7 +18,7 @@
   return {key, {}, revision, true};
 }
 
-/// The service: every change in order, and deltas cut from it.
+/// Log of all changes in order, from which deltas are created.
 struct Source {
   std::vector<ReplicaEntry> Log;
 
@@ -46,7 +46,7 @@
   return out;
 }
 
-/// Keys from a small set, so that changes overwrite one another.
+/// Random changes of few keys, so that they overwrite each other.
 Source arbitrarySource(size_t changes) {
   Source out;
   for (uint64_t i = 1; i <= changes; ++i) {
@@ -66,19 +66,20 @@
   EXPECT_EQ(replica.watermark(), 10U);
 }
 
-TEST(Replica, OlderImageDoesNotBringDeletedKeyBack) {
+TEST(Replica, OlderImageDoesNotRestoreDeletedKey) {
   Replica replica(FewTombstones);
   replica.merge({0, 5, {put("a", 5)}});
   std::vector<ReplicaEntry> deletions{tombstone("a", 6)};
   for (uint64_t i = 0; i < 5; ++i)
     deletions.push_back(tombstone("x" + std::to_string(i), 7 + i));
   replica.merge({5, 12, deletions});
-  ASSERT_EQ(replica.find("a"), nullptr) << "its tombstone was dropped";
+  ASSERT_EQ(replica.find("a"), nullptr)
+      << "the tombstone should have been dropped";
   replica.merge({0, 5, {put("a", 5)}});
   EXPECT_EQ(replica.find("a"), nullptr);
 }
 
-TEST(Replica, GapMergesButHoldsWatermark) {
+TEST(Replica, GapMergesButKeepsWatermark) {
   Replica replica(FewTombstones);
   replica.merge({0, 5, {put("a", 5)}});
   Replica::MergeResult result = replica.merge({8, 9, {put("b", 9)}});
@@ -89,15 +90,15 @@
   EXPECT_EQ(replica.watermark(), 9U);
 }
 
-TEST(Replica, ImageDropsKeysItLeavesOut) {
+TEST(Replica, ImageDropsAbsentKeys) {
   Replica replica(FewTombstones);
   replica.merge({0, 5, {put("a", 3), put("b", 5)}});
   Replica::MergeResult result = replica.merge({0, 9, {put("b", 5)}});
   EXPECT_EQ(result.Changed, std::vector<std::string>{"a"});
-  EXPECT_EQ(replica.deltaAfter(5).From, 0U) << "peers behind need an image";
+  EXPECT_EQ(replica.deltaAfter(5).From, 0U) << "outdated peers need an image";
 }
 
-TEST(Replica, DeltaStartsAtTheLatestContent) {
+TEST(Replica, DeltaStartsAtTheLastChange) {
   Replica replica(FewTombstones);
   replica.merge({0, 100, {put("a", 3)}});
   EXPECT_EQ(replica.lastChange(), 3U);
@@ -143,7 +144,7 @@
         peers[to].merge(source.delta(peers[to].watermark(), through));
       continue;
     }
-    // A delta that was cut some time ago, for some other state.
+    // A delta for a different state than the receiver's, as if delayed.
     uint64_t after = *rc::gen::inRange<uint64_t>(0, last + 1);
     peers[to].merge(peers[from].deltaAfter(after));
   }
--- a/tests/control/rollout_check_test.cpp
+++ b/tests/control/rollout_check_test.cpp
@@ -18,7 +18,7 @@
   return out;
 }
 
-TEST(RolloutCheck, AsksAgainUntilAllHaveIt) {
+TEST(RolloutCheck, ProbesAgainUntilAllHaveTheRevision) {
   uint64_t draws = 0;
   auto random = [&] { return mix64(++draws); };
   TimePoint start{};
--- a/tests/control/runtime_peers_test.cpp
+++ b/tests/control/runtime_peers_test.cpp
@@ -20,7 +20,7 @@
 const ObjectKey ModelKey{ObjectKind::Model, "m"};
 const net::PeerKeys OldKeys{{"a", "old secret"}};
 
-/// Several runtimes on loopback over one fake platform.
+/// Several runtimes on loopback with one fake platform.
 class RuntimePeersTest : public ::testing::Test {
 protected:
   struct Process {
@@ -65,7 +65,8 @@
     return out;
   }
 
-  /// A fleet that knows itself and the first version of the model.
+  /// Starts processes and waits until they know each other and the model's
+  /// first version.
   void startFleet(size_t count) {
     Kv.put(toText(ModelKey), R"({"version": "v1"})");
     for (size_t i = 0; i < count; ++i)
@@ -79,8 +80,8 @@
     });
   }
 
-  std::vector<std::string>
-      ChangedMembers; ///< Members, as the first process saw it.
+  /// Subjects of the MemberChanged events of process 0.
+  std::vector<std::string> ChangedMembers;
 
   void runUntil(const std::function<bool()> &condition) {
     while (!condition())
@@ -118,7 +119,7 @@
   std::vector<Process> Processes;
 };
 
-TEST_F(RuntimePeersTest, OnlyReadersCallThePlatformAndAllLearn) {
+TEST_F(RuntimePeersTest, OnlyReadersCallThePlatformAndAllGetUpdates) {
   startFleet(6);
   auto readers = [&] {
     size_t out = 0;
@@ -150,7 +151,7 @@
   EXPECT_EQ(added.Control->stats().ServiceCalls, 0U);
 }
 
-TEST_F(RuntimePeersTest, WithNeitherSeedNorPlatformSaysBoth) {
+TEST_F(RuntimePeersTest, ReportsBothUnreachableSeedAndPlatform) {
   Kv.Down = true;
   List.Down = true;
   Process &alone = startProcess("d", OldKeys, {{"127.0.0.1", 1}});
@@ -161,7 +162,7 @@
   EXPECT_FALSE(alone.Control->readiness().Ready);
 }
 
-TEST_F(RuntimePeersTest, StrangersWithAnotherKeyLearnNothing) {
+TEST_F(RuntimePeersTest, ProcessWithAnotherKeyGetsNothing) {
   startFleet(2);
   Kv.Down = true;
   List.Down = true;
@@ -190,7 +191,7 @@
   runUntil([&] { return countWithVersion("v3") == 3; });
 }
 
-TEST_F(RuntimePeersTest, LeavingIsKnownToAllWhileTheListLags) {
+TEST_F(RuntimePeersTest, LeavingReachesAllBeforeTheList) {
   startFleet(4);
   Processes[2].Control->leave();
   runUntil([&] {
@@ -205,9 +206,9 @@
   EXPECT_EQ(List.Members.at("n2").Instance.State, MemberState::Live);
 }
 
-TEST_F(RuntimePeersTest, SuccessorWithSlowerClockIsNotTakenForLeaving) {
+TEST_F(RuntimePeersTest, SuccessorWithSlowerClockIsNotConsideredLeaving) {
   startFleet(2);
-  // The predecessor's clock was a year ahead when it said that it leaves.
+  // The predecessor's clock was far ahead when it sent the leaving signal.
   control::SignalContent ahead{UINT64_MAX / 2, {9, 9}, MemberState::Leaving, 0};
   ChangedMembers.clear();
   Processes[0].Control->hearSignal({"n1", ahead});
@@ -218,8 +219,8 @@
         ->pool("m", false)
         ->Servers.size();
   };
-  // Believed, then contradicted. Under load one snapshot may cover both, so
-  // the changes are counted where they are made.
+  // The signal is accepted and then overridden by the running process. Under
+  // load one snapshot may cover both, so the test counts the change events.
   runUntil([&] { return std::ranges::count(ChangedMembers, "n1") >= 2; });
   runUntil([&] { return servers(0) == 2 && servers(1) == 2; });
 }
--- a/tests/control/runtime_test.cpp
+++ b/tests/control/runtime_test.cpp
@@ -27,7 +27,7 @@
   return out;
 }
 
-/// One runtime over fakes.
+/// One runtime with fakes of the platform.
 class ControlRuntimeTest : public ::testing::Test {
 protected:
   ControlRuntimeTest() {
@@ -82,7 +82,7 @@
   std::unique_ptr<ControlRuntime> Runtime;
 };
 
-TEST_F(ControlRuntimeTest, SaysWhyItIsNotReadyAndRecovers) {
+TEST_F(ControlRuntimeTest, ReportsWhyItIsNotReadyAndRecovers) {
   Kv.Down = true;
   List.Down = true;
   startRuntime();
@@ -116,7 +116,7 @@
   runUntil([&] { return versionInForce() == "v5"; });
 }
 
-TEST_F(ControlRuntimeTest, RefusesServiceThatWentBack) {
+TEST_F(ControlRuntimeTest, RejectsServiceWithLowerRevision) {
   startRuntime();
   runUntil([&] { return Runtime->readiness().Ready; });
   Kv.Revision = 1;
