--- a/src/query/answer.cpp
+++ b/src/query/answer.cpp
@@ -54,8 +54,10 @@
   return std::nullopt;
 }
 
-/// Reads JSON by names. Throws what Boost.JSON throws on another shape;
-/// parseAnswer turns that into an error.
+// The functions below read JSON by key. They let the exceptions of Boost.JSON
+// for missing keys and wrong types pass; parseAnswer converts these to an
+// error.
+
 std::string textOf(const json::value &value) {
   return std::string(std::string_view(value.as_string()));
 }
--- a/src/query/answer.h
+++ b/src/query/answer.h
@@ -1,4 +1,4 @@
-/// Answers to queries as JSON, as processes send them to each other and to the
+/// Answers to queries, and their JSON encoding between processes and to the
 /// operators' client.
 #pragma once
 
@@ -11,41 +11,46 @@
 
 namespace daisytack::query {
 
-/// An instance that should have answered and didn't.
+/// An instance whose answer is missing, because it didn't respond or returned
+/// an error.
 struct QueryFailure {
-  std::string Name;
+  std::string Name; ///< Name of the instance.
   std::string Reason;
   auto operator<=>(const QueryFailure &) const = default;
 };
 
-/// Events of an instance that were overwritten before they were read.
+/// Events of an instance that were overwritten in its ring buffer before they
+/// were read.
 struct EventGap {
   std::string Instance;
-  uint64_t Lost = 0; ///< Events.
-  WallTime Until;    ///< Time of the oldest one still there.
+  uint64_t Lost = 0; ///< Number of overwritten events.
+  WallTime Until;    ///< Time of the oldest event still available.
   auto operator<=>(const EventGap &) const = default;
 };
 
-/// Silent instances that an answer names; the counts tell of more.
+/// Maximum number of failures listed in an answer. The difference of Queried
+/// and Answered is the total number.
 constexpr size_t MaxListedFailures = 20;
 
 struct Answer {
   Table Rows;
-  uint64_t Queried = 0;  ///< Processes that the query concerned and was put to.
-  uint64_t Answered = 0; ///< Of these.
+  uint64_t Queried = 0;  ///< Number of processes that the query was sent to.
+  uint64_t Answered = 0; ///< Number of processes that returned an answer.
   std::vector<QueryFailure> Failures; ///< At most MaxListedFailures.
   std::vector<EventGap> Gaps;
-  /// Some process had more rows than the limit.
+  /// Some process reached the row limit and may have more rows.
   bool Truncated = false;
-  /// There are more instances to ask: go on with "after NEXT". Empty at the
-  /// end.
+  /// Page token: the next page is the same query with "after NEXT". Empty on
+  /// the last page.
   std::string Next;
   bool operator==(const Answer &) const = default;
 };
 
-/// Durations are whole microseconds, times RFC 3339, unknown cells null.
+/// Encodes an answer as JSON. Durations are whole microseconds, times are RFC
+/// 3339, unknown cells are null.
 std::string toJson(const Answer &answer);
-/// Inverse of toJson; nothing with the reason when the text is no answer.
+/// Inverse of toJson. Returns nothing and sets the reason when the text isn't
+/// an encoded answer.
 std::optional<Answer> parseAnswer(std::string_view json, Error &reason);
 
 } // namespace daisytack::query
--- a/src/query/cell.cpp
+++ b/src/query/cell.cpp
@@ -19,7 +19,7 @@
   std::string_view FormatHint;
 };
 
-// In the order of CellType.
+// Indexed by CellType.
 constexpr std::array<TypeRow, 7> Types{
     TypeRow{"text", "a text"},
     TypeRow{"integer", "a whole number"},
@@ -43,7 +43,7 @@
   return Cell(static_cast<int64_t>(*bytes));
 }
 
-/// Writes a cell's value in its usual form.
+/// Formats the value of a cell for people.
 struct TextWriter {
   CellType Type;
 
@@ -61,7 +61,8 @@
   std::string operator()(Duration span) const { return toString(span); }
 };
 
-/// Reads digits of a fixed width; nothing when one is missing.
+/// Parses a number of exactly `width` digits at offset `at`. Returns nothing
+/// when a character is missing or isn't a digit.
 std::optional<int> digitsAt(std::string_view text, size_t at, size_t width) {
   if (at + width > text.size())
     return std::nullopt;
@@ -74,7 +75,8 @@
   return out;
 }
 
-/// ".5" and ".500000" are the same; at most six digits.
+/// Parses a fraction of a second of at most six digits into microseconds; ".5"
+/// and ".500000" are equal. Returns 0 for an empty text.
 std::optional<int64_t> fractionMicros(std::string_view text) {
   if (text.empty())
     return 0;
--- a/src/query/cell.h
+++ b/src/query/cell.h
@@ -1,4 +1,4 @@
-/// Typed cells, columns and tables: what a query reads and answers.
+/// Typed cells, columns and tables: the input and the result of a query.
 #pragma once
 
 #include "daisytack/types.h"
@@ -11,21 +11,23 @@
 
 namespace daisytack::query {
 
-/// How a column's cells are compared, written and read.
+/// Type of a column: how its cells are compared, formatted and parsed.
 enum class CellType : uint8_t {
   Text,
   Integer,
   Number,
   Flag,
-  Bytes,    ///< As an integer; "16M" in a condition.
-  Time,     ///< As wall time.
-  Duration, ///< As a duration; "10ms" in a condition.
+  Bytes,    ///< Held as an integer; written as "16M" in a condition.
+  Time,     ///< Held as wall time.
+  Duration, ///< Written as "10ms" in a condition.
 };
 
-/// "text", "integer", "number", "flag", "bytes", "time" or "duration".
+/// Name of the type in answers: "text", "integer", "number", "flag", "bytes",
+/// "time" or "duration".
 std::string_view cellTypeName(CellType type);
 
-/// Nothing (monostate) stands for unknown; it matches no condition but "!=".
+/// Value of one cell. std::monostate stands for an unknown value, which
+/// satisfies no condition but "!=".
 using Cell = std::variant<std::monostate, std::string, int64_t, double, bool,
                           WallTime, Duration>;
 
@@ -37,23 +39,27 @@
 
 struct Table {
   std::vector<Column> Columns;
-  std::vector<std::vector<Cell>> Rows; ///< As wide as Columns.
+  std::vector<std::vector<Cell>> Rows; ///< Each row has one cell per column.
   bool operator==(const Table &) const = default;
 };
 
-/// As shown to people: "-" for unknown, durations and bytes with their unit,
-/// times as RFC 3339 in UTC.
+/// Formats a cell for people: "-" for an unknown value, durations and bytes
+/// with their unit, times as RFC 3339 in UTC.
 std::string cellText(const Cell &cell, CellType type);
 
-/// The cell that a condition names; nothing when the text is none of the type.
+/// Parses the value of a condition. Returns nothing when the text isn't a valid
+/// value of the type.
 std::optional<Cell> parseCell(CellType type, std::string_view text);
 
-/// The form that parseCell takes, for messages: "a duration such as 10ms".
+/// Describes the format that parseCell accepts, for error messages, such as
+/// "a duration such as 10ms, 3s or 2h".
 std::string_view cellFormatHint(CellType type);
 
-/// RFC 3339 in UTC with microseconds: "2026-12-02T16:00:00.000000Z".
+/// Formats a time as RFC 3339 in UTC with microseconds, such as
+/// "2026-12-02T16:00:00.000000Z".
 std::string timeText(WallTime time);
-/// Inverse of timeText; the fraction may be left out.
+/// Inverse of timeText. The fraction is optional. Returns nothing when the text
+/// isn't a valid time.
 std::optional<WallTime> parseTime(std::string_view text);
 
 } // namespace daisytack::query
--- a/src/query/command_parser.cpp
+++ b/src/query/command_parser.cpp
@@ -15,7 +15,8 @@
 
 constexpr std::string_view ServerKind = "server";
 
-/// Parses what follows one verb.
+/// Recursive descent parser of one command. The functions other than run()
+/// parse what follows a verb, or one element of it.
 class CommandParser {
 public:
   explicit CommandParser(TokenReader &reader) : Reader(reader) {}
@@ -51,7 +52,7 @@
 private:
   using Result = std::optional<OperatorCommand>;
 
-  /// A valid name of an object.
+  /// Parses the name of an object; `what` describes it in the error.
   bool name(std::string &out, std::string_view what) {
     Token token = Reader.peek();
     std::string expected = "the name of " + std::string(what);
@@ -88,7 +89,7 @@
            Reader.failAt(token, form, "name the organisation and the class");
   }
 
-  /// FIELD=VALUE, checked by setting it on a default object.
+  /// Parses FIELD=VALUE. Validates it by setting the field of a default object.
   bool field(const ObjectKey &key, control::FieldText &out) {
     Token fieldToken = Reader.peek();
     if (!Reader.value(out.Field, "FIELD=VALUE", "name the field to change"))
@@ -136,7 +137,7 @@
   }
 
   Result drain(bool drained) {
-    // "drain server NAME" reads as well as "drain NAME".
+    // The word "server" is optional.
     Reader.accept(ServerKind);
     DrainServer out{"", drained};
     if (!name(out.Server, "a server"))
--- a/src/query/command_parser.h
+++ b/src/query/command_parser.h
@@ -1,4 +1,4 @@
-/// Parses a command; the grammar stands in docs/LANGUAGE.md.
+/// Parser of commands. The grammar is described in docs/LANGUAGE.md.
 #pragma once
 
 #include "query/command_ast.h"
@@ -6,16 +6,17 @@
 
 namespace daisytack::query {
 
-/// The command; nothing with the error set when the text is none.
+/// Parses a command. Returns nothing and sets the error when the text isn't
+/// one.
 std::optional<OperatorCommand> parseCommand(std::string_view text,
                                             ParseError &error);
 
-/// True when the text begins as a query does.
+/// Returns true if the first word is "show", as in every query.
 bool isQuery(std::string_view text);
 
-/// First words of all commands, for completion and help.
+/// First words of all commands, for command completion and error messages.
 const std::vector<std::string_view> &commandVerbs();
-/// First words of the kinds of objects that set and delete take.
+/// Names of the object kinds that "set", "admit" and "delete" accept.
 std::vector<std::string_view> objectKinds();
 
 } // namespace daisytack::query
--- a/src/query/command_plan.cpp
+++ b/src/query/command_plan.cpp
@@ -24,8 +24,8 @@
   return "'" + std::string(name) + "'";
 }
 
-/// Highest epoch of an organisation's policies; a policy that is new must not
-/// start below it, or purged context could be named again.
+/// Returns the highest epoch of an organisation's policies. A new policy must
+/// not start below it, or purged context could be reused.
 uint32_t highestEpoch(const Snapshot &snapshot, std::string_view organisation) {
   uint32_t out = 0;
   for (const ReusePolicy &it : snapshot.Policies)
@@ -44,6 +44,7 @@
   return true;
 }
 
+/// Plans each kind of command against a snapshot.
 class Planner {
 public:
   Planner(const Snapshot &snapshot, const CommandContext &context,
@@ -137,8 +138,9 @@
         });
   }
 
-  /// Raises every policy of the organisation to one epoch above all, and the
-  /// one for all classes even when it is absent.
+  /// Raises all policies of the organisation to the highest epoch plus one.
+  /// Creates the policy for all classes when it doesn't exist: it can't be
+  /// deleted afterwards, so it keeps the epoch when other policies are deleted.
   Changes operator()(const PurgeContext &it) {
     if (!CurrentSnapshot.organisation(it.Organisation))
       return notFound("organisation", it.Organisation, "show organisations");
@@ -190,7 +192,8 @@
     return std::nullopt;
   }
 
-  /// The epoch only grows, by purge.
+  /// Rejects changes of the epoch, which must only increase and is changed by
+  /// "purge" alone.
   bool checkSettable(const SetObject &it) {
     bool setsEpoch =
         it.Key.Kind == ObjectKind::ReusePolicy &&
--- a/src/query/command_plan.h
+++ b/src/query/command_plan.h
@@ -1,4 +1,4 @@
-/// Turns a parsed command into changes of configuration objects.
+/// Translates a parsed command into changes of configuration objects.
 #pragma once
 
 #include "control/command.h"
@@ -7,16 +7,17 @@
 
 namespace daisytack::query {
 
-/// Who gives a command, and when.
+/// Operator and time of a command.
 struct CommandContext {
-  std::string Operator;
+  std::string Operator; ///< Account name.
   WallTime Now;
-  RandomSource Random; ///< For command ids.
+  RandomSource Random; ///< Source of command identifiers.
 };
 
-/// The changes, to be proposed one after the other; nothing with the reason set
-/// when the snapshot shows that the command can't be done. StopRequests has
-/// none.
+/// Returns the changes of a command, to be proposed one after the other.
+/// Returns nothing and sets the reason when the command isn't valid for the
+/// snapshot, for instance because an object doesn't exist. StopRequests changes
+/// no object and has an empty list.
 std::optional<std::vector<control::Command>>
 planCommand(const OperatorCommand &command, const Snapshot &snapshot,
             const CommandContext &context, Error &reason);
--- a/src/query/lexer.cpp
+++ b/src/query/lexer.cpp
@@ -22,7 +22,8 @@
   return c == '=' || c == '!' || c == '<' || c == '>' || c == '~';
 }
 
-/// What stands in a message for a text that is wrong: short and printable.
+/// Shortens a text to MaxFoundBytes and replaces characters that aren't
+/// printable ASCII, for use in an error message.
 std::string printableExcerpt(std::string_view text) {
   std::string out(text.substr(0, MaxFoundBytes));
   for (char &c : out)
--- a/src/query/lexer.h
+++ b/src/query/lexer.h
@@ -1,5 +1,5 @@
-/// Words of the operators' language, for queries and commands alike; the
-/// grammar stands in docs/LANGUAGE.md.
+/// Lexer of the operators' language, shared by queries and commands. The
+/// grammar is described in docs/LANGUAGE.md.
 #pragma once
 
 #include "daisytack/error.h"
@@ -11,42 +11,44 @@
 
 namespace daisytack::query {
 
-/// A longer statement is refused before it is read.
+/// Maximum size of a statement. Longer statements are rejected unparsed.
 constexpr size_t MaxStatementBytes = 4096;
 
-/// Where a statement is wrong and how to mend it.
+/// Position and cause of a syntax error, with a hint on how to fix it.
 struct ParseError {
-  size_t Column = 1; ///< In bytes from 1; one past the end for a missing word.
+  size_t Column = 1; ///< In bytes, from 1; one past the end when input is
+                     ///< missing.
   std::string Expected;
-  std::string Found; ///< Empty at the end of the statement.
-  std::string Remedy;
+  std::string Found;  ///< Empty when the statement ended.
+  std::string Remedy; ///< How to fix the statement.
   bool operator==(const ParseError &) const = default;
 };
 
-/// "column 6: expected a table, found 'foo'; REMEDY".
+/// Formats an error as "column 6: expected a table, found 'foo'; REMEDY".
 std::string toString(const ParseError &error);
-/// As BadRequest with the text above.
+/// Converts an error to ErrorKind::BadRequest with toString(error) as detail.
 Error toError(const ParseError &error);
 
 enum class TokenKind : uint8_t {
   Word,     ///< Letters, digits and _ . : / * % + -
   Quoted,   ///< "text", with \" and \\ inside.
   Operator, ///< = != < <= > >= ~
-  End,
+  End,      ///< End of the statement.
 };
 
 struct Token {
   TokenKind Kind = TokenKind::End;
-  std::string Text; ///< Of a quoted text: without quotes and escapes.
-  size_t Column = 1;
+  std::string Text;  ///< Quoted text is stored without quotes and escapes.
+  size_t Column = 1; ///< In bytes, from 1.
   bool operator==(const Token &) const = default;
 };
 
-/// All tokens with End last; nothing with the error set when there is one.
+/// Splits a statement into tokens, the last of which is End. Returns nothing
+/// and sets the error when the text isn't valid.
 std::optional<std::vector<Token>> tokenise(std::string_view text,
                                            ParseError &error);
 
-/// The text as one token: in quotes when it is no word.
+/// Formats a text as one token, quoted unless it is a valid word.
 std::string quoteWord(std::string_view text);
 
 } // namespace daisytack::query
--- a/src/query/measures.cpp
+++ b/src/query/measures.cpp
@@ -17,7 +17,8 @@
   double Value = 0;
 };
 
-/// Reads NAME="VALUE" pairs; stops at what is none.
+/// Parses comma-separated NAME="VALUE" pairs up to the first text that isn't
+/// one.
 std::map<std::string, std::string> parseLabels(std::string_view text) {
   std::map<std::string, std::string> out;
   while (true) {
--- a/src/query/measures.h
+++ b/src/query/measures.h
@@ -1,4 +1,6 @@
-/// The three measures of a deployment, summed from its processes' metrics.
+/// The three measures of a deployment, summed from the metrics of its
+/// processes: time to first token, share of recomputed prompt tokens and link
+/// use.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +11,29 @@
 
 namespace daisytack::query {
 
-/// One model and class.
+/// Measures of requests for one model and class.
 struct ServingMeasure {
-  std::map<double, uint64_t> FirstTokenBuckets; ///< Cumulative counts by upper
-                                                ///< edge, seconds.
+  std::map<double, uint64_t> FirstTokenBuckets; ///< Cumulative request counts
+                                                ///< by upper bound, in seconds.
   uint64_t PromptTokens = 0;
   uint64_t RecomputedTokens = 0;
 
-  /// Upper edge of the bin in which the quantile falls; 0 without requests.
+  /// Upper bound, in seconds, of the bucket that contains the quantile of the
+  /// time to first token; 0 without requests.
   double firstTokenQuantile(double quantile) const;
   uint64_t requests() const;
-  /// 0..1; 0 without prompt tokens.
+  /// Recomputed prompt tokens divided by all prompt tokens; 0 without prompt
+  /// tokens.
   double recomputedShare() const;
 };
 
 struct Measures {
+  /// By model and class.
   std::map<std::pair<std::string, std::string>, ServingMeasure> Serving;
   std::map<std::string, uint64_t> LinkBytes; ///< By direction.
-  size_t Processes = 0;                      ///< That answered.
+  size_t Processes = 0;                      ///< Number of processes added.
 
-  /// Adds what one process shows on /metrics.
+  /// Adds the metrics of one process, in the Prometheus text format.
   void add(std::string_view prometheusText);
 };
 
--- a/src/query/query_ast.h
+++ b/src/query/query_ast.h
@@ -1,5 +1,4 @@
-/// A query as the parser returns it: typed, checked against the table's
-/// columns.
+/// Syntax tree of a query, type-checked against the columns of its table.
 #pragma once
 
 #include "query/cell.h"
@@ -10,7 +9,7 @@
 
 namespace daisytack::query {
 
-/// In the order of the documentation.
+/// Tables that a query can name, in the order of the documentation.
 enum class TableName : uint8_t {
   Requests,
   Waiting,
@@ -27,8 +26,9 @@
 };
 constexpr size_t TableNameCount = 12;
 
-/// "requests", "waiting" and so on.
+/// Name of the table in queries: "requests", "waiting" and so on.
 std::string_view tableNameText(TableName table);
+/// Inverse of tableNameText. Returns nothing when there is no such table.
 std::optional<TableName> parseTableName(std::string_view text);
 
 enum class Comparison : uint8_t {
@@ -41,10 +41,10 @@
   Contains, ///< "~": the cell's text contains the value.
 };
 
-/// "=", "!=" and so on.
+/// Operator of the comparison in queries: "=", "!=" and so on.
 std::string_view comparisonText(Comparison comparison);
 
-/// One condition; a query's conditions must all hold.
+/// A condition of a query. A row matches when it satisfies all of them.
 struct Condition {
   size_t Column = 0; ///< Index into the table's columns.
   Comparison Compare = Comparison::Equal;
@@ -53,25 +53,28 @@
 };
 
 struct Order {
-  size_t Column = 0;
+  size_t Column = 0; ///< Index into the table's columns.
   bool Descending = false;
   bool operator==(const Order &) const = default;
 };
 
-/// Rows that a query answers when it names no limit, and at most.
+/// Maximum number of rows in an answer when the query sets no limit.
 constexpr uint64_t DefaultLimit = 100;
+/// Largest limit that a query may set.
 constexpr uint64_t MaxLimit = 10'000;
 
 struct Query {
   TableName From = TableName::Requests;
   std::vector<Condition> Where;
-  /// Count rows instead of showing them; per value of CountBy when set.
+  /// Return the number of matching rows instead of the rows.
   bool Count = false;
+  /// Count rows for each value of this column; its index. Unset for one total.
   std::optional<size_t> CountBy;
   std::optional<Order> OrderBy;
   uint64_t Limit = DefaultLimit;
-  std::string After; ///< Name of the instance after which to go on; a page's
-                     ///< "next".
+  /// Page token: the answer starts after the instance of this name, taken from
+  /// the previous page's "next". Empty for the first page.
+  std::string After;
   bool operator==(const Query &) const = default;
 };
 
--- a/src/query/query_executor.cpp
+++ b/src/query/query_executor.cpp
@@ -43,8 +43,8 @@
   return false;
 }
 
-/// Orders stably, so that equal rows keep the order of their source. Unknown
-/// cells come first.
+/// Sorts stably, so that equal rows keep the order of their source. Unknown
+/// cells sort first when ascending.
 void sortRows(Table &table, const Order &order) {
   std::stable_sort(table.Rows.begin(), table.Rows.end(),
                    [&](const auto &a, const auto &b) {
@@ -59,7 +59,7 @@
     table.Rows.resize(limit);
 }
 
-/// Largest count first.
+/// Builds the table of counts in descending order.
 Table countsTable(const std::optional<Column> &by,
                   const std::map<Cell, int64_t> &counts) {
   Table out;
@@ -83,7 +83,8 @@
   return columnsOf(query.From)[*query.CountBy];
 }
 
-/// A count without "by" answers 0 rather than no row.
+/// Returns the initial counts. A count without "by" has one row even when no
+/// row matches, so that it returns 0.
 std::map<Cell, int64_t> emptyCounts(const Query &query) {
   std::map<Cell, int64_t> out;
   if (!query.CountBy)
@@ -91,7 +92,8 @@
   return out;
 }
 
-/// Every value is answered: a cut of counts couldn't be merged.
+/// Ignores the limit: counts of the same value in several processes can only be
+/// summed when none has been dropped.
 Table countRows(const Query &query, const Table &rows) {
   std::map<Cell, int64_t> counts = emptyCounts(query);
   for (const auto &row : rows.Rows)
--- a/src/query/query_executor.h
+++ b/src/query/query_executor.h
@@ -1,20 +1,21 @@
-/// Applies a query to rows: conditions, order, counts, limit, and merging of
-/// parts from several processes.
+/// Executes a query on rows (conditions, order, counts and limit) and merges
+/// the results of several processes.
 #pragma once
 
 #include "query/query_ast.h"
 
 namespace daisytack::query {
 
-/// True when all conditions of the query hold for the row.
+/// Returns true if the row satisfies all conditions of the query.
 bool matches(const Query &query, const std::vector<Cell> &row);
 
-/// The answer over one process's rows: filtered, ordered, counted, limited.
+/// Filters, orders, counts and limits the rows of one process. Counts are
+/// limited by merge() only.
 Table execute(const Query &query, const Table &rows);
 
-/// Joins answers that execute() gave for the same query in several processes,
-/// as if their rows had stood in one. Without an order the parts stay in
-/// theirs.
+/// Merges the results of execute() for the same query on several processes, as
+/// if one process had all rows. Without "order by", parts and their rows keep
+/// their order.
 Table merge(const Query &query, const std::vector<Table> &parts);
 
 } // namespace daisytack::query
--- a/src/query/query_parser.cpp
+++ b/src/query/query_parser.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-// In the order of TableName.
+// Indexed by TableName.
 constexpr std::array<std::string_view, TableNameCount> TableTexts{
     "requests",      "waiting", "running",  "kept",    "refused", "servers",
     "organisations", "classes", "versions", "members", "config",  "events"};
 
-// In the order of Comparison.
+// Indexed by Comparison.
 constexpr std::array<std::string_view, 7> ComparisonTexts{
     "=", "!=", "<", "<=", ">", ">=", "~"};
 
@@ -102,7 +102,7 @@
   }
 
   bool literal(Condition &out) {
-    // "~" looks at a cell's text, whatever the column's type.
+    // "~" searches the formatted text of a cell, whatever the column's type.
     CellType type = out.Compare == Comparison::Contains
                         ? CellType::Text
                         : Columns[out.Column].Type;
@@ -129,7 +129,7 @@
   }
 
   bool order() {
-    // The rows of a count have their own order.
+    // A count has no "order by": it is ordered by descending count.
     if (Out.Count || !Reader.accept("order"))
       return true;
     Order &order = Out.OrderBy.emplace();
--- a/src/query/query_parser.h
+++ b/src/query/query_parser.h
@@ -1,4 +1,4 @@
-/// Parses a query; the grammar stands in docs/LANGUAGE.md.
+/// Parser of queries. The grammar is described in docs/LANGUAGE.md.
 #pragma once
 
 #include "query/lexer.h"
@@ -6,10 +6,10 @@
 
 namespace daisytack::query {
 
-/// The query; nothing with the error set when the text is none.
+/// Parses a query. Returns nothing and sets the error when the text isn't one.
 std::optional<Query> parseQuery(std::string_view text, ParseError &error);
 
-/// A text that parses to the same query.
+/// Formats a query so that it parses to an equal query.
 std::string toString(const Query &query);
 
 } // namespace daisytack::query
--- a/src/query/query_plan.cpp
+++ b/src/query/query_plan.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// The text that a column must equal; nothing when the query doesn't say.
+/// Returns the text that a column must equal, or nothing when the query has no
+/// such condition.
 std::optional<std::string> requiredValue(const Query &query,
                                          std::string_view column) {
   size_t index = columnIndex(query.From, column);
@@ -36,7 +37,7 @@
   return out;
 }
 
-/// What a query's conditions say of the processes that it concerns.
+/// Selects the processes that can have rows matching a query's conditions.
 class Filter {
 public:
   explicit Filter(const Query &query)
@@ -60,7 +61,7 @@
            (!Serves || agent.Serves == *Serves);
   }
 
-  /// The entry took the request that the query is about.
+  /// Returns true if the entry issued the identifier of the selected request.
   bool issuedRequestId(const Member &entry) const {
     return Request && isMintedBy(*Request, entry.Name);
   }
@@ -78,7 +79,8 @@
   std::optional<RequestId> Request;
 };
 
-/// Entries first: there are fewer, and they know every request.
+/// Returns entries before agents: there are fewer of them, and together they
+/// know every request.
 std::vector<Member> includedMembers(const Snapshot &snapshot,
                                     const Filter &filter) {
   std::vector<Member> out;
@@ -97,7 +99,7 @@
   auto it = std::find_if(members.begin(), members.end(), [&](const Member &m) {
     return m.Name == query.After;
   });
-  // An instance that has gone since leaves the page to start anew.
+  // If the instance no longer exists, the answer restarts at the first page.
   if (it != members.end())
     members.erase(members.begin(), it + 1);
 }
--- a/src/query/query_plan.h
+++ b/src/query/query_plan.h
@@ -1,4 +1,5 @@
-/// Which processes a query concerns, so that no other is asked.
+/// Selects the processes that can have rows of a query, so that it is sent to
+/// no others.
 #pragma once
 
 #include "control/snapshot.h"
@@ -9,33 +10,38 @@
 
 namespace daisytack::query {
 
-/// Where the rows of a query stand.
+/// Processes that a query has to be sent to.
 struct QueryPlan {
-  /// The snapshot of the asked process has them all.
+  /// The process that received the query answers it without querying others,
+  /// because its snapshot contains all rows.
   bool AnsweredLocally = false;
-  /// Otherwise: instances in the order to ask them, after the query's page
-  /// mark. Unless NeedsAllInstances, rows stop being wanted once the limit is
-  /// reached.
+  /// Otherwise, the instances to query in this order, starting after the
+  /// query's page token. Querying ends early when the limit is reached, unless
+  /// NeedsAllInstances is set.
   std::vector<Member> Instances;
-  /// Every one of them must be asked: the answer is ordered or counted.
+  /// All instances must be queried, because the result is ordered or counted.
   bool NeedsAllInstances = false;
-  /// The query concerns one request: the entry that minted its identifier. Its
-  /// events name the backend servers to ask besides.
+  /// Set when the query selects one request: the entry that issued its
+  /// identifier. The request's events on that entry name the backend servers to
+  /// query in addition.
   std::optional<Member> RequestEntry;
 };
 
-/// Conditions with "=" on instance, server, model or request narrow the plan.
+/// Plans a query. Conditions with "=" on instance, server, model or request
+/// reduce the number of instances.
 QueryPlan planQuery(const Query &query, const Snapshot &snapshot);
 
-/// Which roles have rows of a table: entries know requests, agents know queues
-/// and kept context, both know refusals and events.
+/// Returns true if processes of the role have rows of a table: entries have
+/// requests, agents have queues and kept context, both have refusals and
+/// events.
 bool hasRows(TableName table, MemberRole role);
 
-/// The request that the query is about; nothing when it is about several.
+/// Returns the request that a query selects, or nothing when it has no valid
+/// "request = ID" condition.
 std::optional<RequestId> requestOf(const Query &query);
-/// The events of one request, to ask its entry for.
+/// Returns the query for all events of one request.
 Query eventsOfRequest(const RequestId &id);
-/// Agents that these events name.
+/// Returns the backend servers that are the subject of an event in the table.
 std::vector<Member> serversInEvents(const Table &events,
                                     const Snapshot &snapshot);
 
--- a/src/query/rows.h
+++ b/src/query/rows.h
@@ -1,5 +1,6 @@
-/// The rows that processes publish for queries. None holds a prompt, an answer
-/// or a key. Empty texts and absent optionals stand for unknown.
+/// Rows that processes publish to queries. No row contains a prompt, a
+/// generated answer or a key. Empty strings and unset optionals mean that the
+/// value is unknown.
 #pragma once
 
 #include "daisytack/event.h"
@@ -10,74 +11,76 @@
 
 namespace daisytack::query {
 
-/// Where a request is. An entry shows every request it answers for; an agent
-/// shows those it has accepted.
+/// Progress of a request. An entry lists every request that it has received and
+/// not finished answering; an agent lists the requests that it has accepted.
 enum class RequestState : uint8_t {
-  Offered, ///< Not yet accepted by a backend server.
-  Waiting, ///< Accepted, not yet running.
+  Offered, ///< Not accepted by a backend server yet.
+  Waiting, ///< Accepted by a backend server and queued.
   Running,
-  Held, ///< Whole, waiting for its class's release time.
+  Held, ///< Complete; the answer is held until the release time of its class.
 };
 
-/// "offered", "waiting", "running" or "held".
+/// Name of the state in queries: "offered", "waiting", "running" or "held".
 std::string_view requestStateName(RequestState state);
 
-/// One request in one process.
+/// A request as one process sees it.
 struct RequestRow {
   RequestId Request;
   RequestState State = RequestState::Offered;
   std::string Organisation;
   std::string Class;
-  std::string Model; ///< Or plain service.
+  std::string Model; ///< Name of the model or plain service.
   std::string Version;
-  std::string Server; ///< Name of the agent's instance.
-  Attempt Try = 0;
+  std::string Server; ///< Instance name of the backend server's agent.
+  Attempt Try = 0;    ///< Number of the attempt.
   uint32_t Priority = 0;
-  Duration Age{0};       ///< Since its arrival in this process.
-  Duration Remaining{0}; ///< Until its deadline.
+  Duration Age{0};       ///< Time since its arrival in this process.
+  Duration Remaining{0}; ///< Time until its deadline.
   uint32_t PromptTokens = 0;
   uint32_t GeneratedTokens = 0;
 };
 
-/// One refusal that this process gave.
+/// A request that this process refused.
 struct RefusalRow {
   RequestId Request;
   ErrorKind Kind = ErrorKind::None;
-  Outcome Ran = Outcome::NotRun;
+  Outcome Ran = Outcome::NotRun; ///< Whether the request was executed.
   std::string Organisation;
   std::string Class;
   std::string Model;
-  Duration Age{0}; ///< Since it was given.
+  Duration Age{0}; ///< Time since the refusal.
 };
 
-/// Kept context of one organisation in one class, as one agent knows it.
+/// Prompt context that one agent keeps for reuse, for one organisation and
+/// class.
 struct KeptRow {
   std::string Organisation;
-  std::string Class; ///< "*" when the agent doesn't tell classes apart.
+  std::string Class; ///< "*" when the agent doesn't distinguish classes.
   std::string Model;
   std::string Version;
   uint64_t Pieces = 0;
   uint64_t Bytes = 0;
-  uint64_t Hits = 0;           ///< Pieces reused since the process started.
-  std::optional<Duration> Age; ///< Of the oldest piece.
+  uint64_t Hits = 0;           ///< Number of reused pieces since the process
+                               ///< started.
+  std::optional<Duration> Age; ///< Age of the oldest piece.
 };
 
-/// What a process knows of a backend server beyond its snapshot; an entry knows
-/// it from the server's last answer.
+/// State of a backend server that the snapshot doesn't contain. An entry takes
+/// it from the last response of the server.
 struct ServerRow {
   std::string Name;
-  std::string Version; ///< That new requests run on.
+  std::string Version; ///< Weight version that new requests run on.
   bool Ejected = false;
-  std::optional<Duration> PredictedWait; ///< Predicted, of a new request.
-  std::optional<uint32_t> Running;
-  std::optional<uint32_t> Waiting;
-  std::optional<Duration> ReportAge; ///< Age of these figures.
+  std::optional<Duration> PredictedWait; ///< For a new request.
+  std::optional<uint32_t> Running;       ///< Number of running requests.
+  std::optional<uint32_t> Waiting;       ///< Number of queued requests.
+  std::optional<Duration> ReportAge;     ///< Time since the state was reported.
 };
 
-/// What `stop` ends: one request, or all of a class.
+/// Requests that the `stop` command cancels: a single one or all of a class.
 struct StopTarget {
   std::optional<RequestId> Request;
-  std::string Class; ///< Unless Request is set.
+  std::string Class; ///< Used only when Request isn't set.
   bool operator==(const StopTarget &) const = default;
 };
 
--- a/src/query/table_text.cpp
+++ b/src/query/table_text.cpp
@@ -19,7 +19,7 @@
   return alignRight ? blanks + text : text + blanks;
 }
 
-/// The rows' texts and the width of each column.
+/// Formatted cells of all rows, and the width of each column in bytes.
 struct Layout {
   std::vector<std::vector<std::string>> Texts;
   std::vector<size_t> Widths;
--- a/src/query/table_text.h
+++ b/src/query/table_text.h
@@ -1,4 +1,4 @@
-/// Tables and outcomes as text for a terminal.
+/// Formats tables and their notes for a terminal.
 #pragma once
 
 #include "query/answer.h"
@@ -7,15 +7,17 @@
 
 namespace daisytack::query {
 
-/// Columns are aligned; figures stand to the right. Below the rows: what is
-/// missing and how to go on.
+/// Formats an answer with aligned columns; numbers are right-aligned. Notes
+/// below the rows list missing events and instances and how to get the next
+/// page.
 std::string renderAnswer(const Answer &answer, bool colours);
 
-/// The text in a colour when colours are wanted.
 enum class Colour : uint8_t { Bold, Red, Yellow, Dim };
+/// Wraps a text in the escape sequences of a colour if `colours` is set.
 std::string coloured(const std::string &text, Colour colour, bool colours);
 
-/// Control characters replaced, so that a name can't steer the terminal.
+/// Replaces control characters by '?', so that a name can't inject terminal
+/// escape sequences.
 std::string printable(std::string_view text);
 
 } // namespace daisytack::query
--- a/src/query/tables.cpp
+++ b/src/query/tables.cpp
@@ -12,7 +12,7 @@
 constexpr std::string_view KeyHashField = "key_hash";
 constexpr std::string_view HiddenText = "(hidden)";
 
-/// Unknown texts are empty in rows.
+/// Rows hold an empty string for an unknown text.
 Cell textCell(std::string_view text) {
   if (text.empty())
     return {};
@@ -56,7 +56,6 @@
 using ServerRowsByName =
     std::unordered_map<std::string_view, const ServerRow *>;
 
-/// What was heard of each server, by its name.
 ServerRowsByName indexByName(std::span<const ServerRow> rows) {
   ServerRowsByName out;
   for (const ServerRow &row : rows)
@@ -64,7 +63,8 @@
   return out;
 }
 
-/// Defaults for a server that never answered here.
+/// Returns the row of a server, or a row of unknown values when this process
+/// has no report from it.
 const ServerRow &findServerRow(const ServerRowsByName &byName,
                                std::string_view name) {
   static const ServerRow Unreported;
@@ -96,7 +96,7 @@
   }
 }
 
-/// Overrides are no table of the snapshot: they show in its servers.
+/// Adds server overrides, which the snapshot stores as fields of its servers.
 void addServerConfig(Table &out, const Snapshot &snapshot) {
   for (const Server &it : snapshot.Servers)
     if (it.Drained || it.ChecksFencing)
--- a/src/query/timeline.cpp
+++ b/src/query/timeline.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Events that begin a span, and those that end it.
+/// Names of the events that begin and end a kind of span.
 struct SpanRule {
   std::string_view Name;
   std::vector<std::string_view> Begins;
@@ -24,7 +24,8 @@
 }
 
 const std::vector<SpanRule> &spanRules() {
-  // An entry sees no start of a run; there a wait ends with the first token.
+  // An entry has no event for the start of a run, so a wait there ends with the
+  // first token.
   static const std::vector<SpanRule> Rules{
       {"request",
        {"request_received"},
@@ -38,7 +39,7 @@
   return Rules;
 }
 
-/// Reads cells of one answer's rows by column name.
+/// Reads the cells of a table's rows by column name.
 class RowReader {
 public:
   explicit RowReader(const Table &table) {
@@ -76,13 +77,14 @@
 
 using SpanKey = std::tuple<std::string, std::string_view, std::string, int64_t>;
 
-/// An entry's request spans all of its attempts.
+/// Returns the key under which an open span is stored. A "request" span covers
+/// all attempts of the request.
 SpanKey keyOf(const TimelineEvent &event, const SpanRule &rule) {
   int64_t attempt = rule.Name == "request" ? 0 : event.Attempt;
   return {event.Instance, rule.Name, event.Request, attempt};
 }
 
-/// Finds spans while events pass in order.
+/// Builds spans from events, which must be added in order.
 class SpanFinder {
 public:
   void addEvent(const TimelineEvent &event) {
@@ -116,7 +118,7 @@
     span.Request = event.Request;
     span.Attempt = event.Attempt;
     span.Start = event.At;
-    // The first event of several begins it.
+    // If several events can begin a span, the first one does.
     Open.emplace(keyOf(event, rule), span);
   }
 
--- a/src/query/timeline.h
+++ b/src/query/timeline.h
@@ -1,5 +1,5 @@
-/// The time line over all processes: events in causal order, spans between
-/// them, and what is missing.
+/// Timeline of all processes: events in causal order, spans between them, and
+/// missing events.
 #pragma once
 
 #include "query/answer.h"
@@ -11,8 +11,8 @@
 namespace daisytack::query {
 
 struct TimelineEvent {
-  WallTime At; ///< Hybrid time, with Logical.
-  int64_t Logical = 0;
+  WallTime At;         ///< Wall part of the hybrid logical clock.
+  int64_t Logical = 0; ///< Logical part of the hybrid logical clock.
   std::string Instance;
   int64_t Sequence = 0;
   std::string Name;
@@ -25,15 +25,16 @@
 };
 
 struct Timeline {
-  std::vector<TimelineEvent> Events; ///< In hybrid time.
+  std::vector<TimelineEvent> Events; ///< Ordered by hybrid time.
   std::vector<EventGap> Gaps;
   std::vector<QueryFailure> Failures;
 };
 
-/// Joins the pages of "show events". Gaps that ended before since are left out.
+/// Merges the pages of "show events". Gaps that ended before `since` are
+/// omitted.
 Timeline timelineOf(const std::vector<Answer> &pages, WallTime since);
 
-/// What took time in one process.
+/// An operation with a start and an end in one process.
 struct Span {
   std::string Instance;
   std::string Name; ///< "request", "wait", "run", "fetch" or "load".
@@ -41,18 +42,20 @@
   int64_t Attempt = 0;
   WallTime Start;
   WallTime End;
-  bool IsOpen = false; ///< Not ended yet; End is the last event's time.
-  std::string Reason;  ///< Of its end.
+  bool IsOpen = false; ///< Not finished yet; End is the time of the last event.
+  std::string Reason;  ///< Reason of the event that ended it.
   auto operator<=>(const Span &) const = default;
 };
 
-/// In order of their start.
+/// Finds the spans of a timeline, ordered by start.
 std::vector<Span> spansOf(const Timeline &timeline);
 
-/// One line per event, gaps and silent instances between them.
+/// Formats one line per event, with gaps between events by time and failed
+/// queries at the end.
 std::string timelineText(const Timeline &timeline, bool colours);
 
-/// Trace event format (JSON), for trace viewers: one process per instance.
+/// Encodes the timeline in the Trace Event Format (JSON) of Chrome's trace
+/// viewer, with one trace process per instance.
 std::string timelineChrome(const Timeline &timeline);
 
 } // namespace daisytack::query
--- a/src/query/timeline_page.cpp
+++ b/src/query/timeline_page.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-// Geometry of the drawing, in its own units.
+// Geometry of the drawing, in units of its viewBox.
 constexpr double DrawingWidth = 1000;
 constexpr double LaneLabelWidth = 150;
 constexpr double RowHeight = 14;
@@ -59,11 +59,11 @@
   return ms < 1000 ? fixed(ms, 2) + " ms" : fixed(ms / 1000, 3) + " s";
 }
 
-/// Spans and events of one instance.
+/// Spans and events of one instance, drawn in a horizontal lane.
 struct Lane {
   std::string Instance;
   std::vector<Span> Spans;
-  std::vector<size_t> SpanRows; ///< Of each span.
+  std::vector<size_t> SpanRows; ///< Row within the lane of each of Spans.
   size_t RowCount = 1;
   std::vector<const TimelineEvent *> Events;
   std::vector<const EventGap *> Gaps;
@@ -74,7 +74,8 @@
   }
 };
 
-/// Puts each span into the first row that is free at its start.
+/// Assigns each span to the first row that is free at its start. Spans overlap
+/// in the last row when MaxRowsPerLane rows are occupied.
 void assignRows(Lane &lane) {
   std::vector<WallTime> ends;
   for (const Span &span : lane.Spans) {
@@ -110,7 +111,7 @@
   return out;
 }
 
-/// Draws lanes as SVG.
+/// Renders lanes as SVG.
 class Drawing {
 public:
   Drawing(const Timeline &timeline, std::vector<Lane> lanes)
--- a/src/query/timeline_page.h
+++ b/src/query/timeline_page.h
@@ -1,5 +1,5 @@
-/// The time line and the three measures as one HTML page that needs nothing
-/// else: no script, no network.
+/// Renders the timeline and the three measures as a self-contained HTML page
+/// without scripts or network access.
 #pragma once
 
 #include "query/measures.h"
--- a/src/query/timeline_style.h
+++ b/src/query/timeline_style.h
@@ -1,4 +1,5 @@
-/// Style sheet of the page; follows the reader's choice of light or dark.
+/// Style sheet of the timeline page. Light or dark colours follow the browser's
+/// preference.
 #pragma once
 
 #include <string_view>
--- a/src/query/timeline_text.cpp
+++ b/src/query/timeline_text.cpp
@@ -50,7 +50,7 @@
          "\n";
 }
 
-/// Numbers of the trace's processes, by instance.
+/// Assigns a trace process identifier to each instance, from 1.
 std::map<std::string, int> processNumbers(const Timeline &timeline) {
   std::map<std::string, int> out;
   for (const TimelineEvent &event : timeline.Events)
@@ -86,8 +86,8 @@
           {"scores", std::move(scores)}};
 }
 
-/// One end of an asynchronous span; spans of one request overlap others, so
-/// they can't share a thread's row.
+/// Encodes the start or end of a span as an asynchronous event. Spans of
+/// different requests overlap, so they can't be nested events of one thread.
 json::object spanEnd(const Span &span, int process, bool isStart, size_t id) {
   return {{"ph", isStart ? "b" : "e"},
           {"cat", span.Name},
