--- a/tests/query/cell_test.cpp
+++ b/tests/query/cell_test.cpp
@@ -35,6 +35,9 @@
   }
 }
 
+// If an identifier didn't identify its entry, queries about one request would
+// go to the wrong process. A random source of zeros must still yield a valid
+// one.
 TEST(RequestIds, IdentifyIssuingEntry) {
   uint64_t seed = 7;
   RandomSource random = [&] {
--- a/tests/query/command_test.cpp
+++ b/tests/query/command_test.cpp
@@ -52,7 +52,8 @@
     return planCommand(parsed(text), CurrentSnapshot, context, Reason);
   }
 
-  /// The object after the only change of a command.
+  /// Applies the only change of a command to the object and returns the result.
+  /// Sets Refused if the change fails.
   std::optional<ConfigObject> objectAfter(const std::string &text,
                                           std::optional<ConfigObject> object) {
     auto changes = plan(text);
@@ -184,6 +185,8 @@
   EXPECT_EQ(Reason.Kind, ErrorKind::NotFound);
 }
 
+// A policy left at an old epoch would make purged context reusable for its
+// class.
 TEST_F(Plan, PurgeRaisesEveryPolicyAboveHighestEpoch) {
   CurrentSnapshot.Policies = {policy("*", 2), policy("bulletin", 7)};
   auto changes = plan("purge acme");
@@ -199,21 +202,23 @@
 
 TEST_F(Plan, PurgedContextCannotBeReused) {
   CurrentSnapshot.Policies = {policy("*", 3)};
-  // A policy that is new starts at the organisation's epoch.
+  // A new policy starts at the organisation's highest epoch.
   auto created =
       objectAfter("set reuse acme:bulletin reuse=true", std::nullopt);
   EXPECT_EQ(std::get<ReusePolicy>(*created).Epoch, 3U);
-  // Without the policy for all classes, the default epoch would return.
+  // Deleting the policy for all classes would reset the epoch to the default.
   EXPECT_FALSE(plan("delete reuse acme:*"));
   EXPECT_EQ(Reason.Kind, ErrorKind::Forbidden);
-  // Two purges at once raise it twice rather than not at all.
+  // A purge that was planned before another one took effect must still raise
+  // the epoch.
   std::optional<ConfigObject> raced = policy("*", 9);
   ASSERT_TRUE(plan("purge acme")->front().Edit(raced, Reason));
   EXPECT_EQ(std::get<ReusePolicy>(*raced).Epoch, 10U);
 }
 
 TEST_F(Plan, PurgeCoversConcurrentlyWrittenPolicy) {
-  // The policy was planned before the purge and written after it.
+  // The policy was planned before the purge and written after it, with an epoch
+  // below that of the purge. The purge must cover it nevertheless.
   CurrentSnapshot.Policies = {policy("*", 4), policy("bulletin", 3)};
   CurrentSnapshot.finish();
   EXPECT_EQ(CurrentSnapshot.policy("acme", "bulletin").Epoch, 4U);
--- a/tests/query/docs_test.cpp
+++ b/tests/query/docs_test.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-/// A page below docs/, looked for upwards from the working directory.
+/// Returns the content of docs/NAME. Searches the working directory and its
+/// parents; empty when not found.
 std::string page(const std::string &name) {
   auto directory = std::filesystem::current_path();
   while (!std::filesystem::exists(directory / "docs" / name)) {
@@ -34,7 +35,7 @@
   return text.find("`" + std::string(word) + "`") != std::string::npos;
 }
 
-/// Lines that are indented as code and begin with one of the words.
+/// Returns the lines of indented code blocks that begin with the prefix.
 std::vector<std::string> statements(const std::string &text,
                                     const std::string &prefix) {
   std::vector<std::string> out;
--- a/tests/query/query_test.cpp
+++ b/tests/query/query_test.cpp
@@ -40,7 +40,7 @@
   return requestTable(TableName::Requests, "entry-1", rows);
 }
 
-/// Two entries and agents for two models, three each.
+/// Two entries, and three agents for each of two models.
 Snapshot fleet() {
   Snapshot out;
   for (const char *name : {"entry-1", "entry-2"}) {
@@ -180,6 +180,8 @@
   EXPECT_EQ(merge(count, {}).Rows.at(0).at(0), Cell(int64_t{0}));
 }
 
+// Limits applied per process must not change the merged result, for any
+// distribution of the rows over processes.
 RC_GTEST_PROP(QueryExecutor, MergingPartsEqualsExecutingTheWhole, ()) {
   auto text = *rc::gen::element<std::string>(
       "show requests count by organisation limit 2",
@@ -235,6 +237,8 @@
       plannedInstances("show events where request = " + toHex(Id)).empty());
 }
 
+// Guards against a column that is added to a table without its cell in the
+// rows, which would shift the values of later columns.
 TEST(Schema, RowsAreAsWideAsTheirColumns) {
   Snapshot snapshot = fleet();
   snapshot.Models.push_back({});
@@ -256,6 +260,8 @@
   }
 }
 
+// Guards against disclosing key hashes to anyone and operator accounts to
+// roles below Administrator.
 TEST(Schema, KeyHashesAndOperatorsAreHidden) {
   Snapshot snapshot;
   snapshot.Organisations.push_back({"acme", "feedface"});
--- a/tests/query/timeline_test.cpp
+++ b/tests/query/timeline_test.cpp
@@ -31,7 +31,7 @@
   return out;
 }
 
-/// An entry whose events stand between those of an agent.
+/// Events of an entry and of an agent that interleave in time.
 Timeline sample() {
   Answer entry =
       page("entry-1", {eventAt(100, 0, EventKind::RequestReceived),
@@ -76,6 +76,8 @@
   EXPECT_TRUE(spansOf(it)[1].IsOpen);
 }
 
+// An entry has no run_started event. Unless the first token ended the wait, it
+// would last until run_finished and include the run.
 TEST(Timeline, EntryWaitEndsAtFirstToken) {
   auto spans = spansOf(
       timelineOf({page("entry-1", {eventAt(100, 0, EventKind::OfferAccepted),
@@ -112,6 +114,8 @@
                         {"M", 2}, {"i", 7}, {"b", 3}, {"e", 3}}));
 }
 
+// Names from other processes must not inject HTML, and the page must not load
+// anything from the network.
 TEST(TimelinePage, IsSelfContainedAndEscaped) {
   Measures measures;
   measures.add("daisytack_link_bytes_total{direction=\"<x>\"} "
@@ -148,6 +152,8 @@
   EXPECT_EQ(ServingMeasure{}.firstTokenQuantile(0.5), 0);
 }
 
+// Class names beyond the maximum must share one series, or the number of series
+// grows without bound.
 TEST(ServingMetrics, BoundsModelClassPairs) {
   Metrics metrics;
   ServingMetrics serving(metrics);
