--- a/include/daisytack/error.h
+++ b/include/daisytack/error.h
@@ -1,5 +1,5 @@
-/// Typed errors. Each kind has one outcome and one remedy, so that a refusal is
-/// honest and useful.
+/// Typed errors. Each kind has one stable name, one HTTP status and one remedy,
+/// so that a refusal tells the receiver what to do.
 #pragma once
 
 #include "daisytack/types.h"
@@ -9,14 +9,14 @@
 
 namespace daisytack {
 
-/// Whether the work may have been done. Callers may safely repeat only after
-/// NotRun.
+/// Whether the request may have been executed. Callers may safely retry only
+/// after NotRun.
 enum class Outcome : uint8_t { NotRun, MayHaveRun, Completed };
 
-/// What went wrong. The order is part of the wire protocol: append only.
+/// Error kinds. Their order is part of the wire protocol: append only.
 enum class ErrorKind : uint8_t {
   None,
-  // The caller's input.
+  // Invalid caller input.
   BadRequest,
   BodyTooLarge,
   HeaderTooLarge,
@@ -27,8 +27,8 @@
   UnknownModel,
   UnknownClass,
   UnknownService,
-  KeyReused,      ///< Same idempotency key, other body.
-  RequestTimeout, ///< The caller sent too slowly.
+  KeyReused,      ///< The idempotency key was used before with another body.
+  RequestTimeout, ///< The caller sent the request too slowly.
   // Admission.
   DeadlineTooShort,
   OrganisationLimit,
@@ -37,7 +37,7 @@
   Draining,
   NotReady,
   RetryBudgetSpent,
-  // At most once.
+  // Calls that run at most once.
   TicketExpired,
   TicketUnknown,
   StillRunning,
@@ -47,20 +47,21 @@
   ServerLost,
   DeadlinePassed,
   Cancelled,
-  AnswerLost, ///< A resumed stream is no longer held.
+  AnswerLost, ///< The answer of the stream to resume is no longer stored.
   ProtocolError,
   // Configuration and the platform.
   Conflict,
-  ServiceUnavailable, ///< The key-value service.
-  ServiceUnknown,     ///< A write to it may or may not have taken effect.
+  ServiceUnavailable, ///< The key-value service is unavailable.
+  ServiceUnknown, ///< A write to the key-value service may or may not have been
+                  ///< applied.
   BadValue,
   BudgetSpent,
   Internal,
-  RequestQuarantined, ///< Servers ended under it.
+  RequestQuarantined, ///< Backend servers ended while they ran this request.
 };
 
-/// An error as value: its kind, a detail for the log and, where known, when to
-/// come back.
+/// An error value: its kind, a detail for the log and, if known, the delay
+/// before a retry.
 struct Error {
   ErrorKind Kind = ErrorKind::None;
   std::string Detail;
@@ -72,11 +73,11 @@
 
 /// Stable lower-case name, as in problem+json: "deadline_too_short".
 std::string_view errorName(ErrorKind kind);
-/// What the receiver can do about it; one sentence.
+/// One or two sentences on what the receiver can do about the error.
 std::string_view errorRemedy(ErrorKind kind);
-/// HTTP status that carries the kind to callers.
+/// HTTP status with which the error is returned to callers.
 unsigned errorStatus(ErrorKind kind);
-/// The kind whose errorName is the text; None when there is none.
+/// Inverse of errorName; None when no kind has the name.
 ErrorKind parseErrorKind(std::string_view name);
 /// "not_run", "may_have_run" or "completed".
 std::string_view outcomeName(Outcome outcome);
--- a/include/daisytack/event.h
+++ b/include/daisytack/event.h
@@ -1,4 +1,4 @@
-/// Typed events: the time line over all processes.
+/// Typed events, which form one timeline across all processes.
 #pragma once
 
 #include "daisytack/error.h"
@@ -11,8 +11,9 @@
 
 namespace daisytack {
 
-/// Hybrid logical time: wall time in microseconds, and a counter that orders
-/// events within one of them and across processes whose clocks differ.
+/// Hybrid logical time: wall-clock time in microseconds and a counter that
+/// orders events within one microsecond and across processes whose clocks
+/// differ.
 struct HybridTime {
   uint64_t Wall = 0;
   uint32_t Logical = 0;
@@ -28,17 +29,18 @@
   ProcessStopped,
   RequestReceived,
   RequestRefused,
-  RequestRouted, ///< Scores: predicted first token of the candidates,
-                 ///< microseconds.
+  RequestRouted, ///< Scores: predicted time to first token of each candidate,
+                 ///< in microseconds.
   RequestOffered,
-  OfferAccepted, ///< Scores: wait, fetch, prefill, decode, microseconds.
+  OfferAccepted, ///< Scores: wait, fetch, prefill and decode, in microseconds.
   OfferRefused,
   RunQueued,
-  ContextPlanned, ///< Scores: cost of recompute, of the chosen prefix, pieces
-                  ///< fetched, pieces in all.
+  ContextPlanned, ///< Scores: cost of recomputing, cost of the chosen prefix,
+                  ///< pieces fetched, total pieces.
   FetchStarted,
   FetchFinished,
-  PieceRejected, ///< A torn, freed or mis-keyed piece was found and not used.
+  PieceRejected, ///< A torn, freed or wrongly keyed piece was detected and not
+                 ///< used.
   PieceExported,
   PieceEvicted,
   RunStarted,
@@ -65,7 +67,7 @@
   CommandApplied,
   CommandConflict,
   CommandUnknown,
-  ServiceLost, ///< The key-value service stopped answering.
+  ServiceLost, ///< The key-value service stopped responding.
   ServiceBack,
   LeaseTaken,
   LeaseLost,
@@ -73,18 +75,20 @@
   OrderRefused,
   LoadStarted,
   LoadFinished,
-  CacheGap,     ///< Cache events of the engine were missed; its state counts as
-                ///< unknown.
-  PeerRejected, ///< A message failed authentication, replay or length checks.
-  CommandRefused, ///< Bad value, or the service can't be reached: not applied.
+  CacheGap, ///< Cache events of the engine were missed; the state of its cache
+            ///< is treated as unknown.
+  PeerRejected,   ///< A message failed the authentication, replay or length
+                  ///< check.
+  CommandRefused, ///< The command was not applied: bad value, or the key-value
+                  ///< service is unreachable.
 };
 
 /// Stable lower-case name: "offer_accepted".
 std::string_view eventName(EventKind kind);
-/// Inverse of eventName; nothing when no kind has the name.
+/// Inverse of eventName; nullopt when no kind has the name.
 std::optional<EventKind> parseEventKind(std::string_view name);
 
-/// One thing that happened. Holds no prompt, answer or key.
+/// One recorded event. Contains no prompt, answer or key.
 struct Event {
   static constexpr size_t MaxScores = 4;
 
@@ -94,8 +98,7 @@
   Attempt Try = 0;
   ErrorKind Reason = ErrorKind::None;
   std::array<int64_t, MaxScores> Scores{};
-  std::string Subject; ///< Name of the organisation, server, object or member
-                       ///< concerned.
+  std::string Subject; ///< Names the organisation, server, object or member.
 
   bool operator==(const Event &) const = default;
   template <class Archive> void serialize(Archive &ar) {
--- a/include/daisytack/objects.h
+++ b/include/daisytack/objects.h
@@ -1,5 +1,5 @@
-/// Configuration objects. Operators create them, the key-value service holds
-/// one key for each, and every process merges them by the service's revision.
+/// Configuration objects. Operators create them, the key-value service stores
+/// each under one key, and every process merges them by revision.
 #pragma once
 
 #include "daisytack/types.h"
@@ -12,14 +12,15 @@
 
 namespace daisytack {
 
-/// A customer of the operators: the unit of isolation, limits and fair share.
+/// A customer of the operators: the unit of isolation, limits and fair sharing.
 struct Organisation {
   std::string Name;
   std::string KeyHash; ///< SHA-256 of the bearer key, 64 hexadecimal digits.
   uint32_t Weight = 1; ///< Fair share relative to other organisations, 1..1000.
-  double RequestsPerSecond = 100; ///< Over all entries.
+  double RequestsPerSecond = 100; ///< Rate limit over all entries.
   uint32_t Burst = 100; ///< Requests admitted at once over all entries.
-  uint32_t MaxConcurrent = 1000; ///< Running and waiting over all entries.
+  uint32_t MaxConcurrent = 1000; ///< Maximum number of running and waiting
+                                 ///< requests over all entries.
   uint64_t KeptBytes = 1ULL
                        << 30; ///< Quota of kept context, bytes over all stores.
   auto operator<=>(const Organisation &) const = default;
@@ -28,43 +29,45 @@
 /// A model and the weight version that its servers converge on.
 struct Model {
   std::string Name;
-  std::string Version; ///< Desired version; new requests see only this one.
+  std::string Version; ///< Desired version; only it serves new requests.
   std::string Adapter; ///< Adapter loaded over the weights; empty for none.
   uint32_t MinServers =
-      1; ///< Servers that must stay in service while a swap runs.
+      1; ///< Minimum number of servers in service during a swap.
   auto operator<=>(const Model &) const = default;
 };
 
-/// When kept context is exported from the engine to the stores.
+/// When context is exported from the engine to the stores. SecondSight: not
+/// before the second sighting of a piece.
 enum class KeepRule : uint8_t { Never, SecondSight, Always };
 
-/// A class of requests: its priority, deadline and what may be done when an
-/// attempt fails.
+/// A class of requests: its priority, its deadline and whether a failed attempt
+/// may be repeated.
 struct RequestClass {
   std::string Name;
-  uint32_t Priority = 5; ///< 0 is shed first, 9 last.
-  Duration Deadline{
-      60'000'000}; ///< For callers that name none; also the longest accepted.
-  bool Idempotent = true; ///< False: at most once, never repeated.
+  uint32_t Priority = 5;         ///< 0 is shed first, 9 last.
+  Duration Deadline{60'000'000}; ///< Default for callers that set no deadline,
+                                 ///< and the longest accepted.
+  bool Idempotent = true; ///< False: runs at most once and is never repeated.
   KeepRule Keep = KeepRule::SecondSight;
   std::optional<WallTime>
-      ReleaseAt; ///< Answers are held and let go at this moment.
+      ReleaseAt; ///< When set, answers are held back until this time.
   auto operator<=>(const RequestClass &) const = default;
 };
 
-/// What one organisation may reuse in one class ("*" for all classes).
+/// Reuse of kept context by one organisation in one class ("*" for all
+/// classes).
 struct ReusePolicy {
   std::string Organisation;
   std::string Class = "*";
   bool Reuse = true;
   Duration KeepFor{7LL * 24 * 3600 * 1'000'000};
   uint64_t MaxBytes = 1ULL << 30;
-  uint32_t Epoch = 0; ///< Part of every piece key; a purge raises it, so older
-                      ///< pieces can't be named.
+  uint32_t Epoch = 0; ///< Part of every piece key. A purge raises it, so that
+                      ///< older pieces can no longer be addressed.
   auto operator<=>(const ReusePolicy &) const = default;
 };
 
-/// A plain service that the system routes to.
+/// A plain service to which calls are routed.
 struct PlainService {
   std::string Name;
   bool Idempotent = false; ///< True: every call may be repeated.
@@ -72,16 +75,16 @@
   auto operator<=>(const PlainService &) const = default;
 };
 
-/// What operators say of one backend server; absent means the defaults.
+/// Operator settings of one backend server; without them the defaults apply.
 struct ServerOverride {
   std::string Name;
   bool Drained = false;
-  bool ChecksFencing =
-      false; ///< False: its agent is the only guard against stale orders.
+  bool ChecksFencing = false; ///< False: the server does not check fencing
+                              ///< tokens; only its agent rejects stale orders.
   auto operator<=>(const ServerOverride &) const = default;
 };
 
-/// What an operator's key may do.
+/// Permissions of an operator's key.
 enum class OperatorRole : uint8_t { Viewer, Operator, Administrator };
 
 struct OperatorAccount {
@@ -95,20 +98,21 @@
     std::variant<Organisation, Model, RequestClass, ReusePolicy, PlainService,
                  ServerOverride, OperatorAccount>;
 
-/// What a process is to the fleet.
+/// Role of a process in the fleet.
 enum class MemberRole : uint8_t { Entry, Agent };
-/// Ordered: of two reports on one incarnation the higher one holds.
+/// Ordered: of two reports about the same incarnation the higher state takes
+/// precedence.
 enum class MemberState : uint8_t { Live, Leaving, Gone };
 
-/// One instance as the platform lists it, with what peers have said since.
+/// One instance as in the platform's list, updated by later reports of peers.
 struct Member {
-  std::string Name; ///< Unique per instance; a replacement has another one.
+  std::string Name; ///< Unique; a replacement instance has another name.
   MemberRole Role = MemberRole::Agent;
   MemberState State = MemberState::Live;
   std::string Region;
   std::string FailureDomain;
-  std::string
-      Serves; ///< Model or plain service behind an agent; empty for an entry.
+  std::string Serves; ///< Model or plain service of an agent's backend server;
+                      ///< empty for an entry.
   bool IsService = false;
   Endpoint Work; ///< TCP: offers (agent) or callers' HTTP (entry).
   Endpoint Peer; ///< UDP and TCP: control messages.
--- a/include/daisytack/types.h
+++ b/include/daisytack/types.h
@@ -17,8 +17,8 @@
 /// Durations are whole microseconds everywhere.
 using Duration = std::chrono::microseconds;
 
-/// Tag of monotonic time. It has no now(): decisions receive the present time
-/// as an argument.
+/// Tag type of monotonic time. It has no now(): decision code receives the
+/// current time as an argument.
 struct MonotonicClock {
   using rep = Duration::rep;
   using period = Duration::period;
@@ -26,8 +26,8 @@
   using time_point = std::chrono::time_point<MonotonicClock>;
 };
 
-/// Tag of wall-clock time since the Unix epoch; used for release times and the
-/// time line only.
+/// Tag type of wall-clock time since the Unix epoch; used only for release
+/// times and the timeline.
 struct CalendarClock {
   using rep = Duration::rep;
   using period = Duration::period;
@@ -38,7 +38,7 @@
 using TimePoint = MonotonicClock::time_point;
 using WallTime = CalendarClock::time_point;
 
-/// Index into one snapshot's table of T. Not valid beyond that snapshot.
+/// Index into a table of one snapshot. Valid only for that snapshot.
 template <class Tag> struct Handle {
   static constexpr uint32_t Invalid = UINT32_MAX;
   uint32_t Index = Invalid;
@@ -64,17 +64,17 @@
 
 /// 32 lower-case hexadecimal digits.
 std::string toHex(const Id128 &id);
-/// Inverse of toHex; nothing when the text is not exactly 32 hexadecimal
+/// Inverse of toHex; nullopt when the text is not exactly 32 hexadecimal
 /// digits.
 std::optional<Id128> parseId128(std::string_view text);
 
-/// Names one request of one caller over all its attempts and processes.
+/// Identifies one request of a caller across all its attempts and processes.
 using RequestId = Id128;
-/// Drawn at random when a process starts; tells a process from its successor at
-/// the same address.
+/// Random identifier of one run of a process; distinguishes it from a successor
+/// at the same address.
 using Incarnation = Id128;
 
-/// Number of an attempt at a request, from 1; 0 is the invalid value.
+/// Number of an attempt at a request, starting at 1; 0 is invalid.
 using Attempt = uint32_t;
 
 /// Key of one piece of kept context: a keyed cryptographic hash, see
@@ -87,11 +87,11 @@
 
 /// 64 lower-case hexadecimal digits.
 std::string toHex(const PieceKey &key);
-/// Inverse of toHex; nothing when the text is not exactly 64 hexadecimal
+/// Inverse of toHex; nullopt when the text is not exactly 64 hexadecimal
 /// digits.
 std::optional<PieceKey> parsePieceKey(std::string_view text);
 
-/// IPv4 or IPv6 literal and port. Names are not resolved.
+/// IPv4 or IPv6 literal and port. Host names are not resolved.
 struct Endpoint {
   std::string Address;
   uint16_t Port = 0;
@@ -103,11 +103,11 @@
 
 /// "address:port", with brackets around an IPv6 literal.
 std::string toString(const Endpoint &endpoint);
-/// Inverse of toString; nothing when the text names no address literal or no
+/// Inverse of toString; nullopt unless the text has an address literal and a
 /// port in 1..65535.
 std::optional<Endpoint> parseEndpoint(std::string_view text);
 
-/// Draws 64 random bits; tests pass a seeded one.
+/// Returns 64 random bits. Tests pass a seeded generator.
 using RandomSource = std::function<uint64_t()>;
 
 } // namespace daisytack
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,5 +1,5 @@
-/// The only place where a process reads its clocks. Decision code receives the
-/// result as an argument.
+/// The only module that reads the clocks of a process. Decision code receives
+/// the current time as an argument.
 #pragma once
 
 #include "daisytack/types.h"
@@ -8,9 +8,9 @@
 
 namespace daisytack {
 
-/// Never goes back, and counts the time for which the machine was suspended:
-/// leases, confirmations and deadlines run on meanwhile for everybody else. The
-/// standard library's steady clock stands still.
+/// Never goes back, and includes the time during which the machine was
+/// suspended, since leases, confirmations and deadlines continue to run for all
+/// other processes. The standard library's steady clock stops during a suspend.
 struct BootClock {
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
@@ -21,7 +21,7 @@
   static time_point now() noexcept;
 };
 
-/// Monotonic time since an unspecified start, by the clock above.
+/// Monotonic time since an unspecified start, read from BootClock.
 TimePoint monotonicNow();
 /// Wall-clock time since the Unix epoch.
 WallTime wallNow();
--- a/src/base/decision_log.h
+++ b/src/base/decision_log.h
@@ -1,9 +1,11 @@
-/// Structured log of a daemon: one JSON object a line on standard output, for
-/// each decision that touches a request or changes what the process believes.
+/// Structured log of a daemon: one JSON object per line on standard output, for
+/// each decision that concerns a request or changes the process's view of the
+/// system.
 ///
-/// Writing never blocks and never grows: lines wait in a bounded buffer, lines
-/// beyond a number per second are left out, and both losses are counted and
-/// told. Lines about failures have a reserve that others can't use up.
+/// Writing never blocks and memory is bounded: lines are queued in a bounded
+/// buffer, lines over a rate limit are dropped, and drops of either kind are
+/// counted and reported. Notable lines, such as those about failures, have a
+/// reserved share of the rate that routine lines cannot use.
 #pragma once
 
 #include "base/metrics.h"
@@ -20,15 +22,15 @@
 
 namespace daisytack {
 
-/// Routine lines are left out first.
+/// Routine lines are dropped first.
 enum class LogPriority : uint8_t { Routine, Notable };
 
 struct DecisionLogSettings {
-  /// Lines a second; a share of them is kept for notable ones. At about 250
-  /// bytes a line this bounds the output to 50 kB/s.
+  /// Maximum lines per second, of which a share is reserved for notable lines.
+  /// At about 250 bytes per line this bounds the output to 50 kB/s.
   uint32_t LinesPerSecond = 200;
   double NotableReserve = 0.5;
-  /// Lines that wait for the pipe; about five seconds' worth.
+  /// Bytes of lines buffered for the pipe: about five seconds of output.
   size_t BufferBytes = 256U << 10;
   bool operator==(const DecisionLogSettings &) const = default;
 };
@@ -36,23 +38,23 @@
 /// Thread-safe.
 class DecisionLog {
 public:
-  /// Takes a block of whole lines and returns how many bytes were taken, at
-  /// once; 0 when the pipe is full.
+  /// Writes a block of whole lines without blocking and returns the number of
+  /// bytes written; 0 when the pipe is full.
   using Sink = std::function<size_t(std::string_view)>;
   using Fields = boost::json::object;
 
   DecisionLog(DecisionLogSettings settings, std::string process, Sink sink,
               Metrics &metrics);
-  /// Gives the sink what still waits: a process that ends before the next
-  /// flush is told of by its last lines.
+  /// Passes buffered lines to the sink: the last lines of a process say why it
+  /// ended, and no further flush follows.
   ~DecisionLog();
   DecisionLog(const DecisionLog &) = delete;
   DecisionLog &operator=(const DecisionLog &) = delete;
 
-  /// Adds "at_us" (monotonic), "process" and "event" to the fields.
+  /// Writes a line with "at_us" (monotonic), "process", "event" and the fields.
   void write(LogPriority priority, std::string_view event, Fields fields,
              TimePoint now);
-  /// Gives the sink what waits. Call several times a second.
+  /// Passes buffered lines to the sink. Call several times per second.
   void flush(TimePoint now);
 
 private:
@@ -69,11 +71,10 @@
   std::string Buffer;
   TimePoint SecondStart;
   uint32_t LinesInSecond = 0;
-  uint64_t UnreportedDrops =
-      0; ///< Lines left out since the last line that said so.
+  uint64_t UnreportedDrops = 0; ///< Dropped since the last report.
 };
 
-/// Writes to standard output, which it makes non-blocking.
+/// Sink for standard output, which it makes non-blocking.
 DecisionLog::Sink standardOutputSink();
 
 } // namespace daisytack
--- a/src/base/digest.h
+++ b/src/base/digest.h
@@ -1,4 +1,5 @@
-/// Cryptographic digests, by OpenSSL.
+/// Cryptographic digests and random numbers from OpenSSL, and non-cryptographic
+/// hashes.
 #pragma once
 
 #include "daisytack/types.h"
@@ -16,9 +17,9 @@
 Digest256 hmacSha256(std::string_view key, std::string_view data);
 /// Lower-case hexadecimal.
 std::string hexDigest(const Digest256 &digest);
-/// True when both are equal; the time taken depends on the lengths alone.
+/// True when both are equal. The time taken depends only on the lengths.
 bool equalConstantTime(std::string_view a, std::string_view b);
-/// 64 random bits from the operating system's generator.
+/// 64 random bits from OpenSSL's cryptographic generator.
 uint64_t secureRandom();
 Id128 randomId(const RandomSource &random);
 /// Fast non-cryptographic 64-bit mix, for rendezvous hashing.
@@ -30,7 +31,7 @@
   x ^= x >> 33U;
   return x;
 }
-/// 64-bit hash of a name, stable over processes and versions.
+/// 64-bit hash of a name, stable across processes and versions.
 constexpr uint64_t hashName(std::string_view name) {
   uint64_t h = 0xcbf29ce484222325ULL;
   for (char c : name)
--- a/src/base/event_ring.cpp
+++ b/src/base/event_ring.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// A remote clock that leads by more is taken for broken and not followed: one
-/// instance must not carry the whole fleet's time line into another year.
+/// A remote time further ahead than this is ignored as coming from a faulty
+/// clock; otherwise one instance could move the timeline of the whole fleet
+/// into another year.
 constexpr Duration MaxClockLead{3'600'000'000};
 
 uint64_t microsOf(WallTime time) {
--- a/src/base/event_ring.h
+++ b/src/base/event_ring.h
@@ -1,4 +1,5 @@
-/// Bounded ring of typed events, and the hybrid logical clock that stamps them.
+/// Bounded ring buffer of typed events, and the hybrid logical clock that
+/// timestamps them.
 #pragma once
 
 #include "daisytack/event.h"
@@ -13,9 +14,10 @@
 /// Hybrid logical clock. Thread-safe.
 class HybridClock {
 public:
-  /// Time of a local event.
+  /// Returns the time of a new local event, later than all times returned or
+  /// merged before.
   HybridTime tick(WallTime now);
-  /// Merges the time of a received message.
+  /// Merges the time of a received message, unless it is too far ahead of now.
   void observe(const HybridTime &remote, WallTime now);
 
 private:
@@ -23,30 +25,31 @@
   HybridTime Last;
 };
 
-/// The latest events of one process. Thread-safe; the oldest are overwritten.
+/// The latest events of one process. Thread-safe; when full, the oldest are
+/// overwritten.
 class EventRing {
 public:
-  /// The wall clock is a dependency, so that tests decide the time.
+  /// The wall clock is injected, so that tests control the time.
   EventRing(size_t capacity, std::function<WallTime()> clock);
 
-  /// Stamps and keeps the event.
+  /// Timestamps and stores the event.
   void record(Event event);
 
-  /// Merges a received hybrid time, so that later events here sort after its
-  /// cause.
+  /// Merges a received hybrid time, so that later local events sort after the
+  /// event that caused them.
   void observe(const HybridTime &remote);
-  /// Current hybrid time, for a message about to be sent.
+  /// Hybrid time for a message that is about to be sent.
   HybridTime stamp();
 
-  /// A page of events; Sequence numbers are consecutive, so a gap shows what
-  /// was overwritten.
+  /// A page of events. Sequence numbers are consecutive, so a gap shows how
+  /// many events were overwritten.
   struct Page {
-    uint64_t FirstSequence = 0; ///< Of Events.front().
-    uint64_t NextSequence = 0;  ///< To ask for next.
+    uint64_t FirstSequence = 0; ///< Sequence number of Events.front().
+    uint64_t NextSequence = 0;  ///< Start of the next page.
     std::vector<Event> Events;
   };
-  /// Events from the sequence number on, or from the oldest kept one; at most
-  /// the limit.
+  /// Events from the sequence number on, or from the oldest stored one if that
+  /// is later; at most limit.
   Page read(uint64_t fromSequence, size_t limit) const;
 
 private:
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -17,7 +17,7 @@
 
 constexpr double MinSeconds = 1e-5;
 constexpr double MaxSeconds = 1e3;
-/// Five bins for each of the eight decades.
+/// Five bins per decade over eight decades.
 constexpr unsigned SecondsBins = 40;
 constexpr unsigned ShareBins = 20;
 constexpr int EdgeDigits = 4;
@@ -63,7 +63,7 @@
   return labels.empty() ? "" : "{" + labels + "}";
 }
 
-/// Edges are rounded, so that series stay the same over platforms.
+/// Formats a bin edge, rounded so that series are the same on all platforms.
 std::string edgeText(double edge) {
   if (std::isinf(edge))
     return "+Inf";
@@ -87,7 +87,7 @@
          "\n";
 }
 
-/// All series of one name.
+/// All series with the same metric name.
 template <class T> struct Family {
   std::string Help;
   std::map<std::vector<Label>, std::unique_ptr<T>> Series;
@@ -138,7 +138,7 @@
   if (Self->Kind == Unit::Share)
     value = std::min(value, 1.0);
   Self->Sum.fetch_add(value, std::memory_order_relaxed);
-  // The axis is half open; a share of exactly 1 belongs to its last bin.
+  // The axis is half open; a share of exactly 1 counts in its last bin.
   if (Self->Kind == Unit::Share)
     value = std::min(value, std::nextafter(1.0, 0.0));
   Self->Bins(value);
@@ -167,7 +167,7 @@
     out.emplace_back(cell.bin(0).upper(), total);
   }
   if (Self->Kind == Unit::Share)
-    out.erase(out.begin()); // Nothing lies below 0.
+    out.erase(out.begin()); // Underflow bin; shares are never negative.
   out.back().first = std::numeric_limits<double>::infinity();
   return out;
 }
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,5 +1,4 @@
-/// Counters, gauges and histograms of one process, written out as Prometheus
-/// text.
+/// Counters, gauges and histograms of one process, exported as Prometheus text.
 #pragma once
 
 #include "daisytack/types.h"
@@ -14,15 +13,15 @@
 
 namespace daisytack {
 
-/// One label of a series; the set of values must be bounded (a model, a class,
-/// an error kind: never an id).
+/// One label of a series. The set of values must be bounded (a model, a class,
+/// an error kind), never an id.
 struct Label {
   std::string Name;
   std::string Value;
   auto operator<=>(const Label &) const = default;
 };
 
-/// Only grows. Lock-free.
+/// Monotonically increasing. Lock-free.
 class Counter {
 public:
   void add(uint64_t n = 1) { Value.fetch_add(n, std::memory_order_relaxed); }
@@ -32,7 +31,7 @@
   std::atomic<uint64_t> Value{0};
 };
 
-/// May go up and down. Lock-free.
+/// May increase and decrease. Lock-free.
 class Gauge {
 public:
   void set(int64_t v) { Value.store(v, std::memory_order_relaxed); }
@@ -43,7 +42,7 @@
   std::atomic<int64_t> Value{0};
 };
 
-/// Distribution of a duration (Boost.Histogram, logarithmic bins from 10 us to
+/// Histogram of a duration (Boost.Histogram, logarithmic bins from 10 us to
 /// 1000 s) or of a share in 0..1.
 class Distribution {
 public:
@@ -54,10 +53,10 @@
   void observe(Duration value);
   uint64_t count() const;
   double sum() const;
-  /// Upper edge of the bin in which the quantile (0..1) falls; 0 when nothing
-  /// was observed.
+  /// Upper edge of the bin that contains the quantile (0..1); 0 without
+  /// observations.
   double quantile(double q) const;
-  /// Cumulative counts by upper edge, as Prometheus wants them.
+  /// Cumulative counts by upper edge, as in Prometheus.
   std::vector<std::pair<double, uint64_t>> buckets() const;
 
 private:
@@ -65,8 +64,8 @@
   std::unique_ptr<Impl> Self;
 };
 
-/// Owns every series of a process. References stay valid as long as it lives;
-/// look them up once, not per request.
+/// Owns all series of a process. References stay valid for its lifetime; look
+/// them up once, not per request.
 class Metrics {
 public:
   Metrics();
--- a/src/base/rcu.h
+++ b/src/base/rcu.h
@@ -1,5 +1,5 @@
-/// Read-copy-update pointer: many readers see an immutable snapshot, one writer
-/// replaces it.
+/// Read-copy-update pointer: many readers see an immutable snapshot, which a
+/// writer replaces as a whole.
 #pragma once
 
 #include <atomic>
@@ -9,23 +9,23 @@
 
 namespace daisytack {
 
-/// Holds the current snapshot of T. A reader that has seen the current version
-/// touches no shared cache line but the version counter, which changes only
-/// when a writer publishes.
+/// Holds the current snapshot of T. A reader that has cached the current
+/// version touches no shared cache line but the version counter, which changes
+/// only when a writer publishes.
 template <class T> class Rcu {
 public:
   explicit Rcu(std::shared_ptr<const T> first) : Current(std::move(first)) {}
   Rcu(const Rcu &) = delete;
   Rcu &operator=(const Rcu &) = delete;
 
-  /// A reader's own handle, one per thread or connection. Not shared between
+  /// Per-thread or per-connection handle of a reader. Not shared between
   /// threads.
   class Reader {
   public:
     explicit Reader(const Rcu &source) : Source(&source) {}
 
-    /// The latest snapshot; valid until the next call on this reader, or longer
-    /// when the pointer is copied.
+    /// The latest snapshot; the reference is valid until the next call on this
+    /// reader, a copy of the pointer for as long as it is held.
     const std::shared_ptr<const T> &get() {
       uint64_t latest = Source->Version.load(std::memory_order_acquire);
       if (!Cached || latest != CachedVersion)
@@ -45,14 +45,14 @@
     uint64_t CachedVersion = 0;
   };
 
-  /// Makes the snapshot visible to every reader's next get().
+  /// Replaces the snapshot; every reader's next get() returns it.
   void publish(std::shared_ptr<const T> next) {
     std::lock_guard guard(Lock);
     Current.swap(next);
     Version.fetch_add(1, std::memory_order_release);
   }
 
-  /// The latest snapshot, for readers off the path of requests.
+  /// The latest snapshot, for readers outside the request path.
   std::shared_ptr<const T> load() const {
     std::lock_guard guard(Lock);
     return Current;
--- a/src/base/request_id.h
+++ b/src/base/request_id.h
@@ -1,5 +1,5 @@
-/// Request identifiers that tell which entry minted them, so that a query about
-/// one request needs to ask no other.
+/// Request identifiers that contain a hash of the name of the entry that
+/// created them, so that a query about one request goes to that entry only.
 #pragma once
 
 #include "daisytack/types.h"
@@ -8,11 +8,11 @@
 
 namespace daisytack {
 
-/// 32 bits of the entry's name hash and 96 random bits.
+/// 32 bits of the hash of the entry's name and 96 random bits.
 RequestId makeRequestId(std::string_view entry, const RandomSource &random);
 
-/// False: the entry of that name did not mint the identifier. True: it did, but
-/// for one other entry name in 2^32.
+/// False: the entry of that name did not create the identifier. True: it did,
+/// with a false positive for 1 in 2^32 other entry names.
 bool isMintedBy(const RequestId &id, std::string_view entry);
 
 } // namespace daisytack
--- a/src/base/setting_text.cpp
+++ b/src/base/setting_text.cpp
@@ -12,13 +12,14 @@
 
 namespace {
 
-/// A suffix and the number of basic units it stands for.
+/// A unit suffix and its factor in basic units (microseconds or bytes).
 struct Unit {
   std::string_view Suffix;
   uint64_t Factor;
 };
 
-// Largest first, so that formatting finds the largest one that divides.
+// Largest first, so that formatting picks the largest unit that divides the
+// value.
 constexpr std::array DurationUnits{
     Unit{"d", 86'400'000'000}, Unit{"h", 3'600'000'000}, Unit{"m", 60'000'000},
     Unit{"s", 1'000'000},      Unit{"ms", 1'000},        Unit{"us", 1}};
@@ -51,8 +52,8 @@
   return std::nullopt;
 }
 
-/// The digits behind a decimal point as a part of the unit; nothing when that
-/// is not a whole number.
+/// Converts the digits after a decimal point to basic units; nullopt when the
+/// result is not a whole number.
 std::optional<uint64_t> parseFraction(std::string_view digits, uint64_t unit) {
   if (digits.empty())
     return std::nullopt;
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -50,7 +50,7 @@
   std::set<std::string, std::less<>> RequestedKeys;
   std::set<std::string, std::less<>> Secrets;
   std::vector<SettingError> Errors;
-  std::optional<SettingError> FileError; ///< Hides all others.
+  std::optional<SettingError> FileError; ///< Reported instead of all others.
 
   void parse(std::string_view text);
   const std::string *find(std::string_view key);
@@ -58,8 +58,8 @@
   void fail(std::string_view key, std::string remedy);
   SettingError unknownKey(const std::string &key) const;
 
-  /// The parsed value, the fallback when the key is absent, or a default value
-  /// with an error noted.
+  /// The parsed value, the fallback when the key is absent, or, after adding an
+  /// error, the fallback or a default value.
   template <class T, class Parse>
   T read(std::string_view key, std::optional<T> fallback,
          const std::string &expected, Parse parseValue) {
@@ -126,7 +126,7 @@
   std::string remedy = "unknown key; remove it";
   if (!known.empty())
     remedy += " or use one of: " + joined(known);
-  // A mistyped name may carry a secret, so the value doesn't show.
+  // The value of a mistyped key may be a secret, so it is not shown.
   return {File, key, std::string(UnreadValue), remedy};
 }
 
@@ -274,7 +274,7 @@
 }
 
 std::vector<SettingError> Settings::finish() {
-  // Without a readable file every key would seem to be missing.
+  // Without a readable file every key would be reported as missing.
   if (Self->FileError)
     return {*Self->FileError};
   std::vector<SettingError> out = Self->Errors;
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,5 +1,5 @@
-/// INI settings, read once at start. Every mistake is collected, so that all
-/// are reported together.
+/// INI settings, read as a whole. Every error is collected, so that all are
+/// reported together.
 #pragma once
 
 #include "daisytack/types.h"
@@ -13,7 +13,7 @@
 
 namespace daisytack {
 
-/// One mistake in a settings file.
+/// One error in a settings file.
 struct SettingError {
   std::string File;
   std::string Key;   ///< "section.key".
@@ -25,20 +25,20 @@
 /// "FILE: section.key = VALUE: REMEDY".
 std::string toString(const SettingError &error);
 
-/// Reads typed values by "section.key". A key that no call asked for is an
+/// Reads typed values by "section.key". A key that no call requested is an
 /// error at finish().
 class Settings {
 public:
-  /// Parses the text of an INI file; syntax mistakes become errors.
+  /// Parses the text of an INI file; syntax errors are reported by finish().
   Settings(std::string fileName, std::string_view text);
-  /// Reads and parses a file; an unreadable file is an error of its own.
+  /// Reads and parses a file; an unreadable file is reported by finish().
   static Settings fromFile(const std::string &path);
   ~Settings();
   Settings(Settings &&) noexcept;
 
   bool has(std::string_view key) const;
   std::string text(std::string_view key, std::optional<std::string> fallback);
-  /// Like text, but the value never shows in an error.
+  /// Like text, but the value never appears in an error.
   std::string secret(std::string_view key, std::optional<std::string> fallback);
   bool flag(std::string_view key, std::optional<bool> fallback);
   int64_t integer(std::string_view key, std::optional<int64_t> fallback,
@@ -55,17 +55,17 @@
   /// Comma-separated; empty when absent.
   std::vector<Endpoint> endpoints(std::string_view key);
   std::vector<std::string> list(std::string_view key);
-  /// One of the choices.
+  /// One of the given choices.
   std::string choice(std::string_view key, std::optional<std::string> fallback,
                      std::vector<std::string> choices);
-  /// Keys below a section, for sections whose keys are names (for instance
+  /// Keys of a section, for sections whose keys are names (such as
   /// [peer_keys]).
   std::vector<std::string> keysOf(std::string_view section);
 
-  /// Adds a mistake that the caller found, for instance two settings that
-  /// clash.
+  /// Adds an error found by the caller, such as two settings that contradict
+  /// each other.
   void reject(std::string_view key, std::string remedy);
-  /// All mistakes, with unknown keys among them. Call after the last read.
+  /// Returns all errors, including unknown keys. Call after the last read.
   std::vector<SettingError> finish();
 
 private:
--- a/src/base/standard_metrics.cpp
+++ b/src/base/standard_metrics.cpp
@@ -6,7 +6,8 @@
 
 constexpr const char *OtherName = "other";
 
-// What control may take of a node at the deployment's full size.
+// Resource budget of the control plane on one node at the deployment's full
+// size.
 constexpr int64_t CpuMicrosPerSecondBudget = 48'000;
 constexpr int64_t MemoryBytesBudget = 128'000'000;
 constexpr int64_t BytesPerSecondBudget = 5'000;
--- a/src/base/standard_metrics.h
+++ b/src/base/standard_metrics.h
@@ -1,5 +1,5 @@
-/// Names and series that several processes share, so that they agree; listed in
-/// docs/METRICS.md.
+/// Metric names and series shared by several processes, defined once so that
+/// they agree; listed in docs/METRICS.md.
 #pragma once
 
 #include "base/metrics.h"
@@ -12,7 +12,7 @@
 
 namespace daisytack {
 
-/// Names of the three measures, as on /metrics.
+/// Names of metrics in the output of /metrics.
 namespace metric {
 constexpr const char *FirstToken = "daisytack_first_token_seconds";
 constexpr const char *PromptTokens = "daisytack_prompt_tokens_total";
@@ -27,15 +27,15 @@
 constexpr const char *BytesBudget = "daisytack_control_bytes_per_second_budget";
 } // namespace metric
 
-/// Time to first token and share recomputed, for one model and class.
+/// Time to first token and prompt token counts of one model and class.
 struct ServingSeries {
   Distribution &FirstToken;
   Counter &PromptTokens;
   Counter &RecomputedTokens;
 };
 
-/// Looks up the series of a model and class. Thread-safe; the names come from
-/// configuration, and pairs beyond MaxPairs share the pair "other", so that the
+/// Looks up the series of a model and class. Thread-safe. The names come from
+/// configuration; pairs beyond MaxPairs share the pair "other", so that the
 /// number of series stays bounded.
 class ServingMetrics {
 public:
@@ -54,24 +54,24 @@
   std::map<Pair, ServingSeries> Known;
 };
 
-/// Bytes over the links between engines and stores.
+/// Bytes transferred between engines and stores.
 struct LinkMetrics {
-  /// Direction: "fetch" or "export".
+  /// The direction is "fetch" or "export".
   static Counter &bytes(Metrics &metrics, const std::string &direction);
 };
 
-/// What the operating system says a process uses.
+/// Resource usage of a process as reported by the operating system.
 struct ProcessUsage {
   uint64_t CpuMicros = 0;
   uint64_t ResidentBytes = 0;
 };
 
-/// A process's use of processor and memory, and beside it what control may take
-/// of a node: 4.8% of a core, 128 MB and 5 KB/s.
+/// Processor and memory usage of a process, with gauges for the budget of the
+/// control plane on a node: 4.8% of a core, 128 MB and 5 KB/s.
 class ProcessMetrics {
 public:
   explicit ProcessMetrics(Metrics &metrics);
-  /// Called before the metrics are written out. Thread-safe.
+  /// Sets the series. Call before the metrics are exported. Thread-safe.
   void update(const ProcessUsage &usage);
 
 private:
--- a/tests/base/decision_log_test.cpp
+++ b/tests/base/decision_log_test.cpp
@@ -12,7 +12,7 @@
 
 const TimePoint Start{Duration(1'000'000'000)};
 
-/// A pipe that takes so many bytes and no more.
+/// A pipe that accepts at most Room bytes.
 struct Pipe {
   std::string Text;
   size_t Room = SIZE_MAX;
@@ -94,7 +94,7 @@
   pipe.Room = SIZE_MAX;
   log.flush(Start + 2s);
   log.flush(Start + 2s);
-  // What waited comes out whole, from where the pipe had stopped.
+  // Buffered lines come out whole, continuing where the pipe stopped.
   size_t begin = 0;
   for (size_t end = pipe.Text.find('\n'); end != std::string::npos;
        end = pipe.Text.find('\n', begin)) {
--- a/tests/base/process_test.cpp
+++ b/tests/base/process_test.cpp
@@ -31,7 +31,7 @@
   }
 
   std::string fileWith(const std::string &text) {
-    // Tests run at the same time, each in a process of its own.
+    // Tests run concurrently, each in its own process.
     std::string path =
         testing::TempDir() + "process_" +
         testing::UnitTest::GetInstance()->current_test_info()->name() + ".ini";
@@ -125,7 +125,8 @@
   EXPECT_EQ(run({fileWith("[process]\nkill_after = 10s\n"
                           "log_level = error\n")}),
             0);
-  // Counted from when it was handled, it would be 300 ms later.
+  // Counted from when the signal is handled, the deadline would be 300 ms
+  // later.
   EXPECT_LE(drainDeadline, startedAt + std::chrono::milliseconds(9800));
 }
 
@@ -188,7 +189,8 @@
   EXPECT_EQ(run({fileWith("[process]\nlog_level = error\n")}), 0);
 }
 
-// Libraries wait in such handlers for threads of theirs, which may never end.
+// Libraries register atexit handlers that wait for their threads, which may
+// never end.
 TEST_F(Process, ExitsWithoutRunningAtexitHandlers) {
   testing::GTEST_FLAG(death_test_style) = "threadsafe";
   EXPECT_EXIT(
