--- a/src/edge/engine.h
+++ b/src/edge/engine.h
@@ -1,5 +1,5 @@
-/// The model engine beside an agent, as hooks. One adapter implements them for
-/// one protocol; tests pass in-process fakes.
+/// The model engine that an agent manages, as a set of hooks. An adapter
+/// implements them for one protocol; tests pass in-process fakes.
 #pragma once
 
 #include "net/http_client.h"
@@ -9,22 +9,22 @@
 
 namespace daisytack::edge {
 
-/// Takes what the platform answers; called on I/O threads.
+/// Receives results from engines, services and stores; called on I/O threads.
 using InputSink = std::function<void(serve::AgentInput)>;
 
-/// All hooks are asynchronous and may be called from any thread. Each answers
-/// through the sink that the adapter was made with.
+/// All hooks are asynchronous and may be called from any thread. Results arrive
+/// through the sink that the adapter was created with.
 struct Engine {
-  /// Answered by any number of RunText and then one RunDone or RunFailed.
+  /// Results: any number of RunText, then one RunDone or RunFailed.
   std::function<void(serve::StartRun)> Start;
-  /// Answered by RunFailed with Cancelled, unless the run had ended.
+  /// Result: RunFailed with Cancelled, unless the run has ended already.
   std::function<void(const serve::RunToken &)> Cancel;
-  /// Not answered.
+  /// Suspend and Resume have no result.
   std::function<void(const serve::RunToken &)> Suspend;
   std::function<void(const serve::RunToken &)> Resume;
-  /// Answered by EngineStatus or EngineUnresponsive.
+  /// Result: EngineStatus or EngineUnresponsive.
   std::function<void()> PollStatus;
-  /// Answered by CacheEvents or EngineUnresponsive.
+  /// Result: CacheEvents or EngineUnresponsive.
   std::function<void(serve::PollCacheEvents)> PollCacheEvents;
   std::function<void(serve::ExportPiece)> Export;
   std::function<void(serve::ImportPiece)> Import;
@@ -33,13 +33,14 @@
 
 struct HttpEngineInit {
   Endpoint Address;
-  Endpoint Weights; ///< Named to the engine in orders.
+  Endpoint Weights; ///< Address of the weights, sent to the engine in orders;
+                    ///< omitted when invalid.
   Duration ControlTimeout{2'000'000};
   Duration PieceTimeout{10'000'000};
 };
 
-/// OpenAI-shaped completions and the control surface of docs/PROTOCOL.md. The
-/// client must outlive the hooks.
+/// Adapter to an engine with OpenAI-compatible completions and the control API
+/// of docs/PROTOCOL.md. The client must outlive the hooks.
 Engine makeHttpEngine(net::HttpClient &client, HttpEngineInit init,
                       InputSink sink);
 
--- a/src/edge/engine_http.cpp
+++ b/src/edge/engine_http.cpp
@@ -1,4 +1,4 @@
-/// The adapter to an engine that speaks HTTP.
+/// HTTP adapter to an engine.
 #include "edge/engine.h"
 #include "edge/engine_codec.h"
 #include "edge/run_calls.h"
@@ -36,7 +36,7 @@
   return out;
 }
 
-/// An engine that answers with a status of its own has not run the request.
+/// An engine that answers with an error status has not run the request.
 serve::RunFailed refusalOf(const serve::RunToken &run, unsigned status,
                            const std::string &body) {
   ErrorKind kind = ErrorKind::ServerFailed;
@@ -49,7 +49,7 @@
   return {run, std::move(why), Outcome::NotRun};
 }
 
-/// One run's answer as it streams in. Touched by one I/O thread at a time.
+/// Response stream of one run. Used by one I/O thread at a time.
 class EngineStream {
 public:
   EngineStream(const serve::RunToken &run, const InputSink &sink)
@@ -160,7 +160,8 @@
                           start.Timeout, std::move(hooks)));
   }
 
-  /// Ends the connection too: an engine may answer a cancelled run no more.
+  /// Also closes the connection, because an engine may stop answering a
+  /// cancelled run.
   void cancel(const serve::RunToken &run) {
     control("cancel", run);
     Calls.cancel(run);
@@ -222,8 +223,8 @@
   }
 
 private:
-  /// Sends, maps a status that is no success to an error, and gives what the
-  /// reader makes of it to the sink.
+  /// Sends the request, converts a status other than 2xx to an error, and
+  /// passes the result of the reader to the sink.
   template <class Reader>
   void fetch(net::HttpRequest request, Duration timeout, Reader read) {
     Client.fetch(Init.Address, std::move(request), timeout,
--- a/src/edge/instance_list.h
+++ b/src/edge/instance_list.h
@@ -1,4 +1,4 @@
-/// The platform's list of instances, as a hook. It lags behind the truth; its
+/// The platform's list of instances, as a hook. It may be out of date; its
 /// version orders all of its changes.
 #pragma once
 
@@ -9,13 +9,13 @@
 namespace daisytack::edge {
 
 struct InstanceListResult {
-  Error Reason;                 ///< Kind None when the list answered.
-  control::InstanceDelta Delta; ///< After the version asked for.
+  Error Reason;                 ///< Kind None when the call succeeded.
+  control::InstanceDelta Delta; ///< Changes after the requested version.
 };
 
-/// Asynchronous; the result arrives on an I/O thread, exactly once.
+/// Asynchronous. The result arrives on an I/O thread, exactly once.
 struct InstanceList {
-  /// Since 0: all instances.
+  /// Polls changes after version since; 0: all instances.
   std::function<void(uint64_t since, Duration timeout,
                      std::function<void(InstanceListResult)>)>
       Poll;
--- a/src/edge/instance_list_http.h
+++ b/src/edge/instance_list_http.h
@@ -1,4 +1,4 @@
-/// Adapter to the platform's instance list over HTTP.
+/// HTTP adapter to the platform's instance list.
 #pragma once
 
 #include "edge/instance_list.h"
@@ -6,7 +6,7 @@
 
 namespace daisytack::edge {
 
-/// Hooks over the client, which must outlive them.
+/// Returns hooks that use the client, which must outlive them.
 InstanceList makeHttpInstanceList(net::HttpClient &client, Endpoint endpoint);
 
 } // namespace daisytack::edge
--- a/src/edge/json_fields.h
+++ b/src/edge/json_fields.h
@@ -1,5 +1,5 @@
-/// Reads fields of JSON objects that engines and stores answer, whatever they
-/// hold: a field that is absent or of another kind counts as empty or 0.
+/// Lenient access to fields of JSON objects in responses of engines and stores:
+/// a missing field, or one of another type, reads as empty or 0.
 #pragma once
 
 #include <boost/json/object.hpp>
@@ -11,13 +11,13 @@
 
 namespace daisytack::edge {
 
-/// Nothing when the text is not one JSON object.
+/// Returns nullopt when the text is not one JSON object.
 std::optional<boost::json::object>
 parseObject(std::string_view text, boost::json::storage_ptr memory = {});
 
 std::string textOf(const boost::json::object &object, std::string_view key);
 
-/// 0 also for a number that is negative, a fraction or too large.
+/// Also 0 for a number that is negative, fractional or too large.
 uint64_t countOf(const boost::json::object &object, std::string_view key);
 
 } // namespace daisytack::edge
--- a/src/edge/kv_budget.cpp
+++ b/src/edge/kv_budget.cpp
@@ -15,7 +15,7 @@
           "calls to the platform's service are over this process's budget"};
 }
 
-/// An asynchronous hook of the service or the list.
+/// An asynchronous hook of the key-value service or the instance list.
 template <class Argument, class Result>
 using Hook =
     std::function<void(Argument, Duration, std::function<void(Result)>)>;
--- a/src/edge/kv_budget.h
+++ b/src/edge/kv_budget.h
@@ -1,5 +1,5 @@
 /// Counts every call of a process to the platform's key-value service and
-/// instance list, and holds them to a budget.
+/// instance list, and limits their rate.
 #pragma once
 
 #include "base/metrics.h"
@@ -12,19 +12,20 @@
 
 namespace daisytack::edge {
 
-/// Token bucket. Thread-safe.
+/// Token bucket for calls. Thread-safe.
 class CallBudget {
 public:
-  /// Calls that may come at once after a pause.
+  /// Maximum number of calls in a burst.
   static constexpr double Burst = 20;
 
   CallBudget(double callsPerSecond, std::function<TimePoint()> clock,
              Metrics &metrics);
 
-  /// What a call is for: leases and writes may use up the bucket, reads leave a
-  /// quarter of it to them.
+  /// Purpose of a call. Writes, which include calls for leases, may use the
+  /// whole bucket; reads leave a quarter of it to them.
   enum class Use : uint8_t { Read, Write };
-  /// Counts the call and returns true, or returns false when it must wait.
+  /// Counts the call and returns true, or returns false when the call is over
+  /// budget.
   bool take(Use use);
   uint64_t calls() const { return Calls.get(); }
 
@@ -38,8 +39,8 @@
   TimePoint Last;
 };
 
-/// The same hooks, each call drawn from the budget. A call beyond it ends with
-/// Unavailable and BudgetSpent before the hook returns.
+/// Wraps the hooks so that each call is charged to the budget. A call over
+/// budget fails with Unavailable and BudgetSpent before the hook returns.
 KvStore withBudget(KvStore store, std::shared_ptr<CallBudget> budget);
 InstanceList withBudget(InstanceList list, std::shared_ptr<CallBudget> budget);
 
--- a/src/edge/kv_etcd.cpp
+++ b/src/edge/kv_etcd.cpp
@@ -14,7 +14,7 @@
 constexpr unsigned FirstServerError = 500;
 constexpr size_t MaxWatchLineBytes = 16U << 20;
 
-/// What every hook shares.
+/// State shared by all hooks.
 struct EtcdGateway {
   net::HttpClient &Client;
   std::vector<Endpoint> Endpoints;
@@ -42,8 +42,8 @@
   return out;
 }
 
-/// What a failed call means. Only a connection that could not be made, and an
-/// answer that rejects the request, say surely that nothing was written.
+/// Header for a failed call. Only a connection that was not established, or a
+/// response that rejects the request, proves that nothing was written.
 KvHeader callFailed(const Error &error, bool writes) {
   if (!writes || error.Kind == ErrorKind::ServiceUnavailable)
     return failed(KvStatus::Unavailable, ErrorKind::ServiceUnavailable,
@@ -62,7 +62,7 @@
 template <class Result>
 using Parser = std::optional<Result> (*)(std::string_view, Error &);
 
-/// One call: sends the text, classifies what comes back, and hands it on.
+/// Sends one request, classifies the response and passes the result on.
 template <class Result>
 void call(const EtcdGatewayPtr &gateway, std::string path, std::string body,
           Duration timeout, bool writes, Parser<Result> parse,
@@ -88,7 +88,7 @@
                         std::move(finish));
 }
 
-/// Splits a watch's stream into lines and reports them.
+/// Splits the response stream of a watch into lines and reports their changes.
 class WatchReader {
 public:
   WatchReader(EtcdGatewayPtr gateway, KvWatchHooks hooks)
--- a/src/edge/kv_etcd.h
+++ b/src/edge/kv_etcd.h
@@ -1,4 +1,4 @@
-/// Adapter to etcd's v3 JSON gateway over HTTP.
+/// HTTP adapter to etcd's v3 JSON gateway.
 #pragma once
 
 #include "edge/kv.h"
@@ -8,8 +8,8 @@
 
 namespace daisytack::edge {
 
-/// Hooks over the client, which must outlive them. The endpoints are tried in
-/// turn: a call that can't reach one makes the next call go to the next.
+/// Returns hooks that use the client, which must outlive them. When an endpoint
+/// cannot be reached, the next call uses the next endpoint in turn.
 KvStore makeEtcdStore(net::HttpClient &client, std::vector<Endpoint> endpoints);
 
 } // namespace daisytack::edge
--- a/src/edge/kv_etcd_json.cpp
+++ b/src/edge/kv_etcd_json.cpp
@@ -40,7 +40,8 @@
   return out;
 }
 
-/// 64-bit numbers are JSON strings; a field at its default is left out.
+/// Reads a 64-bit number, which is a JSON string. A missing field has its
+/// default value.
 bool readNumber(const json::object &from, std::string_view name,
                 uint64_t &out) {
   const json::value *value = from.if_contains(name);
@@ -99,7 +100,7 @@
          readNumber(*kv, "lease", out.Lease);
 }
 
-/// Applies read to each element of the named array; absent means empty.
+/// Applies read to each element of the named array; a missing array is empty.
 template <class Read>
 bool readList(const json::object &from, std::string_view name, Read read) {
   const json::value *value = from.if_contains(name);
@@ -125,7 +126,8 @@
   return std::move(value.get_object());
 }
 
-/// Parses an answer by a function that fills the result from the object.
+/// Parses a response with a function that fills the result from its JSON
+/// object.
 template <class Result, class Read>
 std::optional<Result> parseAnswer(std::string_view text, std::string_view call,
                                   Error &reason, Read read) {
@@ -138,7 +140,7 @@
   return std::nullopt;
 }
 
-/// Streams wrap each answer into {"result": ...}.
+/// Responses of streaming calls are wrapped into {"result": ...}.
 const json::object *unwrap(const json::object &from) {
   const json::value *value = from.if_contains("result");
   return value ? value->if_object() : nullptr;
@@ -322,7 +324,7 @@
         !readNumber(*result, "compact_revision", out.CompactRevision) ||
         !readList(*result, "events", readEvent))
       return false;
-    // While a watch catches up, the header runs ahead of its events.
+    // While a watch catches up, the header's revision is ahead of the events.
     if (!out.Changes.empty())
       out.Header.Revision = out.Changes.back().Entry.ModRevision;
     return true;
--- a/src/edge/run_calls.h
+++ b/src/edge/run_calls.h
@@ -1,4 +1,5 @@
-/// HTTP calls of running requests, so that a run can be cancelled by its token.
+/// HTTP calls of active runs, indexed by run token so that a run can be
+/// cancelled.
 #pragma once
 
 #include "net/http_client.h"
@@ -8,12 +9,13 @@
 
 namespace daisytack::edge {
 
-/// Thread-safe. A call may end before set() is reached, which is why begin()
-/// comes first.
+/// Thread-safe. A call may end before set() is called, which is why begin()
+/// registers the run first.
 class RunCalls {
 public:
   void begin(const serve::RunToken &run);
-  /// Ignored when the call has ended; cancelled when that was asked for.
+  /// Stores the call of a run. Ignored when the call has ended; cancels it when
+  /// cancel() was called before.
   void set(const serve::RunToken &run, net::HttpCall call);
   void remove(const serve::RunToken &run);
   void cancel(const serve::RunToken &run);
@@ -35,7 +37,8 @@
   Table Slots;
 };
 
-/// What a broken call means for its run: not run when nothing was sent.
+/// Failure of a run whose call failed: NotRun when nothing was sent, otherwise
+/// MayHaveRun.
 serve::RunFailed failureOf(const serve::RunToken &run, const Error &error);
 
 } // namespace daisytack::edge
--- a/src/edge/service_http.cpp
+++ b/src/edge/service_http.cpp
@@ -1,4 +1,4 @@
-/// The adapter to a plain service over HTTP.
+/// HTTP adapter to a plain service.
 #include "edge/run_calls.h"
 #include "edge/service.h"
 
--- a/src/edge/store.h
+++ b/src/edge/store.h
@@ -1,4 +1,4 @@
-/// The stores of kept context, as hooks.
+/// The stores of kept context, as a set of hooks.
 #pragma once
 
 #include "edge/engine.h"
@@ -7,15 +7,15 @@
 
 namespace daisytack::edge {
 
-/// Asynchronous; every CallStore is answered by exactly one StoreAnswer through
-/// the sink that the adapter was made with.
+/// Asynchronous. Every CallStore results in exactly one StoreAnswer through the
+/// sink that the adapter was created with.
 struct Stores {
   std::function<void(serve::CallStore)> Call;
   std::function<void(serve::CancelStoreCall)> Stop;
 };
 
-/// docs/PROTOCOL.md, "Store of kept context". The client must outlive the
-/// hooks.
+/// HTTP adapter to stores, see docs/PROTOCOL.md, "Store of kept context". The
+/// client must outlive the hooks.
 Stores makeHttpStores(net::HttpClient &client, std::vector<Endpoint> addresses,
                       InputSink sink);
 
--- a/src/edge/store_codec.cpp
+++ b/src/edge/store_codec.cpp
@@ -31,7 +31,7 @@
   return piecePath(key) + "/" + std::to_string(generation);
 }
 
-/// Percent-encodes everything but unreserved characters.
+/// Percent-encodes all but unreserved characters.
 std::string escapeQuery(std::string_view text) {
   constexpr std::string_view Digits = "0123456789ABCDEF";
   std::string out;
@@ -107,7 +107,7 @@
   return out;
 }
 
-/// A digest is written like a piece key: 64 hexadecimal digits.
+/// Parses a digest, which has the format of a piece key: 64 hexadecimal digits.
 std::optional<Digest256> parseDigest(std::string_view text) {
   auto key = parsePieceKey(text);
   if (!key)
--- a/src/edge/store_codec.h
+++ b/src/edge/store_codec.h
@@ -1,4 +1,4 @@
-/// HTTP and JSON of the stores' protocol. Pure.
+/// Encoding and decoding of the stores' HTTP and JSON protocol. Pure functions.
 #pragma once
 
 #include "net/http_server.h"
@@ -8,9 +8,9 @@
 
 net::HttpRequest storeRequest(const serve::StoreRequest &request);
 
-/// Reads the answer to the request; an answer that does not fit it becomes an
-/// Error: NotFound, RecordFull when the store is full, ServerFailed or
-/// ProtocolError.
+/// Decodes the response to a request. A response that does not match the
+/// request becomes an Error: NotFound, RecordFull when the store is full,
+/// ServerFailed or ProtocolError.
 serve::StoreResult storeResult(const serve::StoreRequest &request,
                                net::HttpResponse response);
 
--- a/src/edge/store_http.cpp
+++ b/src/edge/store_http.cpp
@@ -1,4 +1,4 @@
-/// The adapter to stores that speak HTTP.
+/// HTTP adapter to stores.
 #include "edge/store.h"
 #include "edge/store_codec.h"
 
--- a/tests/edge/edge_rig.h
+++ b/tests/edge/edge_rig.h
@@ -1,4 +1,4 @@
-/// A scripted HTTP server and a client of it, for tests of the adapters.
+/// A scripted HTTP server and a client of it, for tests of the HTTP adapters.
 #pragma once
 
 #include "edge/engine.h"
@@ -13,7 +13,7 @@
 
 namespace daisytack::edge::test {
 
-/// Runs the context on one thread; inputs are collected.
+/// Runs the I/O context on one thread and collects all inputs.
 class EdgeRig {
 public:
   using Handler = net::HttpHandler;
@@ -39,11 +39,11 @@
       Arrived.notify_all();
     };
   }
-  /// Holds an exchange open for as long as the rig's I/O, and no longer.
+  /// Keeps an exchange open until the rig is destroyed.
   void keep(std::shared_ptr<net::HttpExchange> exchange) {
     Kept.push_back(std::move(exchange));
   }
-  /// Waits until so many inputs have come; all of them.
+  /// Waits up to 20 s for at least n inputs and returns all inputs received.
   std::vector<serve::AgentInput> wait(size_t n) {
     std::unique_lock guard(Lock);
     Arrived.wait_for(guard, std::chrono::seconds(20),
--- a/tests/edge/engine_test.cpp
+++ b/tests/edge/engine_test.cpp
@@ -27,7 +27,7 @@
          "\"completion_tokens\":2}}\n\ndata: [DONE]\n\n";
 }
 
-/// Runs one request against a server that answers with the status and body.
+/// Runs one request against a server that responds with the status and body.
 std::vector<AgentInput> runAgainst(unsigned status, const std::string &body,
                                    size_t inputs) {
   EdgeRig rig([&](const net::HttpRequest &, const auto &exchange) {
--- a/tests/edge_kv/etcd_json_test.cpp
+++ b/tests/edge_kv/etcd_json_test.cpp
@@ -7,7 +7,7 @@
 namespace daisytack::edge {
 namespace {
 
-/// An answer of etcd 3.5's gateway, shortened.
+/// A response of etcd 3.5's gateway, shortened.
 const std::string RangeAnswer =
     R"({"header":{"cluster_id":"14841639068965178418","member_id":"1",)"
     R"("revision":"9","raft_term":"2"},"kvs":[{"key":"YQ==",)"
