--- a/examples/load.sh
+++ b/examples/load.sh
@@ -1,4 +1,4 @@
-# Sourced by examples: sends prompts until stopped; every answer must be whole or refused as not run.
+# Sourced by examples: sends prompts until stopped. Every response must be complete or refused as not run.
 load_begin() {
   load_file=$(mktemp)
   (
