--- a/src/wire/archive.h
+++ b/src/wire/archive.h
@@ -1,6 +1,7 @@
 /// cereal archives for messages: little-endian, appended to a string and read
-/// from a view. The input archive believes no length: it allocates in
-/// proportion to the bytes that are there, whatever a hostile length says.
+/// from a view. The input archive trusts no encoded length: it allocates memory
+/// in proportion to the bytes that are present, so that a hostile length cannot
+/// exhaust the memory.
 #pragma once
 
 #include "daisytack/error.h"
@@ -21,10 +22,11 @@
 
 namespace daisytack::wire {
 
-static_assert(std::endian::native == std::endian::little,
-              "messages are little-endian and copied as they lie in memory");
+static_assert(
+    std::endian::native == std::endian::little,
+    "messages are little-endian and copied from memory without conversion");
 
-/// Appends to a string.
+/// Appends the encoded values to a string.
 class OutputArchive
     : public cereal::OutputArchive<OutputArchive,
                                    cereal::AllowEmptyClassElision> {
@@ -41,8 +43,8 @@
   std::string &Out;
 };
 
-/// Reads from a view; throws cereal::Exception at the first byte that can't be
-/// part of the message.
+/// Reads values from a view. Throws cereal::Exception at the first byte that
+/// cannot be part of the message.
 class InputArchive
     : public cereal::InputArchive<InputArchive,
                                   cereal::AllowEmptyClassElision> {
@@ -77,7 +79,7 @@
   ar.loadBytes(&value, sizeof(value));
 }
 
-/// Any byte but 0 and 1 is no bool.
+/// Accepts only the bytes 0 and 1.
 inline void CEREAL_LOAD_FUNCTION_NAME(InputArchive &ar, bool &value) {
   uint8_t byte = 0;
   ar.loadBytes(&byte, sizeof(byte));
@@ -93,8 +95,8 @@
   ar.saveBytes(&n, sizeof(n));
 }
 
-/// Every element takes a byte at least, so a length beyond the bytes left is
-/// refused before anything is allocated for it.
+/// Refuses a length greater than the number of bytes left before anything is
+/// allocated for it: every element takes at least one byte.
 template <class T>
 void CEREAL_LOAD_FUNCTION_NAME(InputArchive &ar, cereal::SizeTag<T> &tag) {
   uint64_t n = 0;
@@ -115,7 +117,8 @@
   ar.loadBytes(data.data, static_cast<size_t>(data.size));
 }
 
-/// Names are not written: std::optional's own functions use them.
+/// Writes only the value. Name-value pairs occur because cereal's functions for
+/// std::optional use them.
 template <class T>
 void CEREAL_SAVE_FUNCTION_NAME(OutputArchive &ar,
                                const cereal::NameValuePair<T> &pair) {
@@ -128,8 +131,9 @@
   ar(pair.value);
 }
 
-/// Grows with the elements that were read, never with the length alone: an
-/// element in memory may be many times its smallest encoding.
+/// Grows the vector with each element that was read and does not reserve by the
+/// encoded length: an element in memory may be many times the size of its
+/// smallest encoding.
 template <class T, class A>
 std::enable_if_t<!std::is_arithmetic_v<T>>
 CEREAL_LOAD_FUNCTION_NAME(InputArchive &ar, std::vector<T, A> &out) {
@@ -140,7 +144,7 @@
     ar(out.emplace_back());
 }
 
-/// Checks the length against the bytes left for the element's own size.
+/// Refuses a length whose elements would take more than the bytes left.
 template <class T, class A>
 std::enable_if_t<std::is_arithmetic_v<T> && !std::is_same_v<T, bool>>
 CEREAL_LOAD_FUNCTION_NAME(InputArchive &ar, std::vector<T, A> &out) {
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,5 +1,5 @@
-/// Bytes of messages: a version byte, a kind byte and the message's fields in
-/// cereal's binary form, little-endian.
+/// Encoding of messages: a version byte, a kind byte, and the fields of the
+/// message in cereal's binary form, little-endian.
 #pragma once
 
 #include "daisytack/error.h"
@@ -23,8 +23,8 @@
   return out;
 }
 
-/// Sets the reason and returns nothing when the version, kind or bytes are not
-/// a message of this variant.
+/// Decodes a message of the variant. Returns nothing and sets the reason if the
+/// version, the kind or the fields are not valid for it.
 template <class Variant>
 std::optional<Variant> decode(std::string_view bytes, Error &reason);
 
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,5 +1,5 @@
 /// Messages between an entry and an agent. One TCP connection carries many
-/// requests; each message names its request and attempt, and nothing is ever
+/// requests: each message names its request and attempt, and replies are never
 /// correlated by connection.
 #pragma once
 
@@ -24,7 +24,8 @@
   }
 };
 
-/// What an agent says of itself with every answer; entries decay it with age.
+/// Load of an agent, sent with every Accepted, Refused and Finished. Entries
+/// decay a report with its age.
 struct LoadReport {
   uint64_t WaitMicros =
       0; ///< Predicted wait of a new request before its prefill starts.
@@ -39,7 +40,7 @@
   }
 };
 
-/// A header of a call to a plain service.
+/// HTTP header of a call to a plain service, or of its response.
 struct HeaderField {
   std::string Name;
   std::string Value;
@@ -47,8 +48,8 @@
   template <class Archive> void serialize(Archive &ar) { ar(Name, Value); }
 };
 
-/// The part of an offer that concerns a plain service; Method is empty for a
-/// prompt.
+/// Part of an offer that holds the call to a plain service. Method is empty for
+/// a prompt.
 struct ServiceCall {
   std::string Method;
   std::string Target; ///< Path and query below /services/<name>.
@@ -59,41 +60,42 @@
   }
 };
 
-/// Entry to agent: run this if you accept it.
+/// Entry to agent: offers a request, which the agent accepts or refuses.
 struct Offer {
   RequestId Id;
   Attempt AttemptNumber = 0;
   std::string Organisation;
-  uint32_t Weight = 1; ///< Organisation's fair share.
+  uint32_t Weight = 1; ///< Fair-share weight of the organisation.
   std::string Model;   ///< Empty for a plain service.
   std::string Version; ///< Weight version that the entry's configuration names.
   std::string Class;
   uint8_t Priority = 0;
   bool Idempotent = true;
-  std::string Ticket; ///< At-most-once ticket; empty when Idempotent.
-  uint64_t RemainingMicros =
-      0; ///< Until the deadline, when sent: relative, so clocks may differ.
-  uint64_t ReserveMicros =
-      0; ///< Of these, to be left over for a re-run elsewhere.
+  std::string Ticket;           ///< At-most-once ticket; empty when Idempotent.
+  uint64_t RemainingMicros = 0; ///< Time from sending to the deadline. It is
+                                ///< relative because clocks may differ.
+  uint64_t ReserveMicros = 0; ///< Part of RemainingMicros that is reserved for
+                              ///< another attempt on another server.
   uint32_t PromptTokens = 0;
   uint32_t MaxTokens = 0;
   bool Chat = false;       ///< Body is a chat prompt.
-  uint8_t Keep = 0;        ///< KeepRule.
-  uint64_t KeepMicros = 0; ///< How long kept context may be reused.
-  uint64_t KeptQuota = 0;  ///< Organisation's quota, bytes.
+  uint8_t Keep = 0;        ///< KeepRule of the prompt's context.
+  uint64_t KeepMicros = 0; ///< Time for which kept context may be reused.
+  uint64_t KeptQuota =
+      0; ///< Maximum bytes of kept context of the organisation.
   std::vector<PieceKey>
-      Pieces;       ///< Keys of the whole pieces of the prompt, in order.
-  std::string Body; ///< The caller's JSON (prompt) or body (plain service).
-  std::string Generated; ///< Answer text already delivered by an earlier
-                         ///< attempt, to be continued.
-  uint32_t GeneratedChunks =
-      0; ///< Chunks that text was delivered in: the first new index.
+      Pieces;       ///< Keys of the complete pieces of the prompt, in order.
+  std::string Body; ///< JSON of the caller (prompt) or body (plain service).
+  std::string Generated; ///< Answer text that an earlier attempt delivered; the
+                         ///< agent continues after it.
+  uint32_t GeneratedChunks = 0; ///< Number of chunks in which Generated was
+                                ///< delivered: index of the next chunk.
   ServiceCall Call;
-  Incarnation Process; ///< Agent process that the offer is for, as its Hello
-                       ///< says. A call that is not idempotent and has no
-                       ///< ticket runs in no other one.
-  uint64_t WaitLimitMicros = 0; ///< To be refused as overloaded when the
-                                ///< predicted wait is longer; 0 for any wait.
+  Incarnation Process; ///< Agent process that the offer is meant for, from its
+                       ///< Hello. A call that is not idempotent and has no
+                       ///< ticket runs in no other process.
+  uint64_t WaitLimitMicros = 0; ///< The agent refuses the offer as overloaded
+                                ///< if it predicts a longer wait; 0: no limit.
   bool operator==(const Offer &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Id, AttemptNumber, Organisation, Weight, Model, Version, Class, Priority,
@@ -103,12 +105,13 @@
   }
 };
 
-/// Agent to entry: the request will be run.
+/// Agent to entry: the offer was accepted and the request will run.
 struct Accepted {
   RequestId Id;
   Attempt AttemptNumber = 0;
-  uint64_t FirstTokenMicros = 0; ///< Predicted.
-  uint64_t CompletionMicros = 0; ///< Predicted, at a high percentile.
+  uint64_t FirstTokenMicros = 0; ///< Predicted time to the first token.
+  uint64_t CompletionMicros = 0; ///< Predicted time to the end of the answer,
+                                 ///< at a high percentile.
   LoadReport Load;
   bool operator==(const Accepted &) const = default;
   template <class Archive> void serialize(Archive &ar) {
@@ -116,7 +119,7 @@
   }
 };
 
-/// Agent to entry: the request was not run by this attempt, and will not be.
+/// Agent to entry: this attempt has not run the request and will not run it.
 struct Refused {
   RequestId Id;
   Attempt AttemptNumber = 0;
@@ -131,8 +134,8 @@
   }
 };
 
-/// Agent to entry: a part of the answer. Indices are consecutive from 0 over
-/// the whole answer.
+/// Agent to entry: a part of the answer. Indices count from 0 over the whole
+/// answer without gaps.
 struct Chunk {
   RequestId Id;
   Attempt AttemptNumber = 0;
@@ -145,23 +148,23 @@
   }
 };
 
-/// Agent to entry: nothing follows for this attempt.
+/// Agent to entry: the last message of this attempt.
 struct Finished {
   RequestId Id;
   Attempt AttemptNumber = 0;
   Outcome Ran = Outcome::Completed;
-  ErrorKind Kind = ErrorKind::None; ///< None when whole.
+  ErrorKind Kind = ErrorKind::None; ///< None if the answer is complete.
   std::string Detail;
   std::string FinishReason; ///< "stop" or "length".
-  uint32_t Chunks =
-      0; ///< Chunks of the whole answer: a receiver checks that it has all.
+  uint32_t Chunks = 0; ///< Number of chunks of the whole answer: a receiver
+                       ///< checks that it has all of them.
   uint32_t PromptTokens = 0;
-  uint32_t RecomputedTokens =
-      0; ///< Of the prompt, prefilled rather than reused.
+  uint32_t RecomputedTokens = 0; ///< Prompt tokens that were prefilled instead
+                                 ///< of being reused from kept context.
   uint32_t GeneratedTokens = 0;
-  uint64_t FirstTokenMicros =
-      0; ///< Measured at the agent from the offer's arrival.
-  uint16_t ServiceStatus = 0; ///< HTTP status of a plain service.
+  uint64_t FirstTokenMicros = 0; ///< Time from the arrival of the offer at the
+                                 ///< agent to the first token, as measured.
+  uint16_t ServiceStatus = 0;    ///< HTTP status of a plain service.
   std::vector<HeaderField> ServiceHeaders;
   LoadReport Load;
   bool operator==(const Finished &) const = default;
@@ -172,7 +175,8 @@
   }
 };
 
-/// Entry to agent: the caller has gone, or another attempt has won.
+/// Entry to agent: stops the attempt, because the caller has disconnected or
+/// another attempt is used instead.
 struct Cancel {
   RequestId Id;
   Attempt AttemptNumber = 0;
@@ -182,12 +186,13 @@
   }
 };
 
-/// Entry to agent: send what you hold of this answer from an index on. Answered
-/// by Chunk and Finished, or by Refused with AnswerLost.
+/// Entry to agent: requests the part of an existing answer that begins at an
+/// index. The agent replies with Chunk and Finished, or with Refused of kind
+/// AnswerLost.
 struct Resume {
   RequestId Id;
   Attempt AttemptNumber = 0;
-  std::string Organisation; ///< Must be the request's own.
+  std::string Organisation; ///< Must be the organisation of the request.
   uint32_t FromIndex = 0;
   bool operator==(const Resume &) const = default;
   template <class Archive> void serialize(Archive &ar) {
@@ -195,7 +200,7 @@
   }
 };
 
-/// Entry to agent: a ticket for one non-idempotent call (see
+/// Entry to agent: requests a ticket for one non-idempotent call (see
 /// docs/AT_MOST_ONCE.md).
 struct TicketRequest {
   RequestId Id;
@@ -207,19 +212,19 @@
   }
 };
 
-/// Agent to entry: the ticket, or why there is none.
+/// Agent to entry: the reply to a TicketRequest.
 struct TicketReply {
   RequestId Id;
-  ErrorKind Kind = ErrorKind::None;
+  ErrorKind Kind = ErrorKind::None; ///< None if a ticket was issued.
   std::string Ticket;
-  uint64_t ValidMicros = 0;
+  uint64_t ValidMicros = 0; ///< Time for which the ticket is valid.
   bool operator==(const TicketReply &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Id, Kind, Ticket, ValidMicros);
   }
 };
 
-/// Every message. The order is part of the protocol: append only.
+/// All messages. The order is part of the protocol: append only.
 using Message = std::variant<Hello, Offer, Accepted, Refused, Chunk, Finished,
                              Cancel, Resume, TicketRequest, TicketReply>;
 
--- a/src/wire/stamped.h
+++ b/src/wire/stamped.h
@@ -1,5 +1,6 @@
-/// Hybrid logical time before each message between entry and agent, so that an
-/// effect's event sorts after its cause's though clocks differ.
+/// Timestamps of the messages between entry and agent. Each message is preceded
+/// by the sender's hybrid logical time, so that the event of an effect sorts
+/// after the event of its cause even if the clocks differ.
 #pragma once
 
 #include "daisytack/event.h"
@@ -11,22 +12,23 @@
 
 namespace daisytack::wire {
 
-/// Bytes of the time before a message.
+/// Size of the timestamp in front of a message, in bytes.
 constexpr size_t TimestampBytes = 12;
 
-/// Hooks to a process's hybrid clock. Empty ones stand for time zero, which
-/// moves no clock.
+/// Access to the hybrid logical clock of a process. Without Now the timestamp
+/// is zero, which advances no clock; without Observe received timestamps are
+/// ignored.
 struct HybridClockHooks {
   std::function<HybridTime()> Now;
   std::function<void(const HybridTime &)> Observe;
 };
 
-/// The message with the present hybrid time before it.
+/// Returns the message with the current hybrid time in front of it.
 std::string prependTimestamp(const HybridClockHooks &hooks,
                              std::string_view message);
 
-/// The message without its time, which is observed; nothing with the reason
-/// when the bytes are too few.
+/// Passes the timestamp to Observe and returns the message after it. Returns
+/// nothing and sets the reason if the bytes are too short for a timestamp.
 std::optional<std::string_view> stripTimestamp(const HybridClockHooks &hooks,
                                                std::string_view bytes,
                                                Error &reason);
--- a/tests/wire/allocations.h
+++ b/tests/wire/allocations.h
@@ -1,11 +1,11 @@
-/// Counts what this test binary allocates.
+/// Counts the bytes that this test binary allocates by operator new.
 #pragma once
 
 #include <cstddef>
 
 namespace daisytack::test {
 
-/// Bytes asked of operator new by this thread since the last reset.
+/// Bytes that this thread has requested from operator new since the last reset.
 size_t allocatedBytes();
 void resetAllocatedBytes();
 
--- a/tests/wire/codec_test.cpp
+++ b/tests/wire/codec_test.cpp
@@ -1,3 +1,5 @@
+/// Guards against messages that change when encoded and decoded, and against a
+/// decoder that accepts truncated, extended or foreign bytes.
 #include "wire/codec.h"
 #include "wire/messages.h"
 
--- a/tests/wire/hostile_test.cpp
+++ b/tests/wire/hostile_test.cpp
@@ -1,4 +1,6 @@
-/// Bytes from outside must not make a decoder allocate out of proportion.
+/// Guards against a decoder that allocates memory by an encoded length instead
+/// of by the bytes received: a short message with a huge length would then
+/// exhaust the memory of the process.
 #include "allocations.h"
 #include "samples.h"
 #include "wire/codec.h"
@@ -10,12 +12,12 @@
 
 namespace {
 
-/// Elements grow by doubling, and one takes at most this many times its
-/// smallest encoding.
+/// Bound on allocated bytes per byte of the message: vectors grow by doubling,
+/// and an element in memory is several times its smallest encoding.
 constexpr size_t MaxGrowth = 16;
 constexpr size_t Slack = 4096;
 
-/// Decodes and returns the bytes that it allocated.
+/// Number of bytes that decoding the message allocates.
 size_t allocatedBy(const std::string &bytes) {
   test::resetAllocatedBytes();
   Error reason;
@@ -57,7 +59,7 @@
 }
 
 TEST(HostileBytes, ALengthThatJustFitsAllocatesInProportion) {
-  // As many headers as there are bytes left: each is 64 bytes in memory.
+  // The length fits the bytes left, but each header takes 64 bytes in memory.
   std::string whole = encode(Message(test::sampleOffer()));
   constexpr size_t Padding = 1U << 20;
   whole.append(Padding, '\xff');
--- a/tests/wire/samples.h
+++ b/tests/wire/samples.h
@@ -1,4 +1,4 @@
-/// One filled message of each kind.
+/// Sample messages, one of each kind, in the order of wire::Message.
 #pragma once
 
 #include "wire/messages.h"
--- a/tests/wire/stamped_test.cpp
+++ b/tests/wire/stamped_test.cpp
@@ -1,3 +1,6 @@
+/// Guards against events that sort in the wrong order: without the timestamp of
+/// a message, an agent whose clock is behind records an effect with an earlier
+/// time than its cause.
 #include "wire/stamped.h"
 
 #include "base/event_ring.h"
