--- a/src/runtime/command_runner.cpp
+++ b/src/runtime/command_runner.cpp
@@ -12,7 +12,7 @@
 
 using control::CommandStep;
 
-/// One running command; keeps itself alive through its pending call.
+/// Runs one command. The pending call or timer holds a reference to it.
 class Runner : public std::enable_shared_from_this<Runner> {
 public:
   Runner(Strand strand, edge::KvStore kv, control::CommandRun run,
--- a/src/runtime/control_metrics.cpp
+++ b/src/runtime/control_metrics.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Raises a counter to a total that is kept elsewhere.
+/// Raises the counter to a total that another component maintains.
 void raiseTo(Counter &counter, uint64_t total) {
   uint64_t shown = counter.get();
   if (total > shown)
--- a/src/runtime/control_metrics.h
+++ b/src/runtime/control_metrics.h
@@ -1,4 +1,4 @@
-/// Series of the control part in a process's metrics.
+/// Metrics of the configuration and membership state of a process.
 #pragma once
 
 #include "base/metrics.h"
@@ -6,14 +6,15 @@
 
 namespace daisytack::runtime {
 
-/// Looks its series up once. Not thread-safe; its owner serialises access.
+/// Looks up its gauges and counters once. Not thread-safe: the owner serialises
+/// access.
 class ControlMetrics {
 public:
   explicit ControlMetrics(Metrics &metrics);
 
-  /// Takes the latest figures.
+  /// Sets gauges and counters to the given statistics.
   void update(const ControlStats &stats);
-  /// A peer's message was refused.
+  /// Counts a refused message of a peer.
   void countRejected(ErrorKind kind);
   void countCommand(control::CommandOutcome outcome);
 
--- a/src/runtime/control_process.cpp
+++ b/src/runtime/control_process.cpp
@@ -14,14 +14,16 @@
 
 constexpr Duration MinPublishInterval{5'000};
 constexpr Duration MaxPublishInterval{1'000'000};
-/// Building snapshots takes at most one part in this many of the time.
+/// Ratio of the interval between two snapshots to the time that building one
+/// takes. It limits the share of time that is spent on building.
 constexpr int PublishIntervalFactor = 10;
 constexpr Duration TickInterval{20'000};
-/// With seeds, how long they may take before the platform is asked.
+/// Time that the seed peers have to answer before the platform is read instead.
 constexpr Duration SeedTimeout{1'500'000};
-/// Between figures for operators.
+/// Interval between updates of the statistics.
 constexpr Duration ViewInterval{1'000'000};
-/// Within the life of a signal, so that a long drain stays known.
+/// Interval at which the Leaving signal is renewed. It is shorter than the
+/// lifetime of a signal, so that peers do not forget a long drain.
 constexpr Duration RenewalInterval{60'000'000};
 
 } // namespace
@@ -88,7 +90,7 @@
 }
 
 ServiceReaderHooks ControlProcess::readerHooks() {
-  // The reader belongs to this object and is silenced before it goes.
+  // This object owns the reader and deactivates it before it is destroyed.
   ServiceReaderHooks hooks;
   hooks.ConfigWatermark = [this] { return State.config().watermark(); };
   hooks.MemberWatermark = [this] { return State.members().watermark(); };
@@ -110,7 +112,7 @@
 }
 
 PeerLinkHooks ControlProcess::peerHooks() {
-  // Called through the link, which stop() silences for good.
+  // Called by the link, whose sockets stop() closes for good.
   PeerLinkHooks hooks;
   hooks.Message = [this](const Endpoint &from,
                          const control::PeerMessage &message) {
@@ -145,7 +147,7 @@
 
 void ControlProcess::updateReader(TimePoint now) {
   if (!computeReadiness().Ready) {
-    // Seeds come first; without them, or without their answer, the platform.
+    // Without seeds, or if they have not answered in time, read the platform.
     bool waitForSeeds = !Init.Seeds.empty() && now - Started < SeedTimeout;
     Reader->setActive(!waitForSeeds);
     return;
@@ -161,7 +163,8 @@
                       known->State > MemberState::Live &&
                       OwnSignal.State == MemberState::Live;
   if (isSuperseded) {
-    // The last process of this name left; its clock may have been ahead.
+    // The previous process of this name has left. Its generation may be higher
+    // because its clock was ahead.
     OwnSignal.Generation =
         std::max(OwnSignal.Generation, known->Generation + 1);
     Gossip.say({Init.Self.Name, OwnSignal}, now);
--- a/src/runtime/control_process.h
+++ b/src/runtime/control_process.h
@@ -1,5 +1,5 @@
-/// What stands behind ControlRuntime: all state of one process's control part,
-/// on one strand.
+/// Implementation of ControlRuntime: keeps the configuration and membership
+/// state of one process on one strand.
 #pragma once
 
 #include "control/control_state.h"
@@ -17,19 +17,19 @@
 
 namespace daisytack::runtime {
 
-/// An event of the control part.
+/// Builds an event about configuration or membership.
 Event makeControlEvent(EventKind kind, ErrorKind why, std::string subject);
 
-/// Functions must be called on the strand, but for those marked.
+/// Functions must be called on the strand unless their comment says otherwise.
 class ControlProcess : public std::enable_shared_from_this<ControlProcess> {
 public:
   ControlProcess(boost::asio::io_context &io, ControlInit init,
                  const edge::KvStore &kv, const edge::InstanceList &list,
                  Metrics &metrics, EventSink events, RandomSource random);
 
-  /// From any thread, before anything else runs.
+  /// May be called from any thread, before every other function.
   bool start(Error &reason);
-  /// From any thread.
+  /// Runs the step on the strand. May be called from any thread.
   void post(std::function<void(ControlProcess &)> step);
 
   void stop();
@@ -42,19 +42,19 @@
   void requestQuota(const Endpoint &peer, const QuotaRequest &request);
   void setKeys(net::PeerKeys keys);
 
-  /// From any thread.
+  /// These four may be called from any thread.
   const Rcu<Snapshot> &snapshots() const { return Current; }
   Readiness readiness() const;
   ControlStats stats() const;
   uint16_t peerPort() const { return Peers->port(); }
 
-  /// Set before start().
+  /// Hooks, called on the strand. Set before start().
   std::function<void(std::shared_ptr<const Snapshot>)> Published;
   std::function<std::optional<QuotaGrant>(const QuotaRequest &)> QuotaRequested;
   std::function<void(const QuotaGrant &)> Granted;
 
 private:
-  /// A question how far a revision got.
+  /// A pending call of gatherInForce().
   struct Gathering {
     control::ForceGather State;
     std::function<void(control::ForceReport)> Done;
@@ -107,10 +107,10 @@
   bool ServiceReached = true;
   std::string LastServiceError;
   std::string LastPeerError;
-  std::map<uint64_t, Gathering> Gatherings; ///< By a number of their own.
+  std::map<uint64_t, Gathering> Gatherings; ///< Keyed by sequence number.
   uint64_t NextGathering = 0;
 
-  mutable std::mutex ViewLock; ///< Over View and Ready only.
+  mutable std::mutex ViewLock; ///< Guards View and Ready.
   ControlStats View;
   Readiness Ready{false, "not started"};
 };
--- a/src/runtime/control_requests.cpp
+++ b/src/runtime/control_requests.cpp
@@ -1,5 +1,5 @@
-/// Commands, and questions to peers: the parts of ControlProcess that others
-/// wait for.
+/// The parts of ControlProcess that other components wait for: commands, and
+/// requests to peers.
 #include "runtime/control_process.h"
 
 #include "base/clock.h"
--- a/src/runtime/control_runtime.h
+++ b/src/runtime/control_runtime.h
@@ -1,5 +1,6 @@
-/// The shell around src/control: keeps one process's configuration and
-/// membership up to date and publishes them as snapshots.
+/// Runs the logic of src/control with sockets and timers: keeps the
+/// configuration and membership of one process up to date and publishes them as
+/// snapshots.
 #pragma once
 
 #include "base/metrics.h"
@@ -26,17 +27,20 @@
 
 /// Settings section [control].
 struct ControlInit {
-  Member Self; ///< Peer is bound for TCP and UDP; port 0 in tests.
+  Member Self; ///< Address Peer is bound for TCP and UDP; port 0 in tests.
   Incarnation Process;
-  net::PeerKeys Keys;          ///< The first one signs.
-  std::vector<Endpoint> Seeds; ///< Peers to start from, without the platform.
-  /// Raised by operators after they restored the key-value service from an
-  /// older copy: processes of another lineage don't exchange state.
+  net::PeerKeys Keys;          ///< The first key signs.
+  std::vector<Endpoint> Seeds; ///< Peers that a starting process fetches its
+                               ///< state from, instead of the platform.
+  /// Operators raise it after they have restored the key-value service from an
+  /// older copy. Processes with different lineages exchange no state.
   uint32_t Lineage = 0;
-  double ServiceCallsPerSecond = 5; ///< Budget for calls to service and list.
-  uint64_t BytesPerSecond = 64U << 10; ///< Budget for messages to peers.
-  Duration ServiceTimeout{2'000'000};  ///< For one call.
-  Duration ListInterval{1'000'000};    ///< Between a reader's polls.
+  double ServiceCallsPerSecond = 5; ///< Maximum rate of calls to the key-value
+                                    ///< service and the instance list.
+  uint64_t BytesPerSecond = 64U << 10; ///< Maximum rate of messages to peers.
+  Duration ServiceTimeout{2'000'000};  ///< Timeout of one call.
+  Duration ListInterval{1'000'000};    ///< Interval between a reader's polls of
+                                       ///< the instance list.
   Duration AntiEntropyInterval{1'000'000};
 };
 
@@ -47,18 +51,21 @@
   bool operator==(const Readiness &) const = default;
 };
 
-/// Figures for operators and benchmarks.
+/// Statistics for operators and benchmarks.
 struct ControlStats {
-  uint64_t ConfigRevision = 0; ///< In force.
+  uint64_t ConfigRevision = 0; ///< Revision of the configuration in force.
   uint64_t MemberVersion = 0;
   size_t Objects = 0;
   size_t Members = 0;
-  bool Reader = false;        ///< This process watches the platform's service.
-  bool ServiceReached = true; ///< The last call to it was answered.
-  /// Since any reader was last answered, as far as known here: the
-  /// configuration in force was complete then. Nothing when never.
+  bool Reader = false;        ///< True while this process reads the platform.
+  bool ServiceReached = true; ///< True if the last call to them was answered.
+  /// Time since the platform last answered any reader, as far as this process
+  /// knows. At that time the configuration in force was complete. Empty if no
+  /// reader has been answered yet.
   std::optional<Duration> SinceReached;
-  size_t NotUnderstood = 0; ///< Objects that keep their last understood value.
+  /// Number of objects whose latest value this build cannot read; they keep
+  /// their last readable value.
+  size_t NotUnderstood = 0;
   uint64_t ServiceCalls = 0;
   uint64_t BytesSent = 0;
   uint64_t BytesReceived = 0;
@@ -73,43 +80,46 @@
                  EventSink events, RandomSource random);
   ~ControlRuntime();
 
-  /// Binds the peer address and begins; readiness follows.
+  /// Binds the peer address and starts. readiness() turns true later.
   bool start(Error &reason);
   void stop();
 
-  /// Never empty: before readiness it holds an empty snapshot.
+  /// Never a null pointer: the snapshot is empty until the process is ready.
   const Rcu<Snapshot> &snapshots() const;
   Readiness readiness() const;
   ControlStats stats() const;
 
-  /// Called after a snapshot was published. Set before start().
+  /// Sets the hook that is called after a snapshot was published. Call before
+  /// start().
   void onPublished(std::function<void(std::shared_ptr<const Snapshot>)> hook);
 
-  /// This process takes no new work from now on: peers learn it at once.
+  /// Announces to the peers that this process takes no new work from now on.
   void leave();
-  /// What another way has shown of an instance's own word.
+  /// Adds the signal of an instance that did not arrive by gossip, and spreads
+  /// it to the peers.
   void addSignal(const control::Signal &signal);
-  /// A request was refused with Draining by this instance.
+  /// Reports that the instance has refused a request with Draining.
   void reportDraining(const std::string &instance);
 
-  /// Runs a command against the key-value service; done is called once.
+  /// Runs a command against the key-value service. Calls done once.
   void propose(control::Command command,
                std::function<void(control::CommandResult)> done);
-  /// The peers' port, for port 0 in tests.
+  /// Port that is bound for peers; tests bind port 0.
   uint16_t peerPort() const;
-  /// The first key signs, all are accepted.
+  /// Replaces the keys. The first key signs; all of them are accepted.
   void setKeys(net::PeerKeys keys);
 
-  /// Asks the entry that allots an organisation's limits; onGrant receives the
-  /// answer, when one comes.
+  /// Sends a quota request to the entry that owns the quota of the
+  /// organisation. The hook of onGrant() receives the reply, if there is one.
   void requestQuota(const Endpoint &peer, const QuotaRequest &request);
-  /// Both are called on I/O threads, one at a time. Set before start(). Without
-  /// a grant the request stays unanswered.
+  /// Hooks for received quota requests and grants. They are called on I/O
+  /// threads, one at a time; set them before start(). No reply is sent if the
+  /// hook for quota requests returns no grant.
   void onQuotaRequest(
       std::function<std::optional<QuotaGrant>(const QuotaRequest &)> hook);
   void onGrant(std::function<void(const QuotaGrant &)> hook);
 
-  /// Asks live members which revision they have in force.
+  /// Queries live members for the revision that they have in force.
   void gatherInForce(uint64_t revision, Duration timeout,
                      std::function<void(control::ForceReport)> done);
 
--- a/src/runtime/instance_settings.h
+++ b/src/runtime/instance_settings.h
@@ -1,5 +1,5 @@
-/// Settings that every daemon reads alike: what the instance is, the keys
-/// between processes, and where the platform's services are.
+/// Settings that all daemons have in common: the instance, the keys between
+/// processes, and the addresses of the platform's services.
 #pragma once
 
 #include "base/settings.h"
@@ -12,18 +12,18 @@
 
 /// Sections [instance], [peer_keys], [control] and [platform].
 struct InstanceSettings {
-  /// Self, keys, seeds and budgets. The process's incarnation is left to the
-  /// caller.
+  /// Identity, keys, seeds and rate limits. The caller sets Process, the
+  /// incarnation.
   ControlInit Control;
   std::vector<Endpoint> KeyValue;
   Endpoint InstanceList;
 };
 
-/// Reads all of them; mistakes are collected in the settings.
+/// Reads all of these settings. Errors are collected in the Settings object.
 InstanceSettings readInstanceSettings(Settings &settings, MemberRole role);
 
-/// [peer_keys] holds lines "ID = SECRET"; [control] signing_key names the one
-/// that signs. It comes first in the result.
+/// Reads the keys of section [peer_keys], lines "ID = SECRET". The key that
+/// [control] signing_key names comes first in the result and signs.
 net::PeerKeys readPeerKeys(Settings &settings);
 
 } // namespace daisytack::runtime
--- a/src/runtime/operator_command.cpp
+++ b/src/runtime/operator_command.cpp
@@ -16,9 +16,9 @@
 namespace json = boost::json;
 using control::CommandOutcome;
 
-/// Between two questions how far a change got.
+/// Delay between two polls of the fleet for the revision in force.
 constexpr Duration InForcePollInterval{200'000};
-/// A single question to the fleet lasts at most this long.
+/// Maximum duration of one such poll.
 constexpr Duration InForcePollTimeout{1'000'000};
 constexpr unsigned HttpOk = 200;
 
@@ -51,7 +51,7 @@
           {"value", other.Value}};
 }
 
-/// Entries that may hold what the target names.
+/// Entries that may hold the requests that the target names.
 std::vector<Member> entriesFor(const query::StopTarget &target,
                                const Snapshot &snapshot) {
   std::vector<Member> out;
@@ -61,7 +61,8 @@
   return out;
 }
 
-/// Requests stopped, as another entry reports them; nothing when it doesn't.
+/// Number of stopped requests in the reply of another entry; nothing if the
+/// reply has none.
 std::optional<uint64_t> parseStoppedCount(const FleetReply &reply) {
   if (reply.Failure || reply.Response.Status != HttpOk)
     return std::nullopt;
@@ -76,10 +77,10 @@
   return out;
 }
 
-/// Sums what the entries report.
+/// Totals over the replies of the entries.
 struct StopSum {
-  uint64_t Stopped = 0;
-  size_t Silent = 0;
+  uint64_t Stopped = 0; ///< Number of stopped requests.
+  size_t Silent = 0;    ///< Number of entries without a valid reply.
 };
 
 CommandAnswer answerOf(const StopSum &sum, size_t asked) {
@@ -193,7 +194,8 @@
                                    const DoneHook &done) {
   Duration left = until - monotonicNow();
   auto timeout = std::clamp(left, Duration(1), InForcePollTimeout);
-  // Without a revision of its own, what is in force here has the change.
+  // Without a revision there was nothing to change: the configuration in force
+  // here already contains the requested state.
   uint64_t revision = answer.Revision != 0
                           ? answer.Revision
                           : Init.Control.Snapshots()->ConfigRevision;
--- a/src/runtime/operator_command.h
+++ b/src/runtime/operator_command.h
@@ -1,5 +1,5 @@
-/// Runs commands: proposes configuration changes one after the other, or stops
-/// requests over the entries concerned.
+/// Runs the commands of operators: proposes configuration changes one after the
+/// other, or stops requests on the entries that hold them.
 #pragma once
 
 #include "query/command_ast.h"
@@ -9,24 +9,28 @@
 
 namespace daisytack::runtime {
 
-/// What came of a command.
+/// Result of a command.
 struct CommandAnswer {
   control::CommandOutcome Outcome = control::CommandOutcome::Unknown;
-  Error Reason;          ///< Unless Applied or Unchanged.
-  uint64_t Revision = 0; ///< Of the last change.
+  Error Reason;          ///< Set unless Outcome is Applied or Unchanged.
+  uint64_t Revision = 0; ///< Revision of the last change; 0: none.
   std::optional<control::OtherChange> Other;
-  size_t Changes = 0; ///< Applied, of a command that makes several.
-  size_t Planned = 0;
-  std::optional<uint64_t> Stopped; ///< Requests, by a stop command.
-  std::optional<control::ForceReport>
-      InForce; ///< When the operator waits for it.
+  size_t Changes = 0; ///< Number of planned changes that are in effect; for a
+                      ///< stop command, number of entries that replied.
+  size_t Planned = 0; ///< Number of changes that the command consists of; for a
+                      ///< stop command, number of entries queried.
+  std::optional<uint64_t> Stopped; ///< Number of requests that were stopped;
+                                   ///< set for a stop command only.
+  /// Set if the operator waits for the change to be in force.
+  std::optional<control::ForceReport> InForce;
 };
 
-/// JSON text; the HTTP status that carries it is commandStatus().
+/// Body of the HTTP response, as JSON. Its status is commandStatus().
 std::string toJson(const CommandAnswer &answer);
 unsigned commandStatus(const CommandAnswer &answer);
 
-/// Thread-safe; its references outlive it and every command.
+/// Thread-safe. The referenced objects must outlive it and all running
+/// commands.
 class OperatorCommands {
 public:
   using DoneHook = std::function<void(CommandAnswer)>;
@@ -36,8 +40,9 @@
       : Io(io), Init(init), Client(client) {}
 
   void setSelf(Endpoint self) { Self = std::move(self); }
-  /// Text is the command as it was written. A wait above zero asks how far the
-  /// change got, until it is in force everywhere or the wait has passed.
+  /// Runs a command and calls done once. Text is the command as the operator
+  /// wrote it. With a wait above zero, done is called when the change is in
+  /// force on all queried members or the wait has passed.
   void run(const query::OperatorCommand &command, std::string_view text,
            const OperatorCaller &caller, Duration wait, const DoneHook &done);
 
--- a/src/runtime/operator_fleet.cpp
+++ b/src/runtime/operator_fleet.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// One round of questions; kept alive by the calls under way.
+/// Sends one request to a list of members. The calls in progress hold
+/// references to it.
 class FleetRound : public std::enable_shared_from_this<FleetRound> {
 public:
   FleetRound(net::HttpClient &client, std::vector<Member> members,
@@ -19,7 +20,8 @@
         Request(std::move(request)), Hooks(std::move(hooks)),
         EndsAt(monotonicNow() + Request.Deadline) {}
 
-  /// Starts calls while there is room; ends the round after the last reply.
+  /// Starts calls up to the concurrency limit and ends the round after the last
+  /// reply.
   void pump() {
     while (auto index = claimNext())
       send(*index);
@@ -27,7 +29,8 @@
   }
 
 private:
-  /// The next member to ask; nothing while there is no room or no need.
+  /// Index of the next member; nothing while the concurrency limit is reached,
+  /// or if no further member is to be queried.
   std::optional<size_t> claimNext() {
     std::lock_guard guard(Lock);
     bool isOver =
--- a/src/runtime/operator_fleet.h
+++ b/src/runtime/operator_fleet.h
@@ -1,5 +1,5 @@
-/// Puts one request to several processes of the fleet, a bounded number at the
-/// same time, until a deadline.
+/// Sends one HTTP request to several processes of the fleet, with a limit on
+/// concurrent calls and a common deadline.
 #pragma once
 
 #include "daisytack/objects.h"
@@ -10,29 +10,31 @@
 
 namespace daisytack::runtime {
 
-/// What each process is asked, on its operators' address.
+/// The request that each process receives at its address for operators.
 struct FleetRequest {
   net::HttpRequest Http;
-  std::function<Endpoint(const Member &)> AddressOf; ///< Of its operators.
-  size_t MaxAtOnce = 1;
-  Duration Deadline{0}; ///< For all of them together.
+  /// Returns a member's address for operators.
+  std::function<Endpoint(const Member &)> AddressOf;
+  size_t MaxAtOnce = 1; ///< Maximum number of concurrent calls.
+  Duration Deadline{0}; ///< Time limit of all calls together.
 };
 
-/// What came of one process.
+/// Reply of one process, or the failure to get one.
 struct FleetReply {
-  Error Failure; ///< Kind None: Response holds.
+  Error Failure; ///< Response is valid if the kind is None.
   net::HttpResponse Response;
 };
 
 struct FleetHooks {
-  /// Called once for each member asked, one at a time, in any order. False: no
-  /// further member needs to be asked.
+  /// Called once for each queried member, in any order, one call at a time.
+  /// Returns false if no further member needs to be queried.
   std::function<bool(size_t index, FleetReply reply)> Replied;
-  /// Called last, with the number of members asked: the first ones.
+  /// Called last, with the number of queried members. These are the first ones
+  /// of the list.
   std::function<void(size_t asked)> Done;
 };
 
-/// Asks the members in their order.
+/// Sends the request to the members in the order of the list.
 void sendToFleet(net::HttpClient &client, std::vector<Member> members,
                  FleetRequest request, FleetHooks hooks);
 
--- a/src/runtime/operator_http.h
+++ b/src/runtime/operator_http.h
@@ -1,6 +1,6 @@
-/// The operators' HTTP of a process: /metrics, /healthz, /readyz, /v1/events,
-/// /v1/query and /v1/command. Entry and agent construct one each and fill in
-/// the hooks to their data.
+/// HTTP server for operators: /metrics, /healthz, /readyz, /v1/events,
+/// /v1/query and /v1/command. Entry and agent have one each and provide the
+/// hooks to their data.
 #pragma once
 
 #include "base/event_ring.h"
@@ -25,36 +25,38 @@
 /// Settings section [operators].
 struct OperatorSettings {
   Endpoint Listen;
-  /// Added to a peer's port to find its operators' address. Listen defaults to
-  /// this process's own peer address with the offset.
+  /// Difference between the port for operators and the peer port of a process.
+  /// Listen defaults to the peer address of this process with this offset.
   uint16_t PortOffset = 1;
-  /// SHA-256 of a key that may do everything, in hexadecimal; for the first
-  /// operator account. Empty: none.
+  /// SHA-256 in hexadecimal of a key with the administrator role, which creates
+  /// the first operator account. Empty: there is no such key.
   std::string BootstrapKeyHash;
-  Duration QueryDeadline{3'000'000}; ///< For gathering over the fleet.
-  uint32_t MaxAtOnce = 32;           ///< Processes asked at the same time.
+  Duration QueryDeadline{3'000'000}; ///< Time limit of a query over the fleet.
+  uint32_t MaxAtOnce = 32; ///< Maximum number of concurrent calls for a query.
 };
 
 /// Reads [operators] listen, port_offset, bootstrap_key_sha256, query_deadline
 /// and max_at_once.
 OperatorSettings readOperatorSettings(Settings &settings, const Endpoint &peer);
 
-/// What the process shows. Called on I/O threads, at any time; each must return
-/// at once, from published snapshots. Empty functions stand for no rows.
+/// Hooks to the data of the process. They are called on I/O threads at any time
+/// and must not block: they read published snapshots. An empty function means
+/// that there are no rows.
 struct OperatorHooks {
   std::function<std::vector<query::RequestRow>()> Requests;
   std::function<std::vector<query::RefusalRow>()> Refusals;
   std::function<std::vector<query::KeptRow>()> Kept;
   std::function<std::vector<query::ServerRow>()> Servers;
-  /// Cancels what the target names in this process; returns how many requests.
+  /// Cancels the requests of this process that the target names and returns
+  /// their number.
   std::function<size_t(const query::StopTarget &)> Stop;
-  /// Reasons of the process itself for not being ready; joined with those of
-  /// the control part.
+  /// Readiness of the entry or agent itself. It is consulted after that of
+  /// OperatorControl.
   std::function<Readiness()> Ready;
 };
 
-/// Hooks to the control part, from ControlRuntime by controlHooks() or from a
-/// test.
+/// Hooks to the configuration and membership of the process. controlHooks()
+/// makes them from a ControlRuntime; tests provide their own.
 struct OperatorControl {
   std::function<std::shared_ptr<const Snapshot>()> Snapshots;
   std::function<Readiness()> Ready;
@@ -67,9 +69,10 @@
 };
 OperatorControl controlHooks(ControlRuntime &control);
 
-/// What the routes work on. References outlive the object.
+/// Settings, data and hooks of OperatorHttp. Everything that the hooks refer to
+/// must outlive it.
 struct OperatorInit {
-  std::string Instance; ///< This process's name in the instance list.
+  std::string Instance; ///< Name of this process in the instance list.
   OperatorSettings Settings;
   OperatorHooks Hooks;
   OperatorControl Control;
@@ -77,7 +80,7 @@
   RandomSource Random;
 };
 
-/// Thread-safe.
+/// Thread-safe HTTP server for operators.
 class OperatorHttp {
 public:
   OperatorHttp(boost::asio::io_context &io, OperatorInit init, Metrics &metrics,
--- a/src/runtime/operator_query.cpp
+++ b/src/runtime/operator_query.cpp
@@ -19,7 +19,8 @@
     out.Silent.push_back({std::move(name), std::move(reason)});
 }
 
-/// The answer in a reply; nothing with the reason when there is none.
+/// Parses the answer in a reply. Returns nothing and sets the reason if there
+/// is none.
 std::optional<query::Answer> answerIn(const FleetReply &reply, Error &reason) {
   reason = reply.Failure;
   if (reason)
@@ -38,13 +39,14 @@
   return error.Detail.empty() ? out : out + ": " + error.Detail;
 }
 
-/// Collects the answers of a round, and joins them in the order asked.
+/// Collects the answers of the queried members and merges them in the order of
+/// the plan.
 class AnswerMerger {
 public:
   AnswerMerger(query::Query query, const query::QueryPlan &plan)
       : Query(std::move(query)), Plan(plan), Parts(plan.Instances.size()) {}
 
-  /// False once the rows fill a page.
+  /// Returns false once the rows fill a page.
   bool addReply(size_t index, const FleetReply &reply) {
     Part &part = Parts[index];
     part.Answer = answerIn(reply, part.Reason);
@@ -52,8 +54,8 @@
     return Plan.All || RowCount < Query.Limit;
   }
 
-  /// A page ends after the instance whose rows fill it, so that none shows in
-  /// part; the next page begins after that instance.
+  /// Returns the page. It ends after the instance whose rows fill it, so that
+  /// no instance is shown in part; the next page begins after that instance.
   query::Answer finish(size_t asked) const {
     query::Answer out;
     std::vector<query::Table> tables;
@@ -72,7 +74,7 @@
   }
 
 private:
-  /// What one member answered.
+  /// Answer of one member, or the reason why there is none.
   struct Part {
     std::optional<query::Answer> Answer;
     Error Reason;
@@ -95,7 +97,7 @@
 
   query::Query Query;
   query::QueryPlan Plan;
-  std::vector<Part> Parts; ///< As many as the plan's instances.
+  std::vector<Part> Parts; ///< One for each instance of the plan.
   size_t RowCount = 0;
 };
 
@@ -105,7 +107,8 @@
   return out;
 }
 
-/// The entry that minted a request's identifier doesn't answer.
+/// Answer for the case that the entry that minted the request identifier does
+/// not reply.
 query::Answer silentEntryAnswer(const query::Query &query, const Member &entry,
                                 const Error &reason) {
   query::Answer out = emptyAnswer(query);
--- a/src/runtime/operator_query.h
+++ b/src/runtime/operator_query.h
@@ -1,4 +1,5 @@
-/// Answers queries over the fleet: plans whom to ask, gathers, merges.
+/// Answers queries over the fleet: selects the members to query, sends the
+/// query to them, and merges their answers.
 #pragma once
 
 #include "query/query_plan.h"
@@ -7,24 +8,26 @@
 
 namespace daisytack::runtime {
 
-/// Who asks, and how far the question goes.
+/// The operator who sends a query or command, and its scope.
 struct OperatorCaller {
   std::string Name;
   OperatorRole Role = OperatorRole::Viewer;
-  std::string BearerKey; ///< Passed on, so that every process checks it.
-  /// Asked by another process: only this process's own rows are wanted.
+  std::string BearerKey; ///< Forwarded to other processes, which check it.
+  /// True if the query or command came from another process and concerns only
+  /// this one.
   bool IsLocal = false;
 };
 
-/// Body of /v1/query and /v1/command for one process.
+/// Body of a request to /v1/query or /v1/command with local scope.
 std::string localBody(std::string_view text);
 
-/// A request to every process's own route, in the caller's name.
+/// Builds a request to the given path of other processes, with local scope and
+/// the bearer key of the caller.
 FleetRequest fleetRequest(const OperatorInit &init, const Endpoint &self,
                           const OperatorCaller &caller, std::string path,
                           std::string_view text);
 
-/// Thread-safe; its references outlive it and every answer.
+/// Thread-safe. The referenced objects must outlive it and all running queries.
 class OperatorQueries {
 public:
   using DoneHook = std::function<void(query::Answer)>;
@@ -33,12 +36,14 @@
                   net::HttpClient &client)
       : Init(init), View(view), Client(client) {}
 
-  /// Address under which this process's own operators' HTTP answers.
+  /// Sets the address of this process's own HTTP server for operators.
   void setSelf(Endpoint self) { Self = std::move(self); }
   void run(const query::Query &query, const OperatorCaller &caller,
            DoneHook done) const;
 
 private:
+  /// Looks up which servers the request was sent to, in the events of the entry
+  /// that minted its identifier, and queries them too.
   void gatherForRequest(const query::Query &query, const OperatorCaller &caller,
                         query::QueryPlan plan, DoneHook done) const;
   void gather(const query::Query &query, const OperatorCaller &caller,
--- a/src/runtime/operator_statement.cpp
+++ b/src/runtime/operator_statement.cpp
@@ -14,7 +14,7 @@
 constexpr uint64_t MaxEventsPerPage = 1000;
 constexpr int64_t MaxWaitMs = 60'000;
 
-/// A number in a URL's query; the fallback when it is absent or none.
+/// Number in the query of a URL; the fallback if it is absent or not a number.
 uint64_t queryParameter(std::string_view query, std::string_view name,
                         uint64_t fallback) {
   while (!query.empty()) {
--- a/src/runtime/operator_statement.h
+++ b/src/runtime/operator_statement.h
@@ -1,4 +1,4 @@
-/// Requests of the operators' HTTP as typed values, and events as JSON.
+/// Parses the requests of operators and writes events as JSON.
 #pragma once
 
 #include "base/event_ring.h"
@@ -13,20 +13,21 @@
 /// Body of /v1/query and /v1/command.
 struct Statement {
   std::string Text;
-  bool IsLocal = false; ///< Of this process alone.
-  Duration Wait{0};     ///< For a change to be in force.
+  bool IsLocal = false; ///< True if it concerns this process only.
+  Duration Wait{0}; ///< Maximum wait for a change to be in force everywhere.
 };
 
-/// Nothing with the reason when the body is none.
+/// Returns nothing and sets the reason if the body is not valid.
 std::optional<Statement> parseStatement(std::string_view body, Error &reason);
 
-/// What /v1/events is asked for.
+/// Parameters of /v1/events.
 struct EventRange {
-  uint64_t From = 0;
-  uint64_t Limit = 0;
+  uint64_t From = 0;  ///< First sequence number.
+  uint64_t Limit = 0; ///< Maximum number of events.
 };
 
-/// Reads "from=N&limit=N"; what is absent or no number takes its default.
+/// Parses "from=N&limit=N". A parameter that is absent or not a number takes
+/// its default value.
 EventRange parseEventRange(std::string_view query);
 
 std::string toJson(std::string_view instance, const EventRing::Page &page);
--- a/src/runtime/operator_view.h
+++ b/src/runtime/operator_view.h
@@ -1,4 +1,4 @@
-/// What one process answers to a query out of its own rows.
+/// Answers queries from the rows of this process.
 #pragma once
 
 #include "base/event_ring.h"
@@ -8,13 +8,14 @@
 
 namespace daisytack::runtime {
 
-/// Thread-safe; its references outlive it.
+/// Thread-safe. The referenced objects must outlive it.
 class OperatorView {
 public:
   OperatorView(const OperatorInit &init, const EventRing &events)
       : Init(init), Events(events) {}
 
-  /// The query over this process alone. Operators of a lower role see less.
+  /// Answers the query from this process alone. Operators of a lower role see
+  /// less.
   query::Answer answer(const query::Query &query, OperatorRole role) const;
 
 private:
--- a/src/runtime/peer_link.cpp
+++ b/src/runtime/peer_link.cpp
@@ -15,14 +15,18 @@
 using control::Pull;
 using control::Rumour;
 
+/// Approximate number of bytes that the IP and UDP headers and the seal add to
+/// a datagram.
 constexpr size_t DatagramOverhead = 28 + 44;
+/// Approximate number of bytes that the IP and TCP headers and the seal add to
+/// a frame.
 constexpr size_t FrameOverhead = 40 + 48;
 constexpr Duration ConnectTimeout{1'000'000};
 constexpr Duration FetchTimeout{15'000'000};
 constexpr size_t MaxFetchedBytes = 128U << 20;
 constexpr int BindAttempts = 16;
 
-/// One fetch from its start to its single end.
+/// Fetches the state of one peer. Calls done once.
 class Fetch : public std::enable_shared_from_this<Fetch> {
 public:
   Fetch(const Strand &strand, PeerLink::FetchDone done)
@@ -94,7 +98,8 @@
       Hooks(std::move(hooks)) {}
 
 bool PeerLink::start(Error &reason) {
-  // With port 0 the datagram socket's port may be taken for TCP: try others.
+  // With port 0, the port that the datagram socket gets may be in use for TCP:
+  // try again with another one.
   int attempts = Init.Listen.Port == 0 ? BindAttempts : 1;
   for (int i = 0; i < attempts; ++i)
     if (bind(reason))
@@ -103,7 +108,8 @@
 }
 
 bool PeerLink::bind(Error &reason) {
-  // The sockets belong to this object, so their hooks must not keep it alive.
+  // This object owns the sockets, so their hooks must not hold a strong
+  // reference to it.
   std::weak_ptr<PeerLink> weak = weak_from_this();
   Datagrams = std::make_unique<net::DatagramSocket>(
       Io, Init.Listen, Init.Keys, Init.Process,
@@ -186,7 +192,8 @@
 }
 
 void PeerLink::onOpened(const std::shared_ptr<net::FrameLink> &link) {
-  // A peer closes as soon as it has all; one that doesn't is cut off.
+  // A peer closes the connection when it has received everything. One that does
+  // not is disconnected after the timeout.
   auto timer = std::make_shared<net::Timer>(Executor, FetchTimeout);
   timer->async_wait(
       [timer, link](const boost::system::error_code &) { link->close(); });
--- a/src/runtime/peer_link.h
+++ b/src/runtime/peer_link.h
@@ -1,5 +1,5 @@
-/// The peers' sockets of one process: datagrams for small messages, and TCP for
-/// what does not fit one. Both use the same port number.
+/// Sockets between a process and its peers: datagrams for small messages, and
+/// TCP for state that does not fit into one. Both use the same port number.
 #pragma once
 
 #include "control/gossip.h"
@@ -22,19 +22,23 @@
   Incarnation Process;
 };
 
-/// Called on the strand.
+/// Hooks, called on the strand.
 struct PeerLinkHooks {
   std::function<void(const Endpoint &from, const control::PeerMessage &)>
       Message;
-  /// A message failed authentication, replay, length or decoding.
+  /// A message failed the check of its authentication, replay or length, or
+  /// could not be decoded.
   std::function<void(ErrorKind)> Rejected;
+  /// Returns the pages to send to a peer.
   std::function<std::vector<control::Page>(const control::Pull &)> Serve;
 };
 
-/// Every function must be called on the strand, but for start and the counters.
+/// All functions except start() and the byte counters must be called on the
+/// strand.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
-  /// Fetches that one process serves at once; others are sent elsewhere.
+  /// Maximum number of fetches that a process serves concurrently. It closes
+  /// further connections, so that the peers fetch from another process.
   static constexpr size_t MaxServedFetches = 4;
 
   PeerLink(boost::asio::io_context &io, Strand strand, PeerLinkInit init,
@@ -46,13 +50,13 @@
   void setKeys(net::PeerKeys keys);
 
   void send(const Endpoint &to, std::string payload);
-  /// Asks a peer for all above the watermarks; done is called once, on the
-  /// strand.
   using FetchDone =
       std::function<void(std::optional<control::Rumour>, const Error &)>;
+  /// Fetches all state above the watermarks from a peer. Calls done once, on
+  /// the strand.
   void fetch(const Endpoint &to, const control::Pull &pull, FetchDone done);
 
-  /// Bytes with the overhead of the seal and of IP.
+  /// Number of bytes, including the seal and the IP, UDP or TCP headers.
   uint64_t bytesSent() const { return Sent.load(); }
   uint64_t bytesReceived() const { return Received.load(); }
 
--- a/src/runtime/process.cpp
+++ b/src/runtime/process.cpp
@@ -29,18 +29,19 @@
 namespace {
 
 constexpr int64_t MaxThreads = 256;
-/// Between looks at the settings file.
+/// Interval between checks of the settings file for changes.
 constexpr std::chrono::seconds FileCheckInterval{1};
-/// Before the platform kills the process it ends by itself: its last bytes get
-/// out, and its exit code is its own.
+/// The process ends by itself this long before the platform would kill it, so
+/// that its last bytes are sent and its exit code is its own.
 constexpr Duration KillMargin{200'000};
 
-/// Settings of the frame itself.
+/// Settings section [process].
 struct ProcessSettings {
   unsigned Threads = 1;
   std::string LogLevel;
   Duration DrainTimeout{0};
-  /// The platform kills the process so long after its signal; zero: never.
+  /// Delay after its signal at which the platform kills the process; zero: it
+  /// never does.
   Duration KillAfter{0};
 };
 
@@ -58,9 +59,9 @@
   return out;
 }
 
-/// Signals that the frame handles. Held back from the start of the process
-/// until its handlers stand: by default each would end a process that is
-/// starting.
+/// Blocks or unblocks SIGTERM, SIGINT and SIGHUP. They are blocked until their
+/// handlers are installed, because by default each of them would end a process
+/// that is starting.
 void maskSignals(int how) {
   sigset_t handled;
   sigemptyset(&handled);
@@ -69,7 +70,7 @@
   pthread_sigmask(how, &handled, nullptr);
 }
 
-/// Whether the signal was sent and is held back.
+/// Whether the signal was sent and is blocked.
 bool isPending(int number) {
   sigset_t pending;
   sigemptyset(&pending);
@@ -77,10 +78,10 @@
   return sigismember(&pending, number) == 1;
 }
 
-/// Runs the context until the daemon has drained.
+/// Runs the I/O context until the daemon has drained.
 class ProcessRunner {
 public:
-  /// Built for a process that began at that time.
+  /// StartedAt: start time of the process.
   ProcessRunner(const ProcessInit &init, const ProcessSettings &settings,
                 TimePoint startedAt)
       : Init(init), Config(settings), StartedAt(startedAt),
@@ -125,7 +126,8 @@
     });
   }
 
-  /// Size and time of the settings file, as one number that changes with it.
+  /// Number that changes with the size or modification time of the settings
+  /// file.
   static uint64_t fileState() {
     struct stat info {};
     if (::stat(FLAGS_config.c_str(), &info) != 0)
@@ -136,7 +138,8 @@
            static_cast<uint64_t>(info.st_size);
   }
 
-  /// The file may also change without a signal.
+  /// Reloads the settings when their file changes, as this may happen without a
+  /// signal.
   void watchFile() {
     if (!Init.Reload)
       return;
@@ -166,12 +169,13 @@
     Init.Reload();
   }
 
-  /// When a drain that begins now ends, whatever is left.
+  /// Time limit of a drain that begins now.
   TimePoint drainEnd(TimePoint now) const {
     TimePoint end = now + Config.DrainTimeout;
     if (Config.KillAfter == Duration::zero())
       return end;
-    // A signal that was held back may have been sent when the process began.
+    // A signal that was blocked may have been sent as early as the start of the
+    // process.
     TimePoint sent = WasSignalPending ? StartedAt : now;
     return std::clamp(sent + Config.KillAfter - KillMargin, now, end);
   }
@@ -194,8 +198,10 @@
     });
   }
 
-  /// A platform may repeat its signal, and that must cut nothing off; a person
-  /// at a terminal who interrupts twice wants the process gone.
+  /// A repeated SIGTERM is ignored, because a platform may repeat its signal
+  /// and accepted work must not be cut off. SIGINT while draining ends the
+  /// process: it comes from a person at a terminal who interrupts it a second
+  /// time.
   void onRepeatedSignal(int number) {
     if (number == SIGINT)
       return stop(ExitCode::Interrupted);
@@ -219,7 +225,7 @@
   const ProcessInit &Init;
   ProcessSettings Config;
   TimePoint StartedAt;
-  bool WasSignalPending = false; ///< A signal to stop came before its handler.
+  bool WasSignalPending = false; ///< A stop signal came before its handler.
   boost::asio::io_context Io;
   boost::asio::signal_set Signals;
   boost::asio::signal_set Hangups;
@@ -276,10 +282,10 @@
   std::cout.flush();
   std::cerr.flush();
   std::fflush(nullptr);
-  // The log library's destructor waits until its four threads have ended, and
-  // they never do where the platform doesn't pass our wake-up on to threads
-  // that are older than main: entries were killed at the end of the grace
-  // period, 6 s after they had stopped in the middle.
+  // The destructor of the log library waits for the end of its four threads.
+  // Some platforms do not deliver the wake-up to threads that were started
+  // before main, so the threads never end: entries hung after they had stopped,
+  // and were killed at the end of the grace period, 6 s later.
   ::_exit(code);
 }
 
--- a/src/runtime/process.h
+++ b/src/runtime/process.h
@@ -1,11 +1,11 @@
-/// The frame of a daemon's main(): command line, settings, log, threads,
+/// Common part of the daemons' main(): command line, settings, log, threads,
 /// signals and exit code.
 ///
-/// Threads of a daemon: [process] threads run the I/O context, the main thread
-/// among them; nothing else of ours starts one. Four more, of the log library,
-/// start while the program is loaded, before main, and idle for ever: we log
-/// through no queue. The library offers no way to run without them, so nothing
-/// may wait for them; see endProcess.
+/// Threads of a daemon: as many threads as [process] threads says run the I/O
+/// context, the main thread among them; our code starts no other thread. The
+/// log library starts four threads while the program is loaded, before main.
+/// They stay idle because no log line goes through a queue. The library cannot
+/// run without them, so nothing may wait for them; see endProcess.
 #pragma once
 
 #include "base/settings.h"
@@ -20,33 +20,35 @@
 
 /// Exit codes of the daemons.
 enum class ExitCode : int {
-  Done = 0,        ///< Drained and stopped, or nothing was to be started.
+  Done = 0, ///< Drained and stopped, or --check, --help or --version succeeded.
   CommandLine = 1, ///< Unknown flag or argument.
-  Settings = 2,    ///< A mistake in the settings; all are printed.
-  Start = 3,       ///< An address can't be had, or a like cause.
+  Settings = 2,    ///< An error in the settings; all errors are printed.
+  Start = 3,       ///< For example, an address cannot be bound.
   DrainTimeout =
       4,           ///< Accepted work was cut off after [process] drain_timeout.
   Interrupted = 5, ///< SIGINT came while draining.
 };
 
-/// What one daemon adds to the frame.
+/// Name and hooks of a daemon.
 struct ProcessInit {
   std::string Name;    ///< "daisytack-entry".
   std::string Summary; ///< One sentence for --help.
-  /// Reads every setting but [process]; keeps the values for Start.
+  /// Reads all settings except section [process], and keeps the values for
+  /// Start.
   std::function<void(Settings &)> ReadSettings;
-  /// Builds the daemon over the context; false with the reason when it can't.
+  /// Builds the daemon on the I/O context. Returns false and sets the reason if
+  /// it cannot.
   std::function<bool(boost::asio::io_context &, Error &reason)> Start;
-  /// Called once on an I/O thread, after SIGTERM or SIGINT: refuses new work,
-  /// finishes what was accepted, then calls done, and tells whether accepted
-  /// work was cut off. The process ends at the given time whatever is left.
+  /// Called once on an I/O thread after SIGTERM or SIGINT. Refuses new work,
+  /// finishes accepted work, then calls done with false if accepted work was
+  /// cut off. The process stops at the given end even if work is left.
   std::function<void(TimePoint end, std::function<void(bool isWhole)> done)>
       Drain;
-  /// Called with no I/O thread left running; frees what Start built.
+  /// Called after all I/O threads have ended. Frees what Start has built.
   std::function<void()> Stop;
-  /// Called on an I/O thread after SIGHUP, and when the file has changed, with
-  /// settings that hold no mistake. ReadSettings was called with them before.
-  /// Empty: SIGHUP is ignored.
+  /// Called on an I/O thread after SIGHUP or a change of the settings file, if
+  /// the settings are valid. ReadSettings has been called with them before.
+  /// Empty: SIGHUP and changes of the file are ignored.
   std::function<void()> Reload = {};
 };
 
@@ -54,10 +56,10 @@
 /// Settings: [process] threads, log_level, drain_timeout and kill_after.
 int runProcess(int argc, char **argv, const ProcessInit &init);
 
-/// Ends the process with runProcess' result. Everything that the daemon built
-/// was freed and every log line was written before; destructors of static
-/// objects and handlers of atexit don't run, as those of a library may wait for
-/// threads that nothing can wake any more.
+/// Ends the process with the result of runProcess(), after the daemon has been
+/// freed and all log lines have been written. Destructors of static objects and
+/// atexit handlers do not run, because those of a library may wait for threads
+/// that cannot be woken up any more.
 [[noreturn]] void endProcess(int code);
 
 /// The text that --help prints.
--- a/src/runtime/process_log.cpp
+++ b/src/runtime/process_log.cpp
@@ -26,15 +26,17 @@
   return log4cplus::Logger::getInstance(loggerName());
 }
 
-/// A reader of the log that has stopped must hold up nobody: the line that says
-/// that a daemon drains would otherwise keep it from draining.
+/// Makes standard error non-blocking, so that a log reader that has stopped
+/// cannot block the daemon. Otherwise a daemon could not drain, because it
+/// would wait for its log line about draining to be written.
 void dropLinesWhenFull() {
   int flags = ::fcntl(STDERR_FILENO, F_GETFL);
   if (flags >= 0)
     ::fcntl(STDERR_FILENO, F_SETFL, flags | O_NONBLOCK);
 }
 
-/// After a line that the pipe did not take, the stream would take no other.
+/// Clears the error state of the stream first: it would otherwise drop all
+/// lines after one that could not be written because the pipe was full.
 void writeLine(log4cplus::LogLevel level, const std::string &line) {
   static std::mutex lock;
   std::lock_guard guard(lock);
@@ -62,7 +64,7 @@
 } // namespace
 
 void openLog(const std::string &name, const std::string &level) {
-  // The library can't be initialised twice in one program.
+  // The library can be initialised only once in a program.
   static log4cplus::Initializer library;
   loggerName() = name;
   dropLinesWhenFull();
--- a/src/runtime/process_usage.h
+++ b/src/runtime/process_usage.h
@@ -1,11 +1,11 @@
-/// What the operating system says this process uses.
+/// CPU time and memory of this process, as the operating system reports them.
 #pragma once
 
 #include "base/standard_metrics.h"
 
 namespace daisytack::runtime {
 
-/// Zero where the system doesn't tell.
+/// Fields are zero if the system does not report them.
 ProcessUsage processUsage();
 
 } // namespace daisytack::runtime
--- a/src/runtime/service_reader.cpp
+++ b/src/runtime/service_reader.cpp
@@ -46,7 +46,7 @@
 void ServiceReader::checkConfig() {
   edge::KvRange range{configBegin(), configEnd(), 0, 0};
   uint64_t watermark = Hooks.ConfigWatermark();
-  // Without a state the whole range is read: it is an image.
+  // Without any state the whole range is read, as an image.
   if (watermark != 0)
     range.MinModRevision = watermark + 1;
   auto self = shared_from_this();
@@ -72,8 +72,8 @@
   }
   ConfigFailures = 0;
   uint64_t watermark = Hooks.ConfigWatermark();
-  // What was read lies above the watermark at the time of the call, which has
-  // only grown since.
+  // The result holds all changes above the watermark at the time of the call.
+  // The watermark can only have grown since then.
   Hooks.Config(control::toDelta(watermark, result.Header.Revision,
                                 std::move(result.Entries)));
   startWatch();
@@ -108,7 +108,7 @@
 
 void ServiceReader::onWatched(const edge::KvHeader &header,
                               const std::vector<edge::KvChange> &changes) {
-  // A sign of progress may lag behind what a check has shown.
+  // A progress notification may be older than the result of a check.
   if (header.Revision < WatchedRevision)
     return;
   if (!Hooks.Accept(header, WatchedRevision))
@@ -123,8 +123,8 @@
   Watching = false;
   if (header.Reason)
     Hooks.CallFinished(header.Reason);
-  // Compacted or cut: the next check reads all that was missed, whatever the
-  // cause, and then watches again.
+  // The revision was compacted or the connection was lost. In both cases the
+  // next check reads all changes that were missed, and starts a new watch.
   schedule(ConfigTimer, backoff(ConfigFailures++), &ServiceReader::checkConfig);
 }
 
@@ -149,7 +149,7 @@
     return;
   }
   ListFailures = 0;
-  // A copy of the list that lags further behind than ours says nothing new.
+  // A copy of the list that is older than our state holds no new changes.
   if (result.Delta.Version >= since)
     Hooks.Members(control::toDelta(since, result.Delta));
   schedule(ListTimer, jittered(Init.ListInterval), &ServiceReader::pollList);
@@ -166,7 +166,7 @@
 }
 
 Duration ServiceReader::jittered(Duration mean) {
-  // 0.8 to 1.2 of it, so that readers don't fall into step.
+  // From 0.8 to 1.2 times the mean, so that readers do not synchronise.
   auto steps = static_cast<int64_t>(Random() % JitterSteps);
   return mean * 4 / 5 + mean * 2 / 5 * steps / JitterSteps;
 }
--- a/src/runtime/service_reader.h
+++ b/src/runtime/service_reader.h
@@ -1,5 +1,5 @@
 /// Reads the platform's services for one process: watches the configuration,
-/// polls the instance list, and hands deltas on.
+/// polls the instance list, and passes on the deltas.
 #pragma once
 
 #include "control/control_state.h"
@@ -18,26 +18,28 @@
 using Strand = boost::asio::strand<boost::asio::io_context::executor_type>;
 
 struct ServiceReaderInit {
-  Duration Timeout{2'000'000};       ///< For one call.
-  Duration ListInterval{1'000'000};  ///< Between polls of the list.
-  Duration CheckInterval{5'000'000}; ///< Between reads that show whether a
-                                     ///< silent watch is still alive.
+  Duration Timeout{2'000'000};      ///< Timeout of one call.
+  Duration ListInterval{1'000'000}; ///< Interval between polls of the list.
+  /// Interval between reads of the configuration, which find the changes that a
+  /// watch has missed if it has stopped without an error.
+  Duration CheckInterval{5'000'000};
 };
 
-/// Called on the strand.
+/// Hooks, called on the strand.
 struct ServiceReaderHooks {
   std::function<uint64_t()> ConfigWatermark;
   std::function<uint64_t()> MemberWatermark;
-  /// Whether the answer comes from the service that this process follows; its
-  /// revision must have reached the one known when the call was made.
+  /// Whether to accept an answer: it must come from the service that this
+  /// process follows, and its revision must be at least the one that was known
+  /// when the call was made.
   std::function<bool(const edge::KvHeader &, uint64_t atLeast)> Accept;
   std::function<void(const control::ReplicaDelta &)> Config;
   std::function<void(const control::ReplicaDelta &)> Members;
-  /// After each call: whether it was answered, and if not why.
+  /// Called after each call, with the reason if it was not answered.
   std::function<void(const Error &)> CallFinished;
 };
 
-/// Every function must be called on the strand.
+/// All functions must be called on the strand.
 class ServiceReader : public std::enable_shared_from_this<ServiceReader> {
 public:
   ServiceReader(Strand strand, ServiceReaderInit init, edge::KvStore kv,
@@ -71,7 +73,8 @@
   Timer ConfigTimer;
   Timer ListTimer;
   bool Active = false;
-  uint64_t Epoch = 0; ///< Raised by setActive: older answers are dropped.
+  uint64_t Epoch = 0; ///< Raised by setActive(): answers to calls of an earlier
+                      ///< epoch are dropped.
   bool Watching = false;
   uint64_t WatchEpoch = 0;
   uint64_t WatchedRevision = 0;
