--- a/src/gateway/gateway_http.cpp
+++ b/src/gateway/gateway_http.cpp
@@ -58,8 +58,8 @@
   net::HttpServerInit out;
   out.Listen = State.Options.Callers;
   out.MaxConnections = State.Options.MaxConnections;
-  out.LastRequests = State.Options.Drain.LateRequestGrace;
-  out.RefuseLate = [this](const net::HttpRequest &request) {
+  out.LateRequestGrace = State.Options.Drain.LateRequestGrace;
+  out.LateRequestResponse = [this](const net::HttpRequest &request) {
     return refuseLate(request, monotonicNow());
   };
   return out;
@@ -128,7 +128,7 @@
   State.Log.write(LogPriority::Notable, "request_while_draining",
                   {{"request", requestId},
                    {"drained_ms", drain->elapsed(now).count() / 1000},
-                   {"on_connection", request.OnConnection},
+                   {"on_connection", request.ConnectionRequestNumber},
                    {"read_ms", request.ReadTime.count() / 1000}},
                   now);
 }
--- a/src/gateway/gateway_http.h
+++ b/src/gateway/gateway_http.h
@@ -19,10 +19,10 @@
   /// Applies the configured limits for callers.
   void setLimits(const direct::CallerLimits &limits);
   /// Makes each connection end after the answer in progress on it.
-  void endConnections() { Server.endConnectionsAfterAnswers(); }
+  void endConnections() { Server.closeConnectionsAfterResponses(); }
   void refuseAfter(Duration fromNow) { Server.refuseAfter(fromNow); }
   void stopAccepting() { Server.stopAccepting(); }
-  size_t unsentAnswers() const { return Server.unsentAnswers(); }
+  size_t unsentAnswers() const { return Server.unsentResponses(); }
   size_t openConnections() const { return Server.openConnections(); }
 
 private:
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -212,7 +212,7 @@
     fields["slowest_source"] = toString(*order.SlowestSource);
   State.Log.write(LogPriority::Routine, "attempt_sent", std::move(fields), now);
   net::HttpHooks hooks;
-  hooks.IsOwn = [self = shared_from_this()](const auto &headers) {
+  hooks.MatchesRequest = [self = shared_from_this()](const auto &headers) {
     return self->State.WireProtocol.IsAnswerTo(self->Flow.request().Head,
                                                headers);
   };
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -31,7 +31,7 @@
 net::HttpClientInit backendInit() {
   net::HttpClientInit out =
       clientInit(MaxIdlePerBackend, BackendConnectTimeout);
-  out.RepeatsSafeMethods = false;
+  out.RetriesSafeMethods = false;
   return out;
 }
 
--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -32,17 +32,17 @@
 struct DatagramSocket::Impl : std::enable_shared_from_this<Impl> {
   Impl(asio::io_context &io, Endpoint listen, PeerKeys keys, Incarnation self,
        Hook hook, std::function<void(ErrorKind)> rejected)
-      : Listen(std::move(listen)), On(asio::make_strand(io)), Socket(On),
-        Seal(std::move(keys), self), Receive(std::move(hook)),
+      : Listen(std::move(listen)), Strand(asio::make_strand(io)),
+        Socket(Strand), Seal(std::move(keys), self), Receive(std::move(hook)),
         Rejected(std::move(rejected)) {}
 
   bool open(Error &reason);
   void receive();
-  void take(size_t bytes);
+  void handleDatagram(size_t bytes);
   void send(const Endpoint &to, std::string_view payload);
 
   Endpoint Listen;
-  asio::strand<asio::io_context::executor_type> On;
+  asio::strand<asio::io_context::executor_type> Strand;
   udp::socket Socket;
   DatagramSeal Seal;
   Hook Receive;
@@ -85,12 +85,12 @@
           return;
         // Other errors report that an earlier datagram was not delivered.
         if (!ec)
-          self->take(bytes);
+          self->handleDatagram(bytes);
         self->receive();
       });
 }
 
-void DatagramSocket::Impl::take(size_t bytes) {
+void DatagramSocket::Impl::handleDatagram(size_t bytes) {
   Error reason;
   std::optional<std::string_view> payload =
       Seal.open(std::string_view(Buffer.data(), bytes), reason);
@@ -118,7 +118,7 @@
                                   std::move(hook), std::move(rejected))) {}
 
 DatagramSocket::~DatagramSocket() {
-  asio::post(Self->On, [self = Self] {
+  asio::post(Self->Strand, [self = Self] {
     boost::system::error_code ignored;
     self->Socket.close(ignored);
   });
@@ -127,20 +127,20 @@
 bool DatagramSocket::start(Error &reason) {
   if (!Self->open(reason))
     return false;
-  asio::post(Self->On, [self = Self] { self->receive(); });
+  asio::post(Self->Strand, [self = Self] { self->receive(); });
   return true;
 }
 
 uint16_t DatagramSocket::port() const { return Self->Port; }
 
 void DatagramSocket::send(const Endpoint &to, std::string payload) {
-  asio::post(Self->On, [self = Self, to, payload = std::move(payload)] {
+  asio::post(Self->Strand, [self = Self, to, payload = std::move(payload)] {
     self->send(to, payload);
   });
 }
 
 void DatagramSocket::setKeys(PeerKeys keys) {
-  asio::post(Self->On, [self = Self, keys = std::move(keys)]() mutable {
+  asio::post(Self->Strand, [self = Self, keys = std::move(keys)]() mutable {
     self->Seal.setKeys(std::move(keys));
   });
 }
--- a/src/net/datagram_seal.cpp
+++ b/src/net/datagram_seal.cpp
@@ -25,7 +25,7 @@
   return out;
 }
 
-std::string macOf(const PeerKey &key, std::string_view signedBytes) {
+std::string computeMac(const PeerKey &key, std::string_view signedBytes) {
   Digest256 digest = hmacSha256(key.Secret, signedBytes);
   return {reinterpret_cast<const char *>(digest.data()), MacBytes};
 }
@@ -36,26 +36,26 @@
   auto it = Senders.find(sender);
   if (it == Senders.end()) {
     if (Senders.size() >= MaxSenders) {
-      Senders.erase(ByAge.back());
-      ByAge.pop_back();
+      Senders.erase(LruOrder.back());
+      LruOrder.pop_back();
     }
-    ByAge.push_front(sender);
-    Senders.emplace(sender, Sender{counter, 1, ByAge.begin()});
+    LruOrder.push_front(sender);
+    Senders.emplace(sender, Sender{counter, 1, LruOrder.begin()});
     return true;
   }
-  Sender &known = it->second;
-  ByAge.splice(ByAge.begin(), ByAge, known.Age);
-  if (counter > known.Highest) {
-    uint64_t ahead = counter - known.Highest;
-    known.Seen = ahead < Width ? (known.Seen << ahead) | 1U : 1U;
-    known.Highest = counter;
+  Sender &state = it->second;
+  LruOrder.splice(LruOrder.begin(), LruOrder, state.LruPosition);
+  if (counter > state.Highest) {
+    uint64_t ahead = counter - state.Highest;
+    state.Seen = ahead < Width ? (state.Seen << ahead) | 1U : 1U;
+    state.Highest = counter;
     return true;
   }
-  uint64_t behind = known.Highest - counter;
+  uint64_t behind = state.Highest - counter;
   if (behind >= Width)
     return false;
   uint64_t bit = 1ULL << behind;
-  return (std::exchange(known.Seen, known.Seen | bit) & bit) == 0;
+  return (std::exchange(state.Seen, state.Seen | bit) & bit) == 0;
 }
 
 DatagramSeal::DatagramSeal(PeerKeys keys, Incarnation self)
@@ -88,7 +88,7 @@
   putNumber(out, Self.Lo);
   putNumber(out, ++Counter);
   out += payload;
-  out += macOf(key, out);
+  out += computeMac(key, out);
   return out;
 }
 
@@ -109,7 +109,7 @@
   if (!key)
     return fail(ErrorKind::Unauthenticated, "unknown peer key");
   std::string_view signedBytes = bytes.substr(0, bytes.size() - MacBytes);
-  if (!equalConstantTime(macOf(*key, signedBytes),
+  if (!equalConstantTime(computeMac(*key, signedBytes),
                          bytes.substr(bytes.size() - MacBytes)))
     return fail(ErrorKind::Unauthenticated, "wrong HMAC of a datagram");
   std::string_view rest = signedBytes.substr(PrefixBytes + keyIdBytes);
--- a/src/net/datagram_seal.h
+++ b/src/net/datagram_seal.h
@@ -36,11 +36,11 @@
   struct Sender {
     uint64_t Highest = 0;
     uint64_t Seen = 0; ///< Bit i: Highest - i was seen.
-    std::list<Incarnation>::iterator Age;
+    std::list<Incarnation>::iterator LruPosition;
   };
   size_t MaxSenders;
   std::unordered_map<Incarnation, Sender> Senders;
-  std::list<Incarnation> ByAge; ///< The latest heard first.
+  std::list<Incarnation> LruOrder; ///< The latest heard first.
 };
 
 /// Not thread-safe.
--- a/src/net/frame_link.cpp
+++ b/src/net/frame_link.cpp
@@ -17,7 +17,7 @@
 /// A stranger that does not prove its key within this is let go.
 constexpr Duration HandshakeTimeout{5'000'000};
 /// Pause after a failed accept, for instance for want of descriptors.
-constexpr Duration AcceptRetry{50'000};
+constexpr Duration AcceptRetryDelay{50'000};
 
 } // namespace
 
@@ -34,7 +34,7 @@
 
 struct FrameServer::Impl : std::enable_shared_from_this<FrameServer::Impl> {
   Impl(asio::io_context &io, Endpoint listen, PeerKeys keys, FrameHooks hooks)
-      : Io(io), Strand(io.get_executor()), Acceptor(Strand), Retry(Strand),
+      : Io(io), Strand(io.get_executor()), Acceptor(Strand), RetryTimer(Strand),
         Listen(std::move(listen)), Keys(std::move(keys)),
         Hooks(std::move(hooks)) {}
 
@@ -68,15 +68,15 @@
                   if (!self->Acceptor.is_open())
                     return;
                   if (ec)
-                    return self->retryLater();
+                    return self->scheduleRetry();
                   self->open(std::move(socket));
                   self->accept();
                 }));
   }
 
-  void retryLater() {
-    Retry.expires_after(AcceptRetry);
-    Retry.async_wait([self = shared_from_this()](error_code ec) {
+  void scheduleRetry() {
+    RetryTimer.expires_after(AcceptRetryDelay);
+    RetryTimer.async_wait([self = shared_from_this()](error_code ec) {
       if (!ec && self->Acceptor.is_open())
         self->accept();
     });
@@ -92,7 +92,7 @@
         Io, std::move(socket), FrameRole::Acceptor, std::move(keys), Hooks);
     std::erase_if(Sessions, [](const auto &weak) { return weak.expired(); });
     Sessions.push_back(session);
-    session->accepted(HandshakeTimeout);
+    session->startAccepted(HandshakeTimeout);
   }
 
   void stopAccepting() {
@@ -111,13 +111,13 @@
   void closeAcceptor() {
     error_code ignored;
     Acceptor.close(ignored);
-    Retry.cancel();
+    RetryTimer.cancel();
   }
 
   asio::io_context &Io;
   asio::strand<asio::io_context::executor_type> Strand;
   asio::ip::tcp::acceptor Acceptor;
-  net::Timer Retry;
+  net::Timer RetryTimer;
   const Endpoint Listen;
   uint16_t Port = 0;
   std::mutex Lock;
--- a/src/net/frame_session.cpp
+++ b/src/net/frame_session.cpp
@@ -19,11 +19,11 @@
 namespace {
 
 constexpr size_t ReadChunkBytes = 64U << 10;
-constexpr size_t KeptInputBytes = 256U
-                                  << 10; ///< A larger buffer is given back.
-constexpr Duration CloseLinger{1'000'000};
+constexpr size_t MaxRetainedInputBytes =
+    256U << 10; ///< A larger buffer is given back.
+constexpr Duration CloseTimeout{1'000'000};
 /// A peer that has vanished without a word is given up after about this long.
-constexpr int DeadPeerMillis = 10'000;
+constexpr int PeerTimeoutMillis = 10'000;
 constexpr int KeepAliveSeconds = 3;
 
 const PeerKey *findKey(const PeerKeys &keys, std::string_view id) {
@@ -42,10 +42,10 @@
   setOption(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
   setOption(fd, IPPROTO_TCP, TCP_KEEPIDLE, KeepAliveSeconds);
   setOption(fd, IPPROTO_TCP, TCP_KEEPINTVL, KeepAliveSeconds);
-  setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, DeadPeerMillis);
+  setOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, PeerTimeoutMillis);
 }
 
-FrameNonce freshNonce() {
+FrameNonce randomNonce() {
   FrameNonce nonce{};
   for (size_t i = 0; i < nonce.size(); i += sizeof(uint64_t)) {
     uint64_t bits = secureRandom();
@@ -79,7 +79,7 @@
   });
 }
 
-void FrameSession::accepted(Duration timeout) {
+void FrameSession::startAccepted(Duration timeout) {
   asio::post(Strand, [self = shared_from_this(), timeout] {
     self->armDeadline(timeout, "handshake timed out");
     self->startHandshake();
@@ -102,11 +102,11 @@
   if (Keys.empty())
     return finish({ErrorKind::Unauthenticated, "no peer key is set"});
   tuneSocket(Stream.native_handle());
-  Own = {Role, freshNonce(), Keys.front().Id};
+  Own = {Role, randomNonce(), Keys.front().Id};
   std::string hello = encodeFrameHello(Own);
   appendFrameLength(Output, hello.size());
   Output.append(hello);
-  writeNow();
+  startWrite();
   readMore();
 }
 
@@ -115,7 +115,7 @@
     return;
   if (InputBegin == InputEnd) {
     InputBegin = InputEnd = 0;
-    if (Input.size() > KeptInputBytes)
+    if (Input.size() > MaxRetainedInputBytes)
       std::vector<char>().swap(Input);
   }
   if (InputBegin > 0 && Input.size() - InputEnd < ReadChunkBytes) {
@@ -138,13 +138,13 @@
 
 void FrameSession::onRead(size_t n) {
   InputEnd += n;
-  while (State != Phase::Closed && takeFrame()) {
+  while (State != Phase::Closed && processFrame()) {
   }
   readMore();
 }
 
 /// Handles one whole frame of the input; false when more bytes are needed.
-bool FrameSession::takeFrame() {
+bool FrameSession::processFrame() {
   std::string_view input(Input.data() + InputBegin, InputEnd - InputBegin);
   if (input.size() < FrameLengthBytes)
     return false;
@@ -195,7 +195,7 @@
       frameSessionKey(key->Secret, peer->Role, first, second));
   State = Phase::Proof;
   appendSigned({});
-  writeNow();
+  startWrite();
 }
 
 void FrameSession::onAuthenticated(std::string_view payload) {
@@ -207,7 +207,7 @@
   if (!payload.empty())
     return finish({ErrorKind::ProtocolError, "proof carries a payload"});
   State = Phase::Open;
-  if (!CloseWanted)
+  if (!CloseRequested)
     Deadline.cancel();
   if (Hooks.Opened)
     Hooks.Opened(shared_from_this());
@@ -219,7 +219,7 @@
   appendFrameLength(Output, payload.size());
   Output.append(payload);
   Output.append(reinterpret_cast<const char *>(mac.data()), mac.size());
-  OutputPayload += payload.size();
+  OutputPayloadBytes += payload.size();
 }
 
 void FrameSession::send(std::string frame) {
@@ -227,7 +227,7 @@
     std::lock_guard guard(QueueLock);
     if (QueueClosed || frame.size() > MaxFrameBytes)
       return;
-    Pending.fetch_add(frame.size(), std::memory_order_relaxed);
+    PendingBytes.fetch_add(frame.size(), std::memory_order_relaxed);
     Queue.push_back(std::move(frame));
     if (FlushScheduled)
       return;
@@ -254,31 +254,31 @@
     return;
   for (const std::string &frame : frames)
     appendSigned(frame);
-  writeNow();
+  startWrite();
 }
 
-void FrameSession::writeNow() {
+void FrameSession::startWrite() {
   if (WriteRunning || State == Phase::Closed)
     return;
   if (Output.empty()) {
-    if (CloseWanted)
+    if (CloseRequested)
       finish({});
     return;
   }
-  Writing.clear();
-  Writing.swap(Output);
-  WritingPayload = std::exchange(OutputPayload, 0);
+  WriteBuffer.clear();
+  WriteBuffer.swap(Output);
+  WritingPayloadBytes = std::exchange(OutputPayloadBytes, 0);
   WriteRunning = true;
   asio::async_write(
-      Stream, asio::buffer(Writing),
+      Stream, asio::buffer(WriteBuffer),
       asio::bind_executor(
           Strand, [self = shared_from_this()](error_code ec, size_t /*n*/) {
             self->WriteRunning = false;
-            self->Pending.fetch_sub(self->WritingPayload,
-                                    std::memory_order_relaxed);
+            self->PendingBytes.fetch_sub(self->WritingPayloadBytes,
+                                         std::memory_order_relaxed);
             if (ec)
               return self->finish({ErrorKind::ServerLost, ec.message()});
-            self->writeNow();
+            self->startWrite();
           }));
 }
 
@@ -292,14 +292,14 @@
       return;
     if (self->State != Phase::Open)
       return self->finish({});
-    self->CloseWanted = true;
-    self->armDeadline(CloseLinger, "peer did not take the last frames");
+    self->CloseRequested = true;
+    self->armDeadline(CloseTimeout, "peer did not take the last frames");
     self->flush();
   });
 }
 
 size_t FrameSession::pendingBytes() const {
-  return Pending.load(std::memory_order_relaxed);
+  return PendingBytes.load(std::memory_order_relaxed);
 }
 
 void FrameSession::finish(const Error &reason) {
--- a/src/net/frame_session.h
+++ b/src/net/frame_session.h
@@ -29,7 +29,7 @@
   /// Connects first, then shakes hands; both within the timeout.
   void connect(const Endpoint &to, Duration timeout);
   /// Shakes hands on a connection that was accepted.
-  void accepted(Duration timeout);
+  void startAccepted(Duration timeout);
 
   void send(std::string frame) override;
   /// Writes what was queued, waiting a moment at most, then closes.
@@ -43,11 +43,11 @@
   void startHandshake();
   void readMore();
   void onRead(size_t n);
-  bool takeFrame();
+  bool processFrame();
   void onHello(std::string_view bytes);
   void onAuthenticated(std::string_view payload);
   void flush();
-  void writeNow();
+  void startWrite();
   void finish(const Error &reason);
   void appendSigned(std::string_view payload);
   void scheduleFlush();
@@ -68,17 +68,17 @@
   size_t InputBegin = 0;
   size_t InputEnd = 0;
   std::string Output;
-  std::string Writing;
-  size_t WritingPayload = 0;
-  size_t OutputPayload = 0;
+  std::string WriteBuffer;
+  size_t WritingPayloadBytes = 0;
+  size_t OutputPayloadBytes = 0;
   bool WriteRunning = false;
-  bool CloseWanted = false;
+  bool CloseRequested = false;
 
   mutable std::mutex QueueLock;
   std::vector<std::string> Queue;
   bool FlushScheduled = false;
   bool QueueClosed = false;
-  std::atomic<size_t> Pending{0};
+  std::atomic<size_t> PendingBytes{0};
 };
 
 } // namespace daisytack::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -6,15 +6,15 @@
 
 namespace daisytack::net {
 
-bool HttpClientConnection::isFresh(BootClock::time_point now) {
-  return now < UsableUntil && probePeer(Socket) == PeerState::Quiet;
+bool HttpClientConnection::isReusable(BootClock::time_point now) {
+  return now < UsableUntil && probePeer(Socket) == PeerState::NoData;
 }
 
 std::shared_ptr<HttpClientConnection>
 HttpConnectionPool::take(const Endpoint &to) {
   auto now = BootClock::now();
   while (auto connection = takeLast(to))
-    if (connection->isFresh(now))
+    if (connection->isReusable(now))
       return connection;
   return nullptr;
 }
@@ -96,22 +96,24 @@
     HttpResponse Response;
     bool TooLarge = false;
   };
-  auto all = std::make_shared<Collector>();
+  auto collector = std::make_shared<Collector>();
   HttpHooks hooks;
-  hooks.Head = [all](unsigned status, const std::vector<HttpHeader> &headers) {
-    all->Response.Status = status;
-    all->Response.Headers = headers;
+  hooks.Head = [collector](unsigned status,
+                           const std::vector<HttpHeader> &headers) {
+    collector->Response.Status = status;
+    collector->Response.Headers = headers;
   };
-  size_t most = Self->Init.MaxResponseBodyBytes;
-  hooks.Data = [all, most](std::string_view data) {
-    all->TooLarge |= all->Response.Body.size() + data.size() > most;
-    if (!all->TooLarge)
-      all->Response.Body.append(data);
+  size_t maxBytes = Self->Init.MaxResponseBodyBytes;
+  hooks.Data = [collector, maxBytes](std::string_view data) {
+    collector->TooLarge |=
+        collector->Response.Body.size() + data.size() > maxBytes;
+    if (!collector->TooLarge)
+      collector->Response.Body.append(data);
   };
-  hooks.Done = [all, done = std::move(done)](const Error &error) {
-    if (all->TooLarge)
+  hooks.Done = [collector, done = std::move(done)](const Error &error) {
+    if (collector->TooLarge)
       return done({ErrorKind::ProtocolError, "the response is too large"}, {});
-    done(error, error ? HttpResponse{} : std::move(all->Response));
+    done(error, error ? HttpResponse{} : std::move(collector->Response));
   };
   return call(to, std::move(request), timeout, std::move(hooks));
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -10,7 +10,7 @@
 struct HttpHooks {
   /// Whether a response belongs to this request. One that does not is read and
   /// dropped, and the next one on the connection counts. Empty: every one does.
-  std::function<bool(const std::vector<HttpHeader> &headers)> IsOwn;
+  std::function<bool(const std::vector<HttpHeader> &headers)> MatchesRequest;
   std::function<void(unsigned status, const std::vector<HttpHeader> &headers)>
       Head;
   std::function<void(std::string_view data)> Data;
@@ -47,7 +47,7 @@
   /// Whether a GET or HEAD that was sent over a stale connection is sent once
   /// more by itself. Not where its sender must know that it may have run: the
   /// second answer says nothing of the first.
-  bool RepeatsSafeMethods = true;
+  bool RetriesSafeMethods = true;
 };
 
 /// Thread-safe.
--- a/src/net/http_client_call.cpp
+++ b/src/net/http_client_call.cpp
@@ -42,7 +42,7 @@
 }
 
 /// Whether the response's length can be read in one way only (RFC 9112, 6.3).
-bool isFramingSound(const http::response<http::buffer_body> &message) {
+bool isFramingValid(const http::response<http::buffer_body> &message) {
   size_t lengths = message.count(http::field::content_length);
   size_t codings = message.count(http::field::transfer_encoding);
   if (lengths > 1 || codings > 1 || (lengths == 1 && codings == 1))
@@ -68,16 +68,16 @@
                                HttpHooks hooks)
     : Io(io), Init(init), Pool(std::move(pool)), To(std::move(to)),
       Message(toMessage(To, std::move(request))), Hooks(std::move(hooks)),
-      Order(asio::make_strand(io)), Timer(Order) {}
+      CallStrand(asio::make_strand(io)), Timer(CallStrand) {}
 
 void HttpClientCall::start(Duration timeout) {
   if (timeout > Duration::zero())
     Deadline = BootClock::now() + timeout;
-  asio::post(Order, [self = shared_from_this()] { self->begin(); });
+  asio::post(CallStrand, [self = shared_from_this()] { self->begin(); });
 }
 
 void HttpClientCall::cancel() {
-  asio::post(Order, [self = shared_from_this()] {
+  asio::post(CallStrand, [self = shared_from_this()] {
     Error error{ErrorKind::Cancelled, "cancelled"};
     self->finish(error);
   });
@@ -100,20 +100,20 @@
   Connection = std::make_shared<HttpClientConnection>(Io);
   tcp::endpoint address;
   if (!toTcp(To, address))
-    return failed(asio::error::invalid_argument, "address");
+    return fail(asio::error::invalid_argument, "address");
   armTimer(Init.ConnectTimeout);
   Connection->Socket.async_connect(
-      address,
-      asio::bind_executor(Order, [self = shared_from_this()](ErrorCode ec) {
-        self->onConnected(ec);
-      }));
+      address, asio::bind_executor(CallStrand,
+                                   [self = shared_from_this()](ErrorCode ec) {
+                                     self->onConnected(ec);
+                                   }));
 }
 
 void HttpClientCall::onConnected(ErrorCode ec) {
   if (Finished)
     return;
   if (ec)
-    return failed(ec, "connect");
+    return fail(ec, "connect");
   tuneSocket(Connection->Socket);
   if (Deadline)
     armTimer(Duration::max());
@@ -123,15 +123,16 @@
 }
 
 void HttpClientCall::send() {
-  MaySend = true;
+  MayHaveSent = true;
   IsSent = false;
-  if (Message.body().size() > MostBytesBeforeRead)
+  if (Message.body().size() > MaxBytesBeforeRead)
     readHead();
-  http::async_write(Connection->Socket, Message,
-                    asio::bind_executor(Order, [self = shared_from_this()](
-                                                   ErrorCode ec, size_t n) {
-                      self->onSent(ec, n);
-                    }));
+  http::async_write(
+      Connection->Socket, Message,
+      asio::bind_executor(CallStrand,
+                          [self = shared_from_this()](ErrorCode ec, size_t n) {
+                            self->onSent(ec, n);
+                          }));
 }
 
 void HttpClientCall::onSent(ErrorCode ec, size_t n) {
@@ -139,10 +140,10 @@
     return;
   IsSent = !ec;
   if (ec && n == 0 && !IsReading) {
-    MaySend = false;
-    if (startAgain())
+    MayHaveSent = false;
+    if (retryOnNewConnection())
       return;
-    return failed(ec, "send");
+    return fail(ec, "send");
   }
   // A server may answer before it has read everything, and then close.
   if (!IsReading)
@@ -157,7 +158,7 @@
   Response->skip(Message.method() == http::verb::head);
   http::async_read_header(
       Connection->Socket, Connection->Buffer, *Response,
-      asio::bind_executor(Order,
+      asio::bind_executor(CallStrand,
                           [self = shared_from_this()](ErrorCode ec, size_t n) {
                             self->AnyReceived |= n > 0;
                             self->onHead(ec);
@@ -168,25 +169,25 @@
   if (Finished)
     return;
   if (ec) {
-    bool mayRepeat = Init.RepeatsSafeMethods && isSafe(Message.method());
-    if (!AnyReceived && mayRepeat && startAgain())
+    bool mayRetry = Init.RetriesSafeMethods && isSafe(Message.method());
+    if (!AnyReceived && mayRetry && retryOnNewConnection())
       return;
-    return failed(ec, "response");
+    return fail(ec, "response");
   }
   if (Response->get().result() == http::status::continue_)
     return readHead();
-  if (!isFramingSound(Response->get()))
+  if (!isFramingValid(Response->get()))
     return finish({ErrorKind::ProtocolError,
                    toString(To) + ": a response of ambiguous length"});
   std::vector<HttpHeader> headers = headersOf(Response->get().base());
-  IsForeign = Hooks.IsOwn && !Hooks.IsOwn(headers);
-  if (!IsForeign && Hooks.Head)
+  IgnoresResponse = Hooks.MatchesRequest && !Hooks.MatchesRequest(headers);
+  if (!IgnoresResponse && Hooks.Head)
     Hooks.Head(Response->get().result_int(), headers);
   if (Finished)
     return;
   if (Response->is_done())
-    return onWhole();
-  ReadBuffer.resize(FirstReadBytes);
+    return onResponseComplete();
+  ReadBuffer.resize(InitialReadBytes);
   readBody();
 }
 
@@ -194,64 +195,65 @@
   Response->get().body().data = ReadBuffer.data();
   Response->get().body().size = ReadBuffer.size();
   Response->get().body().more = true;
-  http::async_read_some(Connection->Socket, Connection->Buffer, *Response,
-                        asio::bind_executor(Order, [self = shared_from_this()](
-                                                       ErrorCode ec, size_t) {
-                          self->onBody(ec);
-                        }));
+  http::async_read_some(
+      Connection->Socket, Connection->Buffer, *Response,
+      asio::bind_executor(CallStrand,
+                          [self = shared_from_this()](ErrorCode ec, size_t) {
+                            self->onBody(ec);
+                          }));
 }
 
 void HttpClientCall::onBody(ErrorCode ec) {
   if (Finished)
     return;
   size_t n = ReadBuffer.size() - Response->get().body().size;
-  if (n > 0 && Hooks.Data && !IsForeign)
+  if (n > 0 && Hooks.Data && !IgnoresResponse)
     Hooks.Data(std::string_view(ReadBuffer.data(), n));
   if (Finished)
     return;
   if (ec == http::error::need_buffer)
     ec = {};
   if (ec)
-    return failed(ec, "response");
+    return fail(ec, "response");
   if (Response->is_done())
-    return onWhole();
-  if (n == ReadBuffer.size() && n < MostReadBytes)
+    return onResponseComplete();
+  if (n == ReadBuffer.size() && n < MaxReadBytes)
     ReadBuffer.resize(2 * n);
   readBody();
 }
 
-bool HttpClientCall::startAgain() {
+bool HttpClientCall::retryOnNewConnection() {
   if (!Reused || AnyReceived)
     return false;
   ErrorCode ignored;
   Connection->Socket.close(ignored);
-  MaySend = false;
+  MayHaveSent = false;
   IsReading = false;
   connect();
   return true;
 }
 
-void HttpClientCall::onWhole() {
-  if (!IsForeign)
+void HttpClientCall::onResponseComplete() {
+  if (!IgnoresResponse)
     return complete();
   if (!Response->keep_alive())
-    return failed(asio::error::eof, "response");
+    return fail(asio::error::eof, "response");
   readHead();
 }
 
-Duration HttpClientCall::idleTime() const {
-  Duration longest = HttpClientConnection::MaxIdleAge;
+Duration HttpClientCall::idleTimeout() const {
+  Duration timeout = HttpClientConnection::MaxIdleTime;
   std::string_view text = Response->get()[http::field::keep_alive];
   constexpr std::string_view Name = "timeout=";
   size_t at = text.find(Name);
   if (at == std::string_view::npos)
-    return longest;
+    return timeout;
   int64_t seconds = 0;
   std::string_view digits = text.substr(at + Name.size());
   if (std::from_chars(digits.data(), digits.data() + digits.size(), seconds)
           .ec != std::errc())
-    return longest;
-  return std::min<Duration>(longest, std::chrono::seconds(seconds)) -
+    return timeout;
+  return std::min<Duration>(timeout, std::chrono::seconds(seconds)) -
          Init.KeepAliveMargin;
 }
 
@@ -259,26 +261,26 @@
   bool mayReuse = IsSent && Response->keep_alive() && !Response->need_eof() &&
                   Connection->Buffer.size() == 0;
   if (mayReuse) {
-    Connection->UsableUntil = BootClock::now() + idleTime();
+    Connection->UsableUntil = BootClock::now() + idleTimeout();
     Pool->put(To, std::exchange(Connection, nullptr));
   }
   finish({});
 }
 
-void HttpClientCall::failed(ErrorCode ec, const char *what) {
+void HttpClientCall::fail(ErrorCode ec, const char *what) {
   std::string detail = toString(To) + ": " + what + ": " + ec.message();
   bool malformed =
       ec.category() ==
           http::make_error_code(http::error::end_of_stream).category() &&
       ec != http::error::end_of_stream && ec != http::error::partial_message;
-  if (!MaySend)
+  if (!MayHaveSent)
     return finish({ErrorKind::ServiceUnavailable, std::move(detail)});
   finish({malformed ? ErrorKind::ProtocolError : ErrorKind::ServerLost,
           std::move(detail)});
 }
 
-void HttpClientCall::expired() {
-  if (!MaySend)
+void HttpClientCall::onTimeout() {
+  if (!MayHaveSent)
     return finish(
         {ErrorKind::ServiceUnavailable, toString(To) + ": no connection"});
   finish({ErrorKind::DeadlinePassed, toString(To) + ": no answer in time"});
@@ -305,7 +307,7 @@
   Timer.async_wait([weak = weak_from_this()](ErrorCode ec) {
     auto self = weak.lock();
     if (self && !ec && BootClock::now() >= self->Timer.expiry())
-      self->expired();
+      self->onTimeout();
   });
 }
 
--- a/src/net/http_client_call.h
+++ b/src/net/http_client_call.h
@@ -27,10 +27,10 @@
       : Socket(asio::make_strand(io)) {}
 
   /// Idle time when the peer names none.
-  static constexpr std::chrono::seconds MaxIdleAge{20};
+  static constexpr std::chrono::seconds MaxIdleTime{20};
   /// False when the peer has closed it, sent something unasked, or it has been
   /// idle for so long that the peer may be about to.
-  bool isFresh(BootClock::time_point now);
+  bool isReusable(BootClock::time_point now);
 
   StrandSocket Socket;
   boost::beast::flat_buffer Buffer;
@@ -74,11 +74,11 @@
   using Parser = http::response_parser<http::buffer_body>;
   /// A body's reads start small, since a token's chunk is, and grow while they
   /// are filled.
-  static constexpr size_t FirstReadBytes = 1U << 10;
-  static constexpr size_t MostReadBytes = 64U << 10;
+  static constexpr size_t InitialReadBytes = 1U << 10;
+  static constexpr size_t MaxReadBytes = 64U << 10;
   /// A longer request is sent while its response is awaited, as a server may
   /// answer before it has read everything.
-  static constexpr size_t MostBytesBeforeRead = 16U << 10;
+  static constexpr size_t MaxBytesBeforeRead = 16U << 10;
 
   void begin();
   void connect();
@@ -91,14 +91,14 @@
   void onBody(ErrorCode ec);
   /// The response is whole: ends the call, or reads on after one that belongs
   /// to another request.
-  void onWhole();
+  void onResponseComplete();
   /// How long the connection may stay idle, by the response's Keep-Alive.
-  Duration idleTime() const;
+  Duration idleTimeout() const;
   /// Takes a new connection after a stale one; false when that isn't allowed.
-  bool startAgain();
+  bool retryOnNewConnection();
   void complete();
-  void failed(ErrorCode ec, const char *what);
-  void expired();
+  void fail(ErrorCode ec, const char *what);
+  void onTimeout();
   void finish(const Error &error);
   void armTimer(Duration after);
 
@@ -108,18 +108,19 @@
   Endpoint To;
   Request Message;
   HttpHooks Hooks;
-  Strand Order; ///< Runs begin, cancel and the timer, and all I/O handlers.
+  Strand
+      CallStrand; ///< Runs begin, cancel and the timer, and all I/O handlers.
   StrandTimer Timer;
   std::optional<BootClock::time_point> Deadline;
   std::shared_ptr<HttpClientConnection> Connection;
   std::optional<Parser> Response;
   std::vector<char> ReadBuffer;
   bool Reused = false;
-  bool MaySend = false; ///< Some byte of the request may have been sent.
+  bool MayHaveSent = false; ///< Some byte of the request may have been sent.
   bool AnyReceived = false;
   bool IsSent = false; ///< The whole request was given to the socket.
   bool IsReading = false;
-  bool IsForeign = false; ///< The response read now is another request's.
+  bool IgnoresResponse = false; ///< The response read now is another request's.
   bool Finished = false;
 };
 
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -13,7 +13,8 @@
 
 namespace {
 
-constexpr size_t KeptBufferBytes = 4096; ///< More is freed between requests.
+constexpr size_t MaxRetainedBufferBytes =
+    4096; ///< More is freed between requests.
 constexpr std::string_view HeaderEnd = "\r\n\r\n";
 constexpr size_t HeaderReadBytes = 4096; ///< Read at once.
 constexpr unsigned HttpVersion11 = 11;
@@ -33,12 +34,12 @@
 /// Whether the message's length can be read in one way only (RFC 9112, 6.3),
 /// and its target host is named once (3.2): anything else could hide a second
 /// request from one of two readers.
-bool isFramingSound(const http::request<http::string_body> &message) {
+bool isFramingValid(const http::request<http::string_body> &message) {
   size_t lengths = message.count(http::field::content_length);
   size_t codings = message.count(http::field::transfer_encoding);
   size_t hosts = message.count(http::field::host);
-  bool isModern = message.version() >= HttpVersion11;
-  if (hosts > 1 || (isModern && hosts == 0))
+  bool isHttp11 = message.version() >= HttpVersion11;
+  if (hosts > 1 || (isHttp11 && hosts == 0))
     return false;
   if (lengths > 1 || codings > 1 || (lengths == 1 && codings == 1))
     return false;
@@ -46,7 +47,7 @@
     return isDigits(message[http::field::content_length]);
   if (codings == 0)
     return true;
-  return isModern && boost::beast::iequals(
+  return isHttp11 && boost::beast::iequals(
                          message[http::field::transfer_encoding], "chunked");
 }
 
@@ -110,20 +111,21 @@
 } // namespace
 
 void HttpServerShared::refuseAfter(BootClock::time_point time) {
-  BootClock::time_point known = HandlesUntil.load();
-  while (time < known && !HandlesUntil.compare_exchange_weak(known, time)) {
+  BootClock::time_point known = HandleDeadline.load();
+  while (time < known && !HandleDeadline.compare_exchange_weak(known, time)) {
   }
 }
 
-HttpResponse HttpServerShared::refuseLate(const HttpRequest &request) const {
-  if (Init.RefuseLate)
-    return Init.RefuseLate(request);
+HttpResponse
+HttpServerShared::lateRequestResponse(const HttpRequest &request) const {
+  if (Init.LateRequestResponse)
+    return Init.LateRequestResponse(request);
   return problemResponse({ErrorKind::Draining, "this process is stopping"},
                          Outcome::NotRun, RequestId{});
 }
 
-Duration HttpServerShared::idleTime() const {
-  return Stopping ? Init.LastRequests : limits()->IdleTimeout;
+Duration HttpServerShared::idleTimeout() const {
+  return Stopping ? Init.LateRequestGrace : limits()->IdleTimeout;
 }
 
 std::vector<std::shared_ptr<HttpConnection>> HttpServerShared::connections() {
@@ -139,13 +141,13 @@
                                std::shared_ptr<HttpServerShared> shared)
     : Socket(std::move(socket)), Timer(Socket.get_executor()),
       Shared(std::move(shared)) {
-  Shared->Open.fetch_add(1);
+  Shared->OpenConnections.fetch_add(1);
 }
 
 HttpConnection::~HttpConnection() {
   std::lock_guard guard(Shared->Lock);
   Shared->Connections.erase(this);
-  Shared->Open.fetch_sub(1);
+  Shared->OpenConnections.fetch_sub(1);
 }
 
 void HttpConnection::start() {
@@ -156,15 +158,15 @@
   tuneSocket(Socket);
   asio::dispatch(Socket.get_executor(), [self = shared_from_this()] {
     self->IdleSince = BootClock::now();
-    self->setDeadline(self->Shared->idleTime());
+    self->setDeadline(self->Shared->idleTimeout());
     self->waitReadable();
   });
 }
 
 void HttpConnection::closeWhenIdle() {
   asio::post(Socket.get_executor(), [self = shared_from_this()] {
-    if (self->Now == State::Idle)
-      self->setDeadline(self->Shared->idleTime());
+    if (self->CurrentState == State::Idle)
+      self->setDeadline(self->Shared->idleTimeout());
   });
 }
 
@@ -174,7 +176,7 @@
 }
 
 void HttpConnection::waitReadable() {
-  if (std::exchange(Waiting, true))
+  if (std::exchange(WaitingReadable, true))
     return;
   Socket.async_wait(
       StrandSocket::wait_read,
@@ -182,28 +184,28 @@
 }
 
 void HttpConnection::onReadable(ErrorCode ec) {
-  Waiting = false;
-  if (Now == State::Closed)
+  WaitingReadable = false;
+  if (CurrentState == State::Closed)
     return;
   if (ec)
     return close();
-  if (Now == State::Idle)
+  if (CurrentState == State::Idle)
     return startRequest();
-  if (Now != State::Answering)
+  if (CurrentState != State::Responding)
     return;
   switch (probePeer(Socket)) {
-  case PeerState::Quiet:
+  case PeerState::NoData:
     return waitReadable();
   case PeerState::HasData:
     Pipelined = true;
     return;
   case PeerState::Closed:
-    return peerHalfClosed();
+    return onPeerHalfClosed();
   }
 }
 
 void HttpConnection::startRequest() {
-  Now = State::Reading;
+  CurrentState = State::Reading;
   ReadingSince = BootClock::now();
   TimedOut = false;
   Pipelined = false;
@@ -212,10 +214,10 @@
   Input = std::make_unique<Parser>();
   Input->header_limit(static_cast<uint32_t>(limits->MaxHeaderBytes));
   Input->body_limit(limits->MaxBodyBytes);
-  takeHeader();
+  parseHeader();
 }
 
-void HttpConnection::takeHeader() {
+void HttpConnection::parseHeader() {
   std::string_view received(static_cast<const char *>(Buffer.data().data()),
                             Buffer.size());
   size_t limit = Shared->limits()->MaxHeaderBytes;
@@ -234,10 +236,10 @@
   Socket.async_read_some(Buffer.prepare(HeaderReadBytes),
                          [self = shared_from_this()](ErrorCode ec, size_t n) {
                            self->Buffer.commit(n);
-                           if (self->Now != State::Reading)
+                           if (self->CurrentState != State::Reading)
                              return;
                            if (!ec && !self->TimedOut)
-                             return self->takeHeader();
+                             return self->parseHeader();
                            bool atStart = self->Buffer.size() == 0;
                            if (ec == asio::error::eof)
                              ec = atStart ? http::error::end_of_stream
@@ -247,13 +249,13 @@
 }
 
 void HttpConnection::onHeader(ErrorCode ec) {
-  if (Now != State::Reading)
+  if (CurrentState != State::Reading)
     return;
   if (ec == http::error::end_of_stream)
     return close();
   if (ec || TimedOut)
     return rejectInput(ec);
-  if (!isFramingSound(Input->get()))
+  if (!isFramingValid(Input->get()))
     return rejectInput(http::error::bad_transfer_encoding);
   setDeadline(Shared->limits()->BodyTimeout);
   std::string_view expect = Input->get()[http::field::expect];
@@ -274,7 +276,7 @@
 }
 
 void HttpConnection::onBody(ErrorCode ec) {
-  if (Now != State::Reading)
+  if (CurrentState != State::Reading)
     return;
   if (ec || TimedOut)
     return rejectInput(ec);
@@ -294,30 +296,30 @@
     serial = ++Serial;
     Ended = HeadSent = KeepAlive = IsHead = false;
   }
-  Now = State::Draining;
-  setDeadline(DiscardTime);
+  CurrentState = State::Draining;
+  setDeadline(DiscardTimeout);
   respond(serial, problemResponse(error, Outcome::NotRun, RequestId{}));
 }
 
 void HttpConnection::handleRequest() {
-  Now = State::Answering;
-  Shared->Answering.fetch_add(1);
+  CurrentState = State::Responding;
+  Shared->UnsentResponses.fetch_add(1);
   Deadline = BootClock::time_point::max();
   uint64_t serial = 0;
   {
     std::lock_guard guard(Lock);
     serial = ++Serial;
     Ended = HeadSent = false;
-    KeepAlive = Input->keep_alive() && !isLastAnswer();
+    KeepAlive = Input->keep_alive() && !closesAfterResponse();
     IsHead = Input->get().method() == http::verb::head;
-    IsOld = Input->get().version() < 11;
+    IsHttp10 = Input->get().version() < 11;
   }
   HttpRequest request = toRequest(Input->release());
-  request.OnConnection = ++Handled;
+  request.ConnectionRequestNumber = ++HandledRequests;
   request.ReadTime =
       std::chrono::duration_cast<Duration>(BootClock::now() - ReadingSince);
   Input.reset();
-  if (Buffer.size() == 0 && Buffer.capacity() > KeptBufferBytes)
+  if (Buffer.size() == 0 && Buffer.capacity() > MaxRetainedBufferBytes)
     Buffer = {};
   if (Buffer.size() == 0)
     waitReadable();
@@ -328,54 +330,54 @@
   // request, long after the idle ones were closed.
   if (Shared->Closed)
     return;
-  if (BootClock::now() > Shared->HandlesUntil.load())
-    exchange->respond(Shared->refuseLate(request));
+  if (BootClock::now() > Shared->HandleDeadline.load())
+    exchange->respond(Shared->lateRequestResponse(request));
   else
     Shared->Handler(std::move(request), std::move(exchange));
 }
 
 void HttpConnection::nextRequest() {
-  Now = State::Idle;
+  CurrentState = State::Idle;
   if (Pipelined || Buffer.size() > 0) {
     // Not at once, so that answered requests can't build up the stack.
     asio::post(Socket.get_executor(), [self = shared_from_this()] {
-      if (self->Now == State::Idle)
+      if (self->CurrentState == State::Idle)
         self->startRequest();
     });
     return;
   }
   IdleSince = BootClock::now();
-  setDeadline(Shared->idleTime());
+  setDeadline(Shared->idleTimeout());
   waitReadable();
 }
 
-void HttpConnection::discardInput(size_t allowance) {
+void HttpConnection::discardInput(size_t maxBytes) {
   Buffer.clear();
-  if (allowance == 0)
+  if (maxBytes == 0)
     return close();
   Socket.async_read_some(
-      Buffer.prepare(KeptBufferBytes),
-      [self = shared_from_this(), allowance](ErrorCode ec, size_t n) {
-        if (ec || self->Now == State::Closed)
+      Buffer.prepare(MaxRetainedBufferBytes),
+      [self = shared_from_this(), maxBytes](ErrorCode ec, size_t n) {
+        if (ec || self->CurrentState == State::Closed)
           return self->close();
-        self->discardInput(allowance - std::min(allowance, n));
+        self->discardInput(maxBytes - std::min(maxBytes, n));
       });
 }
 
-void HttpConnection::peerHalfClosed() {
+void HttpConnection::onPeerHalfClosed() {
   std::function<void()> hook;
   uint64_t serial = 0;
-  bool mayAnswer = false;
+  bool mayRespond = false;
   {
     std::lock_guard guard(Lock);
     if (!Ended)
       hook = std::exchange(ClosedHook, nullptr);
     KeepAlive = false;
     serial = Serial;
-    mayAnswer = !HeadSent;
+    mayRespond = !HeadSent;
   }
   // A peer that only ended its sending side still reads why it gets no answer.
-  if (mayAnswer)
+  if (mayRespond)
     respond(serial,
             problemResponse({ErrorKind::Cancelled,
                              "the connection was closed for sending before "
@@ -383,30 +385,30 @@
                             Outcome::MayHaveRun, RequestId{}));
   if (hook)
     hook();
-  bool isEnding = false;
+  bool ended = false;
   {
     std::lock_guard guard(Lock);
-    isEnding = Ended;
+    ended = Ended;
   }
-  if (!isEnding)
+  if (!ended)
     close();
 }
 
 void HttpConnection::close() {
-  State before = std::exchange(Now, State::Closed);
+  State before = std::exchange(CurrentState, State::Closed);
   if (before == State::Closed)
     return;
-  if (before == State::Answering)
-    Shared->Answering.fetch_sub(1);
+  if (before == State::Responding)
+    Shared->UnsentResponses.fetch_sub(1);
   std::function<void()> hook;
   {
     std::lock_guard guard(Lock);
-    Gone = true;
+    IsClosed = true;
     if (!Ended)
       hook = std::move(ClosedHook);
     ClosedHook = nullptr;
     Queued.clear();
-    Pending = 0;
+    PendingBytes = 0;
   }
   ErrorCode ignored;
   Socket.close(ignored);
@@ -417,18 +419,18 @@
 
 void HttpConnection::setDeadline(Duration fromNow) {
   Deadline = BootClock::now() + fromNow;
-  if (Deadline < TimerAt)
+  if (Deadline < TimerExpiry)
     armTimer();
 }
 
 void HttpConnection::armTimer() {
-  TimerAt = Deadline;
-  Timer.expires_at(TimerAt);
+  TimerExpiry = Deadline;
+  Timer.expires_at(TimerExpiry);
   Timer.async_wait([weak = weak_from_this()](ErrorCode ec) {
     auto self = weak.lock();
     if (!self || ec)
       return;
-    self->TimerAt = BootClock::time_point::max();
+    self->TimerExpiry = BootClock::time_point::max();
     if (self->Deadline == BootClock::time_point::max())
       return;
     if (BootClock::now() < self->Deadline)
@@ -438,13 +440,13 @@
 }
 
 void HttpConnection::onDeadline() {
-  if (Now == State::Idle && !Shared->Stopping) {
+  if (CurrentState == State::Idle && !Shared->Stopping) {
     // The limit may have been raised meanwhile.
     Deadline = IdleSince + Shared->limits()->IdleTimeout;
     if (BootClock::now() < Deadline)
       return armTimer();
   }
-  if (Now != State::Reading || TimedOut)
+  if (CurrentState != State::Reading || TimedOut)
     return close();
   // Ends the pending read, whose handler then answers 408.
   TimedOut = true;
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -32,20 +32,21 @@
   std::shared_ptr<const HttpLimits> limits() const { return Limits.load(); }
   /// The earliest of the times that were set holds.
   void refuseAfter(BootClock::time_point time);
-  HttpResponse refuseLate(const HttpRequest &request) const;
+  HttpResponse lateRequestResponse(const HttpRequest &request) const;
   /// How long a connection may wait for a request.
-  Duration idleTime() const;
+  Duration idleTimeout() const;
 
   const HttpServerInit Init;
   const HttpHandler Handler;
   std::atomic<std::shared_ptr<const HttpLimits>> Limits;
   /// Every answer is the last of its connection.
-  std::atomic<bool> LastAnswers{false};
-  std::atomic<size_t> Open{0};
-  std::atomic<size_t> Answering{0}; ///< Handed over and not wholly sent.
+  std::atomic<bool> ClosesAfterResponse{false};
+  std::atomic<size_t> OpenConnections{0};
+  std::atomic<size_t> UnsentResponses{0}; ///< Handed over and not wholly sent.
   std::atomic<bool> Stopping{false};
   /// Requests that are whole later reach no handler.
-  std::atomic<BootClock::time_point> HandlesUntil{BootClock::time_point::max()};
+  std::atomic<BootClock::time_point> HandleDeadline{
+      BootClock::time_point::max()};
   std::atomic<bool> Closed{false}; ///< The handler may not be called any more.
 
   std::mutex Lock; ///< Guards Connections only.
@@ -79,14 +80,14 @@
   /// Answers for a handler that dropped its exchange.
   void abandon(uint64_t serial);
   void setClosedHook(uint64_t serial, std::function<void()> hook);
-  size_t pendingBytes() const { return Pending.load(); }
+  size_t pendingBytes() const { return PendingBytes.load(); }
 
 private:
-  enum class State : uint8_t { Idle, Reading, Answering, Draining, Closed };
+  enum class State : uint8_t { Idle, Reading, Responding, Draining, Closed };
   using Parser = http::request_parser<http::string_body>;
   /// How much input, and for how long, is read and thrown away before closing.
-  static constexpr size_t DiscardBytes = 16U << 20;
-  static constexpr Duration DiscardTime{2'000'000};
+  static constexpr size_t MaxDiscardBytes = 16U << 20;
+  static constexpr Duration DiscardTimeout{2'000'000};
 
   // Input.
   void waitReadable();
@@ -94,29 +95,32 @@
   void startRequest();
   /// Parses what was received of the header section and reads on until it is
   /// whole.
-  void takeHeader();
+  void parseHeader();
   void onHeader(ErrorCode ec);
   void readBody();
   void onBody(ErrorCode ec);
   void rejectInput(ErrorCode ec);
   void handleRequest();
   void nextRequest();
-  void discardInput(size_t allowance);
+  void discardInput(size_t maxBytes);
 
   // Output. Lock is held where the name says so.
   bool isOpenLocked(uint64_t serial) const;
-  bool isLastAnswer() const { return Shared->Stopping || Shared->LastAnswers; }
+  bool closesAfterResponse() const {
+    return Shared->Stopping || Shared->ClosesAfterResponse;
+  }
   void queueLocked(std::string data);
   void scheduleFlush();
   void flush();
   void sendSome();
   void onSent(ErrorCode ec, size_t n);
-  void answerDone();
-  std::string headOf(unsigned status, const std::vector<HttpHeader> &headers,
-                     bool streamed, size_t length);
+  void onResponseSent();
+  std::string encodeHead(unsigned status,
+                         const std::vector<HttpHeader> &headers, bool streamed,
+                         size_t length);
 
   // End.
-  void peerHalfClosed();
+  void onPeerHalfClosed();
   void close();
   void setDeadline(Duration fromNow);
   void armTimer();
@@ -128,12 +132,12 @@
   boost::beast::flat_buffer Buffer;
   std::unique_ptr<Parser> Input;
   BootClock::time_point IdleSince;
-  uint32_t Handled = 0; ///< Requests so far.
+  uint32_t HandledRequests = 0; ///< Requests so far.
   BootClock::time_point ReadingSince;
   BootClock::time_point Deadline = BootClock::time_point::max();
-  BootClock::time_point TimerAt = BootClock::time_point::max();
-  State Now = State::Idle;
-  bool Waiting = false;   ///< A wait for readability is outstanding.
+  BootClock::time_point TimerExpiry = BootClock::time_point::max();
+  State CurrentState = State::Idle;
+  bool WaitingReadable = false; ///< A wait for readability is outstanding.
   bool Pipelined = false; ///< The next request came before the answer ended.
   bool TimedOut = false;
   bool Writing = false;
@@ -141,8 +145,8 @@
   size_t SendIndex = 0;
   size_t SendOffset = 0;
 
-  std::atomic<size_t> Pending{0}; ///< Bytes queued and not yet sent.
-  std::mutex Lock;                ///< Guards all below.
+  std::atomic<size_t> PendingBytes{0}; ///< Bytes queued and not yet sent.
+  std::mutex Lock;                     ///< Guards all below.
   std::vector<std::string> Queued;
   std::function<void()> ClosedHook;
   uint64_t Serial = 0;
@@ -152,8 +156,8 @@
   bool Chunked = false;
   bool KeepAlive = false;
   bool IsHead = false;
-  bool IsOld = false; ///< HTTP/1.0: no chunks.
-  bool Gone = false;
+  bool IsHttp10 = false; ///< HTTP/1.0: no chunks.
+  bool IsClosed = false;
 };
 
 } // namespace daisytack::net
--- a/src/net/http_connection_output.cpp
+++ b/src/net/http_connection_output.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-constexpr size_t BuffersAtOnce = 16;
+constexpr size_t MaxBuffersPerWrite = 16;
 
-bool isCleanHeader(const HttpHeader &header) {
+bool isValidHeader(const HttpHeader &header) {
   return header.Name.find_first_of("\r\n: ") == std::string::npos &&
          header.Value.find_first_of("\r\n") == std::string::npos;
 }
 
-std::string chunkOf(std::string_view data) {
+std::string encodeChunk(std::string_view data) {
   std::array<char, 20> size{};
   auto end =
       std::to_chars(size.data(), size.data() + size.size(), data.size(), 16)
@@ -35,22 +35,22 @@
 } // namespace
 
 bool HttpConnection::isOpenLocked(uint64_t serial) const {
-  return serial == Serial && !Ended && !Gone;
+  return serial == Serial && !Ended && !IsClosed;
 }
 
 void HttpConnection::queueLocked(std::string data) {
-  Pending += data.size();
+  PendingBytes += data.size();
   Queued.push_back(std::move(data));
 }
 
-std::string HttpConnection::headOf(unsigned status,
-                                   const std::vector<HttpHeader> &headers,
-                                   bool streamed, size_t length) {
+std::string HttpConnection::encodeHead(unsigned status,
+                                       const std::vector<HttpHeader> &headers,
+                                       bool streamed, size_t length) {
   auto reason = http::obsolete_reason(static_cast<http::status>(status));
   std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
   out.append(reason.data(), reason.size()).append("\r\n");
   for (const HttpHeader &header : headers)
-    if (isCleanHeader(header))
+    if (isValidHeader(header))
       out.append(header.Name).append(": ").append(header.Value).append("\r\n");
   if (!streamed)
     out.append("Content-Length: ")
@@ -60,7 +60,7 @@
     out.append("Transfer-Encoding: chunked\r\n");
   if (!KeepAlive)
     out.append("Connection: close\r\n");
-  else if (IsOld)
+  else if (IsHttp10)
     out.append("Connection: keep-alive\r\n");
   out.append("\r\n");
   return out;
@@ -71,9 +71,9 @@
     std::lock_guard guard(Lock);
     if (!isOpenLocked(serial) || HeadSent)
       return;
-    KeepAlive = KeepAlive && !isLastAnswer();
-    std::string out =
-        headOf(response.Status, response.Headers, false, response.Body.size());
+    KeepAlive = KeepAlive && !closesAfterResponse();
+    std::string out = encodeHead(response.Status, response.Headers, false,
+                                 response.Body.size());
     if (!IsHead)
       out += response.Body;
     queueLocked(std::move(out));
@@ -88,9 +88,9 @@
     std::lock_guard guard(Lock);
     if (!isOpenLocked(serial) || HeadSent)
       return;
-    Chunked = !IsOld;
-    KeepAlive = KeepAlive && Chunked && !isLastAnswer();
-    queueLocked(headOf(status, headers, true, 0));
+    Chunked = !IsHttp10;
+    KeepAlive = KeepAlive && Chunked && !closesAfterResponse();
+    queueLocked(encodeHead(status, headers, true, 0));
     HeadSent = true;
   }
   scheduleFlush();
@@ -103,9 +103,9 @@
     std::lock_guard guard(Lock);
     if (!isOpenLocked(serial) || !HeadSent || IsHead)
       return;
-    if (Pending > Shared->Init.MaxPendingBytes)
+    if (PendingBytes > Shared->Init.MaxPendingBytes)
       return closeNow();
-    queueLocked(Chunked ? chunkOf(data) : std::move(data));
+    queueLocked(Chunked ? encodeChunk(data) : std::move(data));
   }
   scheduleFlush();
 }
@@ -162,7 +162,7 @@
 }
 
 void HttpConnection::flush() {
-  if (Writing || Now == State::Closed)
+  if (Writing || CurrentState == State::Closed)
     return;
   bool ended = false;
   bool aborted = false;
@@ -178,8 +178,9 @@
   if (Sending.empty()) {
     if (aborted)
       return close();
-    if (ended && (Now == State::Answering || Now == State::Draining))
-      answerDone();
+    if (ended &&
+        (CurrentState == State::Responding || CurrentState == State::Draining))
+      onResponseSent();
     return;
   }
   SendIndex = SendOffset = 0;
@@ -188,9 +189,9 @@
 }
 
 void HttpConnection::sendSome() {
-  if (Now == State::Answering)
+  if (CurrentState == State::Responding)
     setDeadline(Shared->limits()->IdleTimeout);
-  std::array<asio::const_buffer, BuffersAtOnce> buffers;
+  std::array<asio::const_buffer, MaxBuffersPerWrite> buffers;
   size_t n = 0;
   for (size_t i = SendIndex; i < Sending.size() && n < buffers.size(); ++i) {
     size_t skip = i == SendIndex ? SendOffset : 0;
@@ -203,13 +204,13 @@
 }
 
 void HttpConnection::onSent(ErrorCode ec, size_t n) {
-  if (Now == State::Closed)
+  if (CurrentState == State::Closed)
     return;
   if (ec == asio::error::operation_aborted)
     return sendSome(); // Only the pending read was to end.
   if (ec)
     return close();
-  Pending -= n;
+  PendingBytes -= n;
   for (SendOffset += n;
        SendIndex < Sending.size() && SendOffset >= Sending[SendIndex].size();
        ++SendIndex)
@@ -218,28 +219,28 @@
     return sendSome();
   Sending.clear();
   Writing = false;
-  if (Now == State::Answering)
+  if (CurrentState == State::Responding)
     Deadline = BootClock::time_point::max();
   flush();
 }
 
-void HttpConnection::answerDone() {
+void HttpConnection::onResponseSent() {
   bool keep = false;
   {
     std::lock_guard guard(Lock);
     keep = KeepAlive;
   }
-  if (Now == State::Answering)
-    Shared->Answering.fetch_sub(1);
-  if (keep && Now == State::Answering)
+  if (CurrentState == State::Responding)
+    Shared->UnsentResponses.fetch_sub(1);
+  if (keep && CurrentState == State::Responding)
     return nextRequest();
   // Unread input would turn the close into a reset that can destroy the
   // answer on its way; so it is read first.
-  Now = State::Draining;
-  setDeadline(DiscardTime);
+  CurrentState = State::Draining;
+  setDeadline(DiscardTimeout);
   ErrorCode ignored;
   Socket.shutdown(StrandSocket::shutdown_send, ignored);
-  discardInput(DiscardBytes);
+  discardInput(MaxDiscardBytes);
 }
 
 } // namespace daisytack::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -6,24 +6,25 @@
 
 namespace {
 /// Before accepting again after the system ran out of descriptors.
-constexpr Duration AcceptPause{50'000};
+constexpr Duration AcceptRetryDelay{50'000};
 } // namespace
 
 struct HttpServer::Impl : std::enable_shared_from_this<HttpServer::Impl> {
   Impl(asio::io_context &io, HttpServerInit init, HttpHandler handler)
-      : Io(io), Acceptor(asio::make_strand(io)), Pause(Acceptor.get_executor()),
+      : Io(io), Acceptor(asio::make_strand(io)),
+        RetryTimer(Acceptor.get_executor()),
         Shared(std::make_shared<HttpServerShared>(std::move(init),
                                                   std::move(handler))) {}
 
   bool listen(Error &reason);
   void accept();
   void onAccepted(ErrorCode ec, StrandSocket socket);
-  void acceptWaiting();
+  void acceptPending();
   void admit(StrandSocket socket);
 
   asio::io_context &Io;
   asio::basic_socket_acceptor<tcp, Strand> Acceptor;
-  StrandTimer Pause;
+  StrandTimer RetryTimer;
   std::shared_ptr<HttpServerShared> Shared;
   uint16_t Port = 0;
 };
@@ -69,22 +70,22 @@
     return;
   if (!ec)
     return accept();
-  Pause.expires_after(AcceptPause);
-  Pause.async_wait([self = shared_from_this()](ErrorCode failed) {
+  RetryTimer.expires_after(AcceptRetryDelay);
+  RetryTimer.async_wait([self = shared_from_this()](ErrorCode failed) {
     if (!failed && self->Acceptor.is_open())
       self->accept();
   });
 }
 
 void HttpServer::Impl::admit(StrandSocket socket) {
-  if (Shared->Closed || Shared->Open >= Shared->Init.MaxConnections)
+  if (Shared->Closed || Shared->OpenConnections >= Shared->Init.MaxConnections)
     return; // Closed by its destructor.
   std::make_shared<HttpConnection>(std::move(socket), Shared)->start();
 }
 
 /// Takes what has connected already, so that closing the listener resets
 /// nobody.
-void HttpServer::Impl::acceptWaiting() {
+void HttpServer::Impl::acceptPending() {
   ErrorCode ec;
   Acceptor.non_blocking(true, ec);
   while (!ec) {
@@ -114,8 +115,8 @@
   Self->Shared->Limits.store(std::make_shared<const HttpLimits>(limits));
 }
 
-void HttpServer::endConnectionsAfterAnswers() {
-  Self->Shared->LastAnswers = true;
+void HttpServer::closeConnectionsAfterResponses() {
+  Self->Shared->ClosesAfterResponse = true;
 }
 
 void HttpServer::refuseAfter(Duration fromNow) {
@@ -125,21 +126,25 @@
 void HttpServer::stopAccepting() {
   if (Self->Shared->Stopping.exchange(true))
     return;
-  refuseAfter(Self->Shared->Init.LastRequests);
+  refuseAfter(Self->Shared->Init.LateRequestGrace);
   asio::dispatch(Self->Acceptor.get_executor(), [self = Self] {
     if (!self->Acceptor.is_open())
       return;
-    self->acceptWaiting();
+    self->acceptPending();
     ErrorCode ignored;
     self->Acceptor.close(ignored);
-    self->Pause.cancel();
+    self->RetryTimer.cancel();
     for (const auto &connection : self->Shared->connections())
       connection->closeWhenIdle();
   });
 }
 
-size_t HttpServer::openConnections() const { return Self->Shared->Open; }
+size_t HttpServer::openConnections() const {
+  return Self->Shared->OpenConnections;
+}
 
-size_t HttpServer::unsentAnswers() const { return Self->Shared->Answering; }
+size_t HttpServer::unsentResponses() const {
+  return Self->Shared->UnsentResponses;
+}
 
 } // namespace daisytack::net
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -31,7 +31,7 @@
   /// Path and Query unless it is empty.
   std::string Target = {};
   /// Which request of its connection it is, from 1 on; 0 in one to be sent.
-  uint32_t OnConnection = 0;
+  uint32_t ConnectionRequestNumber = 0;
   Duration ReadTime{0}; ///< From its first byte until it was whole.
 
   /// Value of the first header of that name, whatever its case; empty when
@@ -94,10 +94,10 @@
       60'000'000}; ///< Between requests, and for a write without progress.
   /// After stopAccepting, requests that were on their way are still handled for
   /// so long.
-  Duration LastRequests{250'000};
+  Duration LateRequestGrace{250'000};
   /// Makes the refusal of a request that came later still; by default a problem
   /// that names the remedy.
-  std::function<HttpResponse(const HttpRequest &)> RefuseLate = {};
+  std::function<HttpResponse(const HttpRequest &)> LateRequestResponse = {};
 };
 
 class HttpServer {
@@ -114,7 +114,7 @@
   void setLimits(const HttpLimits &limits);
   /// Every answer from now on is the last of its connection; new connections
   /// are still accepted.
-  void endConnectionsAfterAnswers();
+  void closeConnectionsAfterResponses();
   /// Whatever its connection is doing, a request that is whole only after that
   /// time is refused and reaches no handler.
   void refuseAfter(Duration fromNow);
@@ -126,7 +126,7 @@
   size_t openConnections() const;
   /// Requests handed to the handler whose answer has not wholly been given to
   /// the socket: a drained process waits until there are none.
-  size_t unsentAnswers() const;
+  size_t unsentResponses() const;
 
 private:
   struct Impl;
--- a/src/net/http_socket.cpp
+++ b/src/net/http_socket.cpp
@@ -34,7 +34,7 @@
   if (n > 0)
     return PeerState::HasData;
   bool nothingYet = n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-  return nothingYet ? PeerState::Quiet : PeerState::Closed;
+  return nothingYet ? PeerState::NoData : PeerState::Closed;
 }
 
 bool toTcp(const Endpoint &endpoint, tcp::endpoint &out) {
--- a/src/net/http_socket.h
+++ b/src/net/http_socket.h
@@ -28,7 +28,7 @@
 void tuneSocket(StrandSocket &socket);
 
 /// What can be read without waiting.
-enum class PeerState : uint8_t { Quiet, HasData, Closed };
+enum class PeerState : uint8_t { NoData, HasData, Closed };
 /// Looks without taking any byte.
 PeerState probePeer(StrandSocket &socket);
 
--- a/src/net/sse.cpp
+++ b/src/net/sse.cpp
@@ -13,7 +13,7 @@
     if (skip)
       continue;
     if (c == '\n' || c == '\r') {
-      takeLine(sink);
+      processLine(sink);
       continue;
     }
     Line.push_back(c);
@@ -22,10 +22,10 @@
   return !Failed;
 }
 
-void SseParser::takeLine(const Sink &sink) {
+void SseParser::processLine(const Sink &sink) {
   std::string line = std::exchange(Line, {});
   if (line.empty()) {
-    SseEvent event = std::exchange(Next, {});
+    SseEvent event = std::exchange(Current, {});
     bool complete = std::exchange(HasData, false);
     EventBytes = 0;
     if (complete)
@@ -43,19 +43,19 @@
     if (value.starts_with(' '))
       value.remove_prefix(1);
   }
-  takeField(name, value);
+  processField(name, value);
 }
 
-void SseParser::takeField(std::string_view name, std::string_view value) {
+void SseParser::processField(std::string_view name, std::string_view value) {
   if (name == "data") {
     if (HasData)
-      Next.Data.push_back('\n');
-    Next.Data.append(value);
+      Current.Data.push_back('\n');
+    Current.Data.append(value);
     HasData = true;
   } else if (name == "event") {
-    Next.Event = value;
+    Current.Event = value;
   } else if (name == "id") {
-    Next.Id = value;
+    Current.Id = value;
   }
 }
 
--- a/src/net/sse.h
+++ b/src/net/sse.h
@@ -30,12 +30,12 @@
   bool feed(std::string_view data, const Sink &sink);
 
 private:
-  void takeLine(const Sink &sink);
-  void takeField(std::string_view name, std::string_view value);
+  void processLine(const Sink &sink);
+  void processField(std::string_view name, std::string_view value);
 
   size_t MaxEventBytes;
   std::string Line;
-  SseEvent Next;
+  SseEvent Current;
   size_t EventBytes = 0;
   bool HasData = false;
   bool AfterCarriageReturn = false;
--- a/tests/gateway/drain_test.cpp
+++ b/tests/gateway/drain_test.cpp
@@ -147,7 +147,7 @@
   const direct::DrainSettings &plan = Stopping.Options.Drain;
   TimePoint over = monotonicNow() + plan.NoticePeriod + plan.LateRequestGrace;
   std::atomic<bool> release{false};
-  for (size_t i = 0; i < net::IoThreads::Most; ++i)
+  for (size_t i = 0; i < net::IoThreads::MaxThreads; ++i)
     net::asio::post(Threads.Io,
                     [&] { eventually([&] { return release.load(); }); });
   caller.send(streamRequest("r1"));
--- a/tests/net_datagram/datagram_test.cpp
+++ b/tests/net_datagram/datagram_test.cpp
@@ -84,9 +84,9 @@
       rc::gen::inRange<uint64_t>(1, 300));
   for (uint64_t counter : counters) {
     bool fresh = !accepted.contains(counter);
-    bool inside = counter + ReplayWindow::Width > highest;
+    bool inWindow = counter + ReplayWindow::Width > highest;
     bool ok = window.accept(Alice, counter);
-    RC_ASSERT(ok == (fresh && inside));
+    RC_ASSERT(ok == (fresh && inWindow));
     if (ok)
       accepted.insert(counter);
     highest = std::max(highest, counter);
@@ -97,14 +97,14 @@
   boost::asio::io_context io;
   std::string got;
   std::vector<ErrorKind> rejected;
-  auto quiet = [](const Endpoint &, std::string_view) {};
+  auto ignore = [](const Endpoint &, std::string_view) {};
   DatagramSocket bob(
       io, {"127.0.0.1", 0}, {Old}, Bob,
       [&](const Endpoint &, std::string_view payload) { got = payload; },
       [&](ErrorKind kind) { rejected.push_back(kind); });
-  DatagramSocket alice(io, {"127.0.0.1", 0}, {Old}, Alice, quiet,
+  DatagramSocket alice(io, {"127.0.0.1", 0}, {Old}, Alice, ignore,
                        [](ErrorKind) {});
-  DatagramSocket mallory(io, {"127.0.0.1", 0}, {New}, {9, 9}, quiet,
+  DatagramSocket mallory(io, {"127.0.0.1", 0}, {New}, {9, 9}, ignore,
                          [](ErrorKind) {});
   Error reason;
   ASSERT_TRUE(bob.start(reason) && alice.start(reason) && mallory.start(reason))
--- a/tests/net_frame/frame_link_test.cpp
+++ b/tests/net_frame/frame_link_test.cpp
@@ -29,16 +29,16 @@
 public:
   FrameHooks hooks(bool echo = false) {
     return {[this](const std::shared_ptr<FrameLink> &link) {
-              note([&] { Link = link, ++Opened; });
+              update([&] { Link = link, ++Opened; });
             },
             [this, echo](const std::shared_ptr<FrameLink> &link,
                          std::string_view frame) {
               if (echo)
                 link->send("echo " + std::string(frame));
-              note([&] { Frames.emplace_back(frame); });
+              update([&] { Frames.emplace_back(frame); });
             },
             [this](const std::shared_ptr<FrameLink> &, const Error &reason) {
-              note([&] { Reason = reason.Kind, ++Closed; });
+              update([&] { Reason = reason.Kind, ++Closed; });
             }};
   }
   template <class Predicate> bool waitFor(Predicate done) {
@@ -53,7 +53,7 @@
   std::shared_ptr<FrameLink> Link;
 
 private:
-  template <class Change> void note(Change change) {
+  template <class Change> void update(Change change) {
     std::lock_guard guard(Lock);
     change();
     Changed.notify_all();
@@ -85,7 +85,7 @@
 
   /// A recorder that outlives the I/O thread, unlike a local one: a link may
   /// report its end while the test is being torn down.
-  Recorder &another() { return Others.emplace_back(); }
+  Recorder &addRecorder() { return Others.emplace_back(); }
 
   asio::io_context Io;
   asio::executor_work_guard<asio::io_context::executor_type> Guard{
@@ -117,7 +117,7 @@
     appendFrameLength(out, body.size());
     return out + body + mac;
   }
-  void shakeHands(const PeerKey &key) {
+  void handshake(const PeerKey &key) {
     FrameHello own{FrameRole::Connector, {1, 2, 3}, key.Id};
     write(framed(encodeFrameHello(own)));
     Error reason;
@@ -179,7 +179,7 @@
   const Case cases[] = {
       {{PeerKey{"old", "guessed"}}, "secret"}, {{NewKey}, "id"}, {{}, "none"}};
   for (const Case &it : cases) {
-    Recorder &recorder = another();
+    Recorder &recorder = addRecorder();
     auto link = connect(port, it.Keys, recorder);
     link->send("secret prompt");
     ASSERT_TRUE(recorder.waitFor([&] { return recorder.Closed == 1; }))
@@ -192,20 +192,20 @@
 
 TEST_F(FrameLinkTest, AcceptsBothKeysDuringAChange) {
   uint16_t port = serve({OldKey, NewKey});
-  Recorder &first = another();
+  Recorder &first = addRecorder();
   auto link = connect(port, {OldKey}, first);
   ASSERT_TRUE(first.waitFor([&] { return first.Opened == 1; }));
   Server->setKeys({NewKey, OldKey});
-  Recorder &second = another();
+  Recorder &second = addRecorder();
   auto newer = connect(port, {NewKey, OldKey}, second);
   ASSERT_TRUE(second.waitFor([&] { return second.Opened == 1; }));
-  Recorder &third = another();
+  Recorder &third = addRecorder();
   auto older = connect(port, {OldKey, NewKey}, third);
   ASSERT_TRUE(third.waitFor([&] { return third.Opened == 1; }));
   link->send("still open");
   EXPECT_TRUE(first.waitFor([&] { return first.Frames.size() == 1; }));
   Server->setKeys({NewKey});
-  Recorder &late = another();
+  Recorder &late = addRecorder();
   auto refused = connect(port, {OldKey, NewKey}, late);
   ASSERT_TRUE(late.waitFor([&] { return late.Closed == 1; }));
   EXPECT_EQ(late.Opened, 0);
@@ -240,7 +240,7 @@
   for (const Case &it : cases) {
     Accepting.Frames.clear();
     RawPeer peer(port);
-    peer.shakeHands(OldKey);
+    peer.handshake(OldKey);
     peer.write(it.Bytes(peer));
     ASSERT_TRUE(Accepting.waitFor([&] {
       return Accepting.Closed == closed + 1;
@@ -254,7 +254,7 @@
   }
 }
 
-TEST_F(FrameLinkTest, ClosesStrangersBeforeReadingMuch) {
+TEST_F(FrameLinkTest, RejectsInvalidHellos) {
   uint16_t port = serve({OldKey});
   int closed = 0;
   const std::string openings[] = {
@@ -275,7 +275,7 @@
 TEST_F(FrameLinkTest, ReportsAFailedConnectOnce) {
   uint16_t port = serve({OldKey});
   Server.reset();
-  Recorder &second = another();
+  Recorder &second = addRecorder();
   auto link = connect(port, {OldKey}, second);
   ASSERT_TRUE(second.waitFor([&] { return second.Closed == 1; }));
   EXPECT_EQ(second.Opened, 0);
--- a/tests/net_http/client_test.cpp
+++ b/tests/net_http/client_test.cpp
@@ -68,7 +68,7 @@
 
 /// What listens at the address has started anew: a kept connection on which no
 /// reset was seen yet would lose the next request.
-TEST(HttpClient, UsesNoKeptConnectionThatWasDropped) {
+TEST(HttpClient, DoesNotReuseDroppedIdleConnections) {
   HttpFixture fixture(echo);
   HttpRequest request{"POST", "/", "", {}, "b"};
   EXPECT_EQ(fixture.fetch(request).Response.Body, "POST  b");
@@ -85,8 +85,9 @@
 
 TEST(HttpClient, UnreachableMeansNothingWasSent) {
   HttpFixture fixture(echo);
-  Endpoint nobody{"127.0.0.1", 1};
-  auto got = fixture.fetch(nobody, {"POST", "/", "", {}, "b"}, Duration(0));
+  Endpoint unreachable{"127.0.0.1", 1};
+  auto got =
+      fixture.fetch(unreachable, {"POST", "/", "", {}, "b"}, Duration(0));
   EXPECT_EQ(got.Reason.Kind, ErrorKind::ServiceUnavailable);
 }
 
@@ -140,10 +141,10 @@
 }
 
 /// The first may have run: its sender has to know.
-TEST(HttpClient, GetOverStaleConnectionIsNotRepeatedWhereItsSenderDecides) {
+TEST(HttpClient, GetOverStaleConnectionIsNotRetriedWhenDisabled) {
   ScriptedServer server({answerThenDrop});
   HttpClientInit init;
-  init.RepeatsSafeMethods = false;
+  init.RetriesSafeMethods = false;
   HttpFixture fixture(echo, {}, init);
   HttpRequest get{"GET", "/", "", {}, ""};
   EXPECT_EQ(fixture.fetch(server.endpoint(), get, Duration(0)).Response.Body,
@@ -153,7 +154,7 @@
   EXPECT_EQ(server.Accepted, 1);
 }
 
-TEST(HttpClient, PostOverStaleConnectionIsNotRepeated) {
+TEST(HttpClient, PostOverStaleConnectionIsNotRetried) {
   ScriptedServer server({answerThenDrop});
   HttpFixture fixture(echo);
   HttpRequest post{"POST", "/", "", {}, ""};
@@ -164,7 +165,7 @@
   EXPECT_EQ(server.Accepted, 1);
 }
 
-TEST(HttpClient, BodyEndedByCloseIsWhole) {
+TEST(HttpClient, BodyEndedByCloseIsComplete) {
   ScriptedServer server({[](tcp::socket &s) {
     readRequest(s);
     asio::write(s, asio::buffer(std::string("HTTP/1.1 200 OK\r\n\r\nall")));
@@ -177,13 +178,13 @@
 }
 
 /// Fetches with a filter that takes responses marked "own" only.
-HttpFixture::Fetched fetchOwn(HttpFixture &fixture, const Endpoint &to,
-                              const HttpRequest &request) {
+HttpFixture::Fetched fetchMatching(HttpFixture &fixture, const Endpoint &to,
+                                   const HttpRequest &request) {
   auto promise = std::make_shared<std::promise<HttpFixture::Fetched>>();
   auto future = promise->get_future();
   auto got = std::make_shared<HttpFixture::Fetched>();
   HttpHooks hooks;
-  hooks.IsOwn = [](const std::vector<HttpHeader> &headers) {
+  hooks.MatchesRequest = [](const std::vector<HttpHeader> &headers) {
     return std::any_of(headers.begin(), headers.end(), [](const auto &it) {
       return it.Name == "X-Mark" && it.Value == "own";
     });
@@ -207,7 +208,7 @@
          body;
 }
 
-TEST(HttpClient, DropsAResponseOfAnotherRequestAndTakesTheNext) {
+TEST(HttpClient, IgnoresAResponseToAnotherRequestAndReadsTheNext) {
   ScriptedServer server({[](tcp::socket &s) {
     readRequest(s);
     asio::write(s, asio::buffer(marked("own", "first")));
@@ -218,11 +219,13 @@
   }});
   HttpFixture fixture(echo);
   HttpRequest get{"GET", "/", "", {}, ""};
-  EXPECT_EQ(fetchOwn(fixture, server.endpoint(), get).Response.Body, "first");
-  EXPECT_EQ(fetchOwn(fixture, server.endpoint(), get).Response.Body, "second");
+  EXPECT_EQ(fetchMatching(fixture, server.endpoint(), get).Response.Body,
+            "first");
+  EXPECT_EQ(fetchMatching(fixture, server.endpoint(), get).Response.Body,
+            "second");
 }
 
-TEST(HttpClient, UsesNoConnectionOnWhichAnExtraResponseWaits) {
+TEST(HttpClient, DoesNotReuseAConnectionWithAnExtraResponse) {
   ScriptedServer server({[](tcp::socket &s) {
                            readRequest(s);
                            asio::write(s, asio::buffer(marked("own", "first") +
@@ -235,12 +238,14 @@
                          }});
   HttpFixture fixture(echo);
   HttpRequest get{"GET", "/", "", {}, ""};
-  EXPECT_EQ(fetchOwn(fixture, server.endpoint(), get).Response.Body, "first");
-  EXPECT_EQ(fetchOwn(fixture, server.endpoint(), get).Response.Body, "second");
+  EXPECT_EQ(fetchMatching(fixture, server.endpoint(), get).Response.Body,
+            "first");
+  EXPECT_EQ(fetchMatching(fixture, server.endpoint(), get).Response.Body,
+            "second");
   EXPECT_EQ(server.Accepted, 2);
 }
 
-TEST(HttpClient, LeavesAConnectionBeforeItsPeerClosesIt) {
+TEST(HttpClient, DropsAConnectionBeforeItsKeepAliveTimeout) {
   ScriptedServer server(
       {[](tcp::socket &s) {
          readRequest(s);
@@ -258,7 +263,7 @@
             "second");
 }
 
-TEST(HttpClient, TakesAnAnswerThatComesBeforeALongBodyIsRead) {
+TEST(HttpClient, AcceptsAResponseSentBeforeALongBodyIsRead) {
   ScriptedServer server({[](tcp::socket &s) {
     readRequest(s);
     asio::write(s, asio::buffer(std::string(
@@ -294,7 +299,7 @@
   }
 }
 
-TEST(HttpClient, CutResponseIsServerLost) {
+TEST(HttpClient, TruncatedResponseIsServerLost) {
   ScriptedServer server({[](tcp::socket &s) {
     readRequest(s);
     asio::write(s, asio::buffer(std::string(
--- a/tests/net_http/drain_test.cpp
+++ b/tests/net_http/drain_test.cpp
@@ -12,17 +12,18 @@
 namespace daisytack::net {
 namespace {
 
-constexpr const char *Late = "GET /late HTTP/1.1\r\nHost: a\r\n\r\n";
+constexpr const char *LateRequestBytes =
+    "GET /late HTTP/1.1\r\nHost: a\r\n\r\n";
 
 /// Streams on /stream until told to end, holds /hold until told to answer,
 /// counts /late, answers /now.
-class Answers {
+class HoldingHandler {
 public:
   HttpHandler handler() {
     return [this](const HttpRequest &request,
                   const std::shared_ptr<HttpExchange> &exchange) {
       if (request.Path == "/late") {
-        ++LateOnes;
+        ++LateRequests;
         return exchange->respond({200, {}, "served late"});
       }
       if (request.Path == "/now")
@@ -35,7 +36,7 @@
       Open.push_back(exchange);
     };
   }
-  void endAll() {
+  void respondToAll() {
     std::lock_guard guard(Lock);
     for (const auto &exchange : Open) {
       exchange->respond({200, {}, "whole"}); // Ignored by a begun stream.
@@ -43,7 +44,7 @@
     }
     Open.clear();
   }
-  std::atomic<int> LateOnes{0};
+  std::atomic<int> LateRequests{0};
 
 private:
   std::mutex Lock;
@@ -51,65 +52,69 @@
 };
 
 /// What a caller has sent before the server stops, and what it sends later.
-struct LateWay {
+struct LateRequestCase {
   const char *Name;
   const char *Before;
-  const char *Whole; ///< Read by the caller before the server stops.
-  const char *After; ///< Sent when the time for requests on their way is over.
-  bool IsAnswered;   ///< Surely with a refusal, not perhaps with a close.
+  const char *AwaitedText; ///< Read by the caller before the server stops.
+  const char *After;  ///< Sent when the time for requests on their way is over.
+  bool MustBeRefused; ///< Surely with a refusal, not perhaps with a close.
 };
 
-class LateRequest : public testing::TestWithParam<LateWay> {};
+class LateRequest : public testing::TestWithParam<LateRequestCase> {};
 
 TEST_P(LateRequest, IsNotHandled) {
-  Answers answers;
-  HttpFixture fixture(answers.handler());
-  const LateWay &way = GetParam();
+  HoldingHandler holding;
+  HttpFixture fixture(holding.handler());
+  const LateRequestCase &testCase = GetParam();
   RawClient caller(fixture.Server.port());
-  caller.send(way.Before);
-  if (*way.Whole != '\0')
-    caller.readUntil(way.Whole);
+  caller.send(testCase.Before);
+  if (*testCase.AwaitedText != '\0')
+    caller.readUntil(testCase.AwaitedText);
   RawClient idle(fixture.Server.port());
   idle.send("GET /now HTTP/1.1\r\nHost: a\r\n\r\n");
   idle.readUntil("now");
-  fixture.Server.endConnectionsAfterAnswers();
+  fixture.Server.closeConnectionsAfterResponses();
   fixture.Server.stopAccepting();
   idle.readAll(); // Closed when the time is over.
-  caller.send(way.After);
-  answers.endAll();
+  caller.send(testCase.After);
+  holding.respondToAll();
   std::string got = caller.readAll();
-  EXPECT_EQ(answers.LateOnes, 0) << got;
+  EXPECT_EQ(holding.LateRequests, 0) << got;
   bool isRefused = got.find("HTTP/1.1 503") != std::string::npos &&
                    got.find("\"kind\":\"draining\"") != std::string::npos;
-  EXPECT_TRUE(isRefused || !way.IsAnswered) << got;
+  EXPECT_TRUE(isRefused || !testCase.MustBeRefused) << got;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Ways, LateRequest,
+    Connections, LateRequest,
     testing::Values(
-        LateWay{"BehindAStreamThatPromisedToKeepTheConnection",
-                "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n", "first", Late, true},
-        LateWay{"PipelinedBehindAStreamBeforeTheStop",
-                "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n"
-                "GET /late HTTP/1.1\r\nHost: a\r\n\r\n",
-                "first", "", true},
-        LateWay{"WithHalfOfItsHeaderBeforeTheStop", "GET /late HTTP/1.1\r\nHo",
-                "", "st: a\r\n\r\n", true},
-        LateWay{"WithItsBodyAfterTheStop",
-                "POST /late HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n",
-                "", "ab", true},
-        LateWay{"BehindAnAnswerThatHadNotBegun",
-                "GET /hold HTTP/1.1\r\nHost: a\r\n\r\n", "", Late, false},
-        LateWay{"OnAConnectionThatWasIdle", "", "", Late, false}),
+        LateRequestCase{"AfterAStreamWithKeepAlive",
+                        "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n", "first",
+                        LateRequestBytes, true},
+        LateRequestCase{"PipelinedAfterAStreamBeforeTheStop",
+                        "GET /stream HTTP/1.1\r\nHost: a\r\n\r\n"
+                        "GET /late HTTP/1.1\r\nHost: a\r\n\r\n",
+                        "first", "", true},
+        LateRequestCase{"WithHalfOfItsHeaderBeforeTheStop",
+                        "GET /late HTTP/1.1\r\nHo", "", "st: a\r\n\r\n", true},
+        LateRequestCase{
+            "WithItsBodyAfterTheStop",
+            "POST /late HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n", "",
+            "ab", true},
+        LateRequestCase{"AfterAResponseThatHadNotBegun",
+                        "GET /hold HTTP/1.1\r\nHost: a\r\n\r\n", "",
+                        LateRequestBytes, false},
+        LateRequestCase{"OnAConnectionThatWasIdle", "", "", LateRequestBytes,
+                        false}),
     [](const auto &row) { return row.param.Name; });
 
 /// To its caller a connection is open once the kernel has taken it, perhaps
 /// just before the listener was closed.
-TEST(HttpServer, ServesConnectionsThatCameJustBeforeItStoppedAccepting) {
+TEST(HttpServer, ServesConnectionsAcceptedJustBeforeItStopped) {
   constexpr int Rounds = 20;
   for (int i = 0; i < Rounds; ++i) {
     HttpServerInit init;
-    init.LastRequests = WaitLimit;
+    init.LateRequestGrace = WaitLimit;
     HttpFixture fixture(echo, init);
     RawClient first(fixture.Server.port());
     RawClient second(fixture.Server.port());
--- a/tests/net_http/http_fixture.h
+++ b/tests/net_http/http_fixture.h
@@ -21,8 +21,8 @@
 /// Runs an io_context on a few threads until destroyed.
 class IoThreads {
 public:
-  static constexpr size_t Most = 3;
-  explicit IoThreads(size_t n = Most) : Work(Io.get_executor()) {
+  static constexpr size_t MaxThreads = 3;
+  explicit IoThreads(size_t n = MaxThreads) : Work(Io.get_executor()) {
     for (size_t i = 0; i < n; ++i)
       Threads.emplace_back([this] { Io.run(); });
   }
--- a/tests/net_http/server_test.cpp
+++ b/tests/net_http/server_test.cpp
@@ -28,7 +28,7 @@
 
 class HttpServerBadInput : public testing::TestWithParam<BadInput> {};
 
-TEST_P(HttpServerBadInput, IsAnsweredAndCostsNobodyElse) {
+TEST_P(HttpServerBadInput, IsRejectedWithoutAffectingOthers) {
   HttpFixture fixture(echo, smallLimits());
   const BadInput &in = GetParam();
   RawClient raw(fixture.Server.port());
@@ -120,7 +120,7 @@
                  "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip\r\n"
                  "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                  false, "400", "bad_request"},
-        BadInput{"OldVersionChunked",
+        BadInput{"Http10Chunked",
                  "POST / HTTP/1.0\r\nHost: a\r\n"
                  "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                  false, "400", "bad_request"},
@@ -186,7 +186,7 @@
   }
 };
 
-TEST(HttpServer, NoticesCallerGoneWhileAnswerIsPending) {
+TEST(HttpServer, DetectsDisconnectWhileResponseIsPending) {
   Holder holder;
   HttpFixture fixture(holder.handler());
   RawClient raw(fixture.Server.port());
@@ -199,7 +199,7 @@
   EXPECT_EQ(holder.ClosedCalls, 1);
 }
 
-TEST(HttpServer, TellsHalfClosedCallerWhyThereIsNoAnswer) {
+TEST(HttpServer, SendsHalfClosedCallerACancelledProblem) {
   Holder holder;
   HttpFixture fixture(holder.handler());
   RawClient raw(fixture.Server.port());
@@ -225,7 +225,7 @@
   EXPECT_TRUE(got.Response.Body.ends_with(";98;99;"));
 }
 
-TEST(HttpServer, StreamForOldClientEndsByClose) {
+TEST(HttpServer, StreamForHttp10ClientEndsByClose) {
   HttpFixture fixture(
       [](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
         exchange->beginStream(200, {});
@@ -238,7 +238,7 @@
   EXPECT_TRUE(answer.ends_with("\r\n\r\nplain")) << answer;
 }
 
-TEST(HttpServer, AbortedStreamIsNotWhole) {
+TEST(HttpServer, AbortedStreamIsIncomplete) {
   HttpFixture fixture(
       [](const HttpRequest &, const std::shared_ptr<HttpExchange> &exchange) {
         exchange->beginStream(200, {});
@@ -252,7 +252,7 @@
   EXPECT_TRUE(raw.readAll().ends_with("\r\n\r\n4\r\npart\r\n"));
 }
 
-TEST(HttpServer, CutsOffSlowReader) {
+TEST(HttpServer, ClosesConnectionOfSlowReader) {
   HttpServerInit init;
   init.MaxPendingBytes = 1U << 16;
   Holder holder;
@@ -272,23 +272,23 @@
   EXPECT_EQ(closed.wait_for(WaitLimit), std::future_status::ready);
 }
 
-TEST(HttpServer, HandlerThatForgetsIsAnsweredAsInternal) {
+TEST(HttpServer, ExchangeDroppedByItsHandlerGetsStatus500) {
   HttpFixture fixture(
       [](const HttpRequest &, const std::shared_ptr<HttpExchange> &) {});
   EXPECT_EQ(fixture.fetch({"GET", "/", "", {}, ""}).Response.Status, 500U);
 }
 
-TEST(HttpServer, StopAcceptingFinishesRunningAnswers) {
+TEST(HttpServer, StopAcceptingFinishesRunningResponses) {
   Holder holder;
   HttpFixture fixture(holder.handler());
   RawClient raw(fixture.Server.port());
   raw.send("GET / HTTP/1.1\r\nHost: a\r\n\r\n");
   auto exchange = holder.Arrived.get_future().get();
   fixture.Server.stopAccepting();
-  EXPECT_EQ(fixture.Server.unsentAnswers(), 1U);
+  EXPECT_EQ(fixture.Server.unsentResponses(), 1U);
   exchange->respond({200, {}, "whole"});
   std::string answer = raw.readAll();
-  EXPECT_EQ(fixture.Server.unsentAnswers(), 0U);
+  EXPECT_EQ(fixture.Server.unsentResponses(), 0U);
   EXPECT_TRUE(answer.ends_with("whole")) << answer;
   EXPECT_NE(answer.find("Connection: close"), std::string::npos);
 }
--- a/tests/net_http/sse_test.cpp
+++ b/tests/net_http/sse_test.cpp
@@ -19,9 +19,9 @@
 TEST(Sse, ReadsFieldsCommentsAndAllLineEnds) {
   std::string text = ": comment\nevent: error\r\nid:7\rdata: a\ndata:  b\n\n"
                      "data\n\nretry: 5\n\ndata: last";
-  std::vector<SseEvent> want{{"error", "7", "a\n b"}, {"", "", ""}};
+  std::vector<SseEvent> expected{{"error", "7", "a\n b"}, {"", "", ""}};
   for (size_t step = 1; step < text.size(); ++step)
-    EXPECT_EQ(parse(text, step), want) << step;
+    EXPECT_EQ(parse(text, step), expected) << step;
 }
 
 TEST(Sse, TooLargeEventFails) {
@@ -32,7 +32,7 @@
   EXPECT_FALSE(parser.feed("\n\n", [](const SseEvent &) { FAIL(); }));
 }
 
-RC_GTEST_PROP(Sse, WhatIsWrittenIsRead, ()) {
+RC_GTEST_PROP(Sse, FormattedEventsParseBack, ()) {
   auto lines = *rc::gen::container<std::vector<std::string>>(
       rc::gen::container<std::string>(rc::gen::inRange(' ', '~')));
   SseEvent event{"e", "1.2", ""};
--- a/tools/entry/caller_http.h
+++ b/tools/entry/caller_http.h
@@ -25,7 +25,7 @@
   uint16_t port() const { return Server.port(); }
   void stopAccepting() { Server.stopAccepting(); }
   /// Answers that have not wholly been given to their sockets.
-  size_t unsentAnswers() const { return Server.unsentAnswers(); }
+  size_t unsentAnswers() const { return Server.unsentResponses(); }
 
 private:
   /// One request on its way to a flow.
