--- a/src/net/frame_crypto.cpp
+++ b/src/net/frame_crypto.cpp
@@ -116,7 +116,7 @@
 };
 
 FrameMac::FrameMac(std::string_view sessionKey)
-    : Keyed(std::make_unique<Context>(sessionKey)) {}
+    : KeyedContext(std::make_unique<Context>(sessionKey)) {}
 
 FrameMac::~FrameMac() = default;
 
@@ -127,12 +127,13 @@
   std::array<unsigned char, 32> full{};
   size_t written = 0;
   // A null key starts over with the key already set, at no cost of a new one.
-  EVP_MAC_init(Keyed->Handle, nullptr, 0, nullptr);
-  EVP_MAC_update(Keyed->Handle, number.data(), number.size());
-  EVP_MAC_update(Keyed->Handle,
+  EVP_MAC_init(KeyedContext->Handle, nullptr, 0, nullptr);
+  EVP_MAC_update(KeyedContext->Handle, number.data(), number.size());
+  EVP_MAC_update(KeyedContext->Handle,
                  reinterpret_cast<const unsigned char *>(payload.data()),
                  payload.size());
-  if (EVP_MAC_final(Keyed->Handle, full.data(), &written, full.size()) != 1)
+  if (EVP_MAC_final(KeyedContext->Handle, full.data(), &written, full.size()) !=
+      1)
     throw std::runtime_error("HMAC-SHA256 failed");
   FrameMacValue out{};
   std::copy_n(full.begin(), out.size(), out.begin());
--- a/src/net/frame_crypto.h
+++ b/src/net/frame_crypto.h
@@ -63,7 +63,7 @@
   FrameMacValue compute(std::string_view payload) const;
 
   struct Context;
-  std::unique_ptr<Context> Keyed;
+  std::unique_ptr<Context> KeyedContext;
   uint64_t Sequence = 0;
 };
 
--- a/src/net/frame_session.cpp
+++ b/src/net/frame_session.cpp
@@ -102,8 +102,8 @@
   if (Keys.empty())
     return finish({ErrorKind::Unauthenticated, "no peer key is set"});
   tuneSocket(Stream.native_handle());
-  Own = {Role, randomNonce(), Keys.front().Id};
-  std::string hello = encodeFrameHello(Own);
+  OwnHello = {Role, randomNonce(), Keys.front().Id};
+  std::string hello = encodeFrameHello(OwnHello);
   appendFrameLength(Output, hello.size());
   Output.append(hello);
   startWrite();
@@ -187,8 +187,8 @@
     return finish({ErrorKind::Unauthenticated,
                    "peer signs with a key that is not in the settings"});
   bool connector = Role == FrameRole::Connector;
-  const FrameHello &first = connector ? Own : *peer;
-  const FrameHello &second = connector ? *peer : Own;
+  const FrameHello &first = connector ? OwnHello : *peer;
+  const FrameHello &second = connector ? *peer : OwnHello;
   SendMac = std::make_unique<FrameMac>(
       frameSessionKey(Keys.front().Secret, Role, first, second));
   ReceiveMac = std::make_unique<FrameMac>(
--- a/src/net/frame_session.h
+++ b/src/net/frame_session.h
@@ -61,7 +61,7 @@
 
   // Used on the strand only.
   Phase State = Phase::Hello;
-  FrameHello Own;
+  FrameHello OwnHello;
   std::unique_ptr<FrameMac> SendMac;
   std::unique_ptr<FrameMac> ReceiveMac;
   std::vector<char> Input;
--- a/src/net/http_socket.cpp
+++ b/src/net/http_socket.cpp
@@ -33,8 +33,8 @@
   auto n = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (n > 0)
     return PeerState::HasData;
-  bool nothingYet = n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-  return nothingYet ? PeerState::NoData : PeerState::Closed;
+  bool wouldBlock = n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  return wouldBlock ? PeerState::NoData : PeerState::Closed;
 }
 
 bool toTcp(const Endpoint &endpoint, tcp::endpoint &out) {
--- a/tests/net_datagram/datagram_test.cpp
+++ b/tests/net_datagram/datagram_test.cpp
@@ -20,7 +20,7 @@
   return from.seal(payload, reason).value_or("");
 }
 
-TEST(DatagramSeal, RoundTripsAndRejectsRepetition) {
+TEST(DatagramSeal, RoundTripsAndRejectsReplay) {
   DatagramSeal alice({Old}, Alice);
   DatagramSeal bob({Old}, Bob);
   std::string bytes = sealed(alice, "hello");
@@ -47,7 +47,7 @@
   }
 }
 
-TEST(DatagramSeal, KeyChangesWithoutStopping) {
+TEST(DatagramSeal, KeysCanBeRotatedWithoutDowntime) {
   DatagramSeal alice({Old}, Alice);
   DatagramSeal bob({Old}, Bob);
   Error reason;
--- a/tests/net_frame/frame_link_test.cpp
+++ b/tests/net_frame/frame_link_test.cpp
@@ -158,7 +158,7 @@
   EXPECT_EQ(link->pendingBytes(), 0U);
 }
 
-TEST_F(FrameLinkTest, CloseDeliversWhatWasQueued) {
+TEST_F(FrameLinkTest, CloseDeliversQueuedFrames) {
   auto link = connect(serve({OldKey}), {OldKey}, Connecting);
   ASSERT_TRUE(Connecting.waitFor([&] { return Connecting.Opened == 1; }));
   link->send("last words");
@@ -190,7 +190,7 @@
   EXPECT_TRUE(Accepting.Frames.empty());
 }
 
-TEST_F(FrameLinkTest, AcceptsBothKeysDuringAChange) {
+TEST_F(FrameLinkTest, AcceptsBothKeysDuringRotation) {
   uint16_t port = serve({OldKey, NewKey});
   Recorder &first = addRecorder();
   auto link = connect(port, {OldKey}, first);
--- a/tests/net_http/client_test.cpp
+++ b/tests/net_http/client_test.cpp
@@ -105,7 +105,7 @@
   kept.reset();
 }
 
-TEST(HttpClient, CancelEndsCallAndServerSeesIt) {
+TEST(HttpClient, CancelEndsCallAndClosesConnection) {
   std::promise<void> closed;
   std::promise<void> arrived;
   std::shared_ptr<HttpExchange> kept;
