--- a/tools/agent/agent_daemon.h
+++ b/tools/agent/agent_daemon.h
@@ -1,9 +1,9 @@
 /// The parts of a running daisytack-agent and how they are tied together.
 #pragma once
 
+#include "agent_driver.h"
 #include "agent_metrics.h"
 #include "agent_operators.h"
-#include "agent_shell.h"
 #include "base/metrics.h"
 #include "runtime/control_runtime.h"
 
--- a/tools/agent/agent_shell.cpp
+++ b/tools/agent/agent_driver.cpp
@@ -1,4 +1,4 @@
-#include "agent_shell.h"
+#include "agent_driver.h"
 
 #include "base/clock.h"
 #include "base/digest.h"
--- a/tools/agent/agent_operators.h
+++ b/tools/agent/agent_operators.h
@@ -1,7 +1,7 @@
 /// What an agent shows to operators, from its published snapshot.
 #pragma once
 
-#include "agent_shell.h"
+#include "agent_driver.h"
 #include "runtime/operator_http.h"
 
 namespace daisytack::agent {
--- a/tools/entry/caller_http.h
+++ b/tools/entry/caller_http.h
@@ -3,10 +3,10 @@
 #pragma once
 
 #include "active_request.h"
-#include "caller_reader.h"
+#include "caller_request_parser.h"
 #include "entry_state.h"
 #include "net/http_server.h"
-#include "ticket_desk.h"
+#include "ticket_client.h"
 
 #include <tbb/task_arena.h>
 
--- a/tools/entry/caller_reader.cpp
+++ b/tools/entry/caller_request_parser.cpp
@@ -1,4 +1,4 @@
-#include "caller_reader.h"
+#include "caller_request_parser.h"
 
 #include "base/clock.h"
 #include "serve/caller_prompt.h"
--- a/tools/entry/entry_shell.cpp
+++ b/tools/entry/entry_daemon.cpp
@@ -1,4 +1,4 @@
-#include "entry_shell.h"
+#include "entry_daemon.h"
 
 #include "base/clock.h"
 #include "base/digest.h"
--- a/tools/entry/entry_shell.h
+++ b/tools/entry/entry_daemon.h
@@ -10,7 +10,7 @@
 #include "net/timer.h"
 #include "runtime/control_runtime.h"
 #include "runtime/operator_http.h"
-#include "ticket_desk.h"
+#include "ticket_client.h"
 
 #include <functional>
 #include <memory>
--- a/tools/entry/entry_state.h
+++ b/tools/entry/entry_state.h
@@ -12,9 +12,9 @@
 #include "decide/routing.h"
 #include "entry_metrics.h"
 #include "entry_options.h"
-#include "heard_loads.h"
-#include "limit_desk.h"
-#include "request_board.h"
+#include "latest_load_reports.h"
+#include "limit_enforcer.h"
+#include "request_registry.h"
 #include "serve/caller_ids.h"
 #include "serve/request_flow.h"
 
--- a/tools/entry/heard_loads.cpp
+++ b/tools/entry/latest_load_reports.cpp
@@ -1,4 +1,4 @@
-#include "heard_loads.h"
+#include "latest_load_reports.h"
 
 namespace daisytack::entry {
 
--- a/tools/entry/limit_desk.cpp
+++ b/tools/entry/limit_enforcer.cpp
@@ -1,4 +1,4 @@
-#include "limit_desk.h"
+#include "limit_enforcer.h"
 
 #include "base/clock.h"
 #include "base/digest.h"
--- a/tools/entry/main.cpp
+++ b/tools/entry/main.cpp
@@ -1,6 +1,6 @@
 // daisytack-entry: callers' HTTP on one side; agents, or backend servers
 // themselves, on the other.
-#include "entry_shell.h"
+#include "entry_daemon.h"
 #include "gateway/gateway.h"
 #include "platform/kv_store.h"
 #include "platform/protocol.h"
--- a/tools/entry/request_board.cpp
+++ b/tools/entry/request_registry.cpp
@@ -1,4 +1,4 @@
-#include "request_board.h"
+#include "request_registry.h"
 
 #include "base/digest.h"
 
--- a/tools/entry/ticket_desk.cpp
+++ b/tools/entry/ticket_client.cpp
@@ -1,4 +1,4 @@
-#include "ticket_desk.h"
+#include "ticket_client.h"
 
 #include "base/clock.h"
 #include "base/digest.h"
--- a/tools/entry/ticket_fetch.h
+++ b/tools/entry/ticket_fetch.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "net/timer.h"
-#include "ticket_desk.h"
+#include "ticket_client.h"
 
 #include <boost/asio/strand.hpp>
 
