--- a/tests/operators/operator_http_test.cpp
+++ b/tests/operators/operator_http_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr Duration CallTimeout{10'000'000};
 /// No port of this test's fleet answers there.
-constexpr uint16_t DeadPort = 1;
+constexpr uint16_t ClosedPort = 1;
 
 std::string jsonText(std::string_view text) {
   return boost::json::serialize(boost::json::object{{"text", text}});
@@ -38,7 +38,7 @@
     Fleet.Organisations.push_back({"acme", std::string(64, 'a')});
     for (const char *name : {"entry-1", "entry-2", "agent-1"})
       start(name);
-    addAgent("agent-2", DeadPort);
+    addAgent("agent-2", ClosedPort);
     publish();
   }
 
@@ -90,9 +90,9 @@
       done(Result);
     };
     out.GatherInForce = [this](uint64_t revision, Duration, const auto &done) {
-      ++ForceAsked;
-      ForceRevision = revision;
-      control::RolloutReport report{4, 4, ForceAsked < 3 ? 3U : 4U, {}};
+      ++InForceQueries;
+      InForceRevision = revision;
+      control::RolloutReport report{4, 4, InForceQueries < 3 ? 3U : 4U, {}};
       done(report);
     };
     return out;
@@ -127,7 +127,8 @@
     return out.value_or(net::HttpResponse{});
   }
 
-  query::Answer ask(const std::string &text, const std::string &key = "vera") {
+  query::Answer runQuery(const std::string &text,
+                         const std::string &key = "vera") {
     auto response = call("entry-1", "POST", "/v1/query", jsonText(text), key);
     EXPECT_EQ(response.Status, 200U) << response.Body;
     Error reason;
@@ -136,8 +137,8 @@
     return answer.value_or(query::Answer{});
   }
 
-  net::HttpResponse order(const std::string &text,
-                          const std::string &key = "anna") {
+  net::HttpResponse sendCommand(const std::string &text,
+                                const std::string &key = "anna") {
     return call("entry-1", "POST", "/v1/command", jsonText(text), key);
   }
 
@@ -158,8 +159,8 @@
   std::vector<control::Command> Proposed;
   control::CommandResult Result{
       control::CommandOutcome::Applied, 7, {}, std::nullopt};
-  size_t ForceAsked = 0;
-  uint64_t ForceRevision = 0;
+  size_t InForceQueries = 0;
+  uint64_t InForceRevision = 0;
 };
 
 } // namespace
@@ -176,7 +177,7 @@
   EXPECT_NE(response.Body.find("no configuration yet"), std::string::npos);
 }
 
-TEST_F(OperatorRoutes, RefusesWithTheRightKind) {
+TEST_F(OperatorRoutes, ErrorResponsesHaveTheRightStatus) {
   EXPECT_EQ(call("entry-1", "GET", "/nowhere").Status, 404U);
   EXPECT_EQ(call("entry-1", "GET", "/v1/query", "", "vera").Status, 405U);
   EXPECT_EQ(call("entry-1", "GET", "/v1/events").Status, 401U);
@@ -188,16 +189,16 @@
   EXPECT_NE(wrong.Body.find("column 6"), std::string::npos) << wrong.Body;
 }
 
-TEST_F(OperatorRoutes, RolesPermitNoMoreThanTheyShould) {
-  EXPECT_EQ(order("drain agent-1", "vera").Status, 403U);
-  EXPECT_EQ(order("drain agent-1", "otto").Status, 200U);
-  EXPECT_EQ(order("purge acme", "otto").Status, 403U);
-  EXPECT_EQ(order("purge acme", "anna").Status, 200U);
-  EXPECT_EQ(order("purge acme", "first").Status, 200U);
+TEST_F(OperatorRoutes, CommandsRequireTheRightRole) {
+  EXPECT_EQ(sendCommand("drain agent-1", "vera").Status, 403U);
+  EXPECT_EQ(sendCommand("drain agent-1", "otto").Status, 200U);
+  EXPECT_EQ(sendCommand("purge acme", "otto").Status, 403U);
+  EXPECT_EQ(sendCommand("purge acme", "anna").Status, 200U);
+  EXPECT_EQ(sendCommand("purge acme", "first").Status, 200U);
   EXPECT_EQ(Proposed.back().Operator, "bootstrap");
 }
 
-TEST_F(OperatorRoutes, EventsArePagedWithTheirSequence) {
+TEST_F(OperatorRoutes, EventsArePagedBySequenceNumber) {
   for (int i = 0; i < 10; ++i)
     Processes["agent-1"].Ring->record({});
   auto body = call("agent-1", "GET", "/v1/events?from=0&limit=3", "", "vera");
@@ -207,33 +208,34 @@
   EXPECT_EQ(page.at("events").as_array().size(), 3U);
 }
 
-TEST_F(OperatorRoutes, GathersOverTheFleetAndNamesTheSilent) {
+TEST_F(OperatorRoutes, QueriesAllInstancesAndListsFailures) {
   Processes["agent-1"].Rows = {row(query::RequestState::Waiting),
                                row(query::RequestState::Running)};
-  query::Answer it = ask("show waiting");
+  query::Answer it = runQuery("show waiting");
   EXPECT_EQ(it.Queried, 2U);
   EXPECT_EQ(it.Answered, 1U);
   ASSERT_EQ(it.Failures.size(), 1U);
   EXPECT_EQ(it.Failures[0].Name, "agent-2");
   EXPECT_EQ(it.Rows.Rows.size(), 1U);
-  EXPECT_EQ(ask("show running count").Rows.Rows[0][0], query::Cell(int64_t{1}));
+  EXPECT_EQ(runQuery("show running count").Rows.Rows[0][0],
+            query::Cell(int64_t{1}));
 }
 
-TEST_F(OperatorRoutes, PagesAfterWholeInstances) {
+TEST_F(OperatorRoutes, PagesEndAtInstanceBoundaries) {
   for (const char *name : {"entry-1", "entry-2"})
     Processes[name].Rows.assign(2, row(query::RequestState::Offered));
-  query::Answer first = ask("show requests limit 1");
+  query::Answer first = runQuery("show requests limit 1");
   EXPECT_EQ(first.Next, "entry-1");
   EXPECT_TRUE(first.Truncated);
-  query::Answer all = ask("show requests limit 2");
+  query::Answer all = runQuery("show requests limit 2");
   EXPECT_EQ(all.Rows.Rows.size(), 2U);
   EXPECT_EQ(all.Next, "entry-1");
-  query::Answer last = ask("show requests limit 2 after entry-1");
+  query::Answer last = runQuery("show requests limit 2 after entry-1");
   EXPECT_EQ(last.Rows.Rows.size(), 2U);
   EXPECT_EQ(last.Next, "");
 }
 
-TEST_F(OperatorRoutes, OneRequestTouchesItsEntryAndItsServersAlone) {
+TEST_F(OperatorRoutes, RequestQueryContactsOnlyItsEntryAndServers) {
   RequestId id = makeRequestId("entry-2", [] { return uint64_t{9}; });
   Event offered;
   offered.Kind = EventKind::RequestOffered;
@@ -242,24 +244,24 @@
   Processes["entry-2"].Ring->record(offered);
   Processes["agent-1"].Rows = {row(query::RequestState::Running, id),
                                row(query::RequestState::Running)};
-  query::Answer it = ask("show running where request = " + toHex(id));
+  query::Answer it = runQuery("show running where request = " + toHex(id));
   EXPECT_EQ(it.Queried, 1U);
   EXPECT_EQ(it.Rows.Rows.size(), 1U);
-  query::Answer events = ask("show events where request = " + toHex(id));
+  query::Answer events = runQuery("show events where request = " + toHex(id));
   EXPECT_EQ(events.Queried, 2U);
   EXPECT_EQ(events.Rows.Rows.size(), 1U);
 }
 
-TEST_F(OperatorRoutes, OverwrittenEventsShowAsGaps) {
+TEST_F(OperatorRoutes, OverwrittenEventsAreReportedAsGaps) {
   for (int i = 0; i < 10; ++i)
     Processes["entry-2"].Ring->record({});
-  query::Answer it = ask("show events where instance = entry-2");
+  query::Answer it = runQuery("show events where instance = entry-2");
   ASSERT_EQ(it.Gaps.size(), 1U);
   EXPECT_EQ(it.Gaps[0].Instance, "entry-2");
   EXPECT_EQ(it.Gaps[0].Lost, 2U);
 }
 
-TEST_F(OperatorRoutes, CommandsTellTheirOutcome) {
+TEST_F(OperatorRoutes, CommandResponseReportsTheOutcome) {
   struct {
     control::CommandOutcome Outcome;
     ErrorKind Kind;
@@ -275,26 +277,26 @@
   };
   for (const auto &it : rows) {
     Result = {it.Outcome, 7, {it.Kind, "why", {}}, std::nullopt};
-    auto response = order("drain agent-1");
+    auto response = sendCommand("drain agent-1");
     EXPECT_EQ(response.Status, it.Status);
     EXPECT_NE(response.Body.find(control::commandOutcomeName(it.Outcome)),
               std::string::npos);
   }
-  EXPECT_EQ(order("drain agent-9").Status, 404U);
+  EXPECT_EQ(sendCommand("drain agent-9").Status, 404U);
 }
 
-TEST_F(OperatorRoutes, AConflictShowsTheOtherChange) {
+TEST_F(OperatorRoutes, ConflictReportsTheOtherChange) {
   control::OtherChange other{{Id128{1, 2}, "otto"}, 9, "{}"};
   Result = {control::CommandOutcome::Conflict,
             0,
             {ErrorKind::Conflict, "changed", {}},
             other};
-  auto body = boost::json::parse(order("drain agent-1").Body);
+  auto body = boost::json::parse(sendCommand("drain agent-1").Body);
   EXPECT_EQ(body.at("other").at("operator").as_string(), "otto");
   EXPECT_EQ(body.at("other").at("revision").to_number<int>(), 9);
 }
 
-TEST_F(OperatorRoutes, APurgeThatFailsHalfwaySaysHowFarItGot) {
+TEST_F(OperatorRoutes, FailedPurgeReportsItsProgress) {
   ReusePolicy policy;
   policy.Organisation = "acme";
   policy.Class = "bulletin";
@@ -302,7 +304,7 @@
   publish();
   Result.Outcome = control::CommandOutcome::Unknown;
   Result.Reason = {ErrorKind::ServiceUnknown, "silent", {}};
-  auto body = boost::json::parse(order("purge acme").Body);
+  auto body = boost::json::parse(sendCommand("purge acme").Body);
   EXPECT_EQ(body.at("planned").to_number<int>(), 2);
   EXPECT_EQ(body.at("changes").to_number<int>(), 0);
   EXPECT_EQ(Proposed.size(), 1U);
@@ -311,30 +313,31 @@
 TEST_F(OperatorRoutes, WaitsUntilAChangeIsInForce) {
   std::string body = R"({"text": "drain agent-1", "wait_ms": 5000})";
   auto response = call("entry-1", "POST", "/v1/command", body, "otto");
-  auto force = boost::json::parse(response.Body).at("in_force");
-  EXPECT_EQ(force.at("in_force").to_number<int>(), 4);
-  EXPECT_EQ(ForceAsked, 3U);
+  auto inForce = boost::json::parse(response.Body).at("in_force");
+  EXPECT_EQ(inForce.at("in_force").to_number<int>(), 4);
+  EXPECT_EQ(InForceQueries, 3U);
 }
 
-TEST_F(OperatorRoutes, WaitingForWhatAlreadyWasSoAsksForTheRevisionInForce) {
+TEST_F(OperatorRoutes, UnchangedCommandWaitsForTheCurrentRevision) {
   Fleet.ConfigRevision = 42;
   publish();
   Result = {control::CommandOutcome::Unchanged, 0, {}, std::nullopt};
   std::string body = R"({"text": "drain agent-1", "wait_ms": 5000})";
   call("entry-1", "POST", "/v1/command", body, "otto");
-  EXPECT_EQ(ForceRevision, 42U);
+  EXPECT_EQ(InForceRevision, 42U);
 }
 
-TEST_F(OperatorRoutes, StopReachesTheEntriesConcerned) {
+TEST_F(OperatorRoutes, StopIsSentToTheResponsibleEntries) {
   Processes["entry-1"].Stopped = 2;
   Processes["entry-2"].Stopped = 3;
-  auto all = boost::json::parse(order("stop class bulletin", "otto").Body);
+  auto all =
+      boost::json::parse(sendCommand("stop class bulletin", "otto").Body);
   EXPECT_EQ(all.at("stopped").to_number<int>(), 5);
   RequestId id = makeRequestId("entry-2", [] { return uint64_t{9}; });
-  auto one = boost::json::parse(order("stop " + toHex(id), "otto").Body);
+  auto one = boost::json::parse(sendCommand("stop " + toHex(id), "otto").Body);
   EXPECT_EQ(one.at("stopped").to_number<int>(), 3);
   RequestId gone = makeRequestId("entry-9", [] { return uint64_t{9}; });
-  EXPECT_EQ(order("stop " + toHex(gone), "otto").Status, 404U);
+  EXPECT_EQ(sendCommand("stop " + toHex(gone), "otto").Status, 404U);
 }
 
 TEST(Answers, RoundTripThroughJson) {
--- a/tools/agent/agent_daemon.cpp
+++ b/tools/agent/agent_daemon.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-AgentOptions withProcess(AgentOptions options) {
+AgentOptions withProcessId(AgentOptions options) {
   Incarnation process = randomId(secureRandom);
   options.Core.Process = process;
   options.Instance.Control.Process = process;
   return options;
 }
 
-uint32_t serversOfModel(const Snapshot &snapshot, const std::string &model) {
+uint32_t countServersOfModel(const Snapshot &snapshot,
+                             const std::string &model) {
   uint32_t out = 0;
   for (const daisytack::Server &it : snapshot.Servers)
     if (!it.IsService && it.Serves == model && it.State != MemberState::Gone)
@@ -29,24 +30,24 @@
 } // namespace
 
 AgentDaemon::AgentDaemon(boost::asio::io_context &io, AgentOptions options)
-    : Options(withProcess(std::move(options))), Figures(Series),
+    : Options(withProcessId(std::move(options))), Counters(Registry),
       Events(EventRingSize, wallNow), PlatformClient(io, net::HttpClientInit()),
       KeyValue(edge::makeEtcdStore(PlatformClient, Options.Instance.KeyValue)),
-      Shell(io, Options, KeyValue,
-            [this](Event event) { record(std::move(event)); },
-            {[this] { return Events.stamp(); },
-             [this](const HybridTime &at) { Events.observe(at); }}),
+      Driver(io, Options, KeyValue,
+             [this](Event event) { record(std::move(event)); },
+             {[this] { return Events.stamp(); },
+              [this](const HybridTime &at) { Events.observe(at); }}),
       Control(
           io, Options.Instance.Control, KeyValue,
           edge::makeHttpInstanceList(PlatformClient,
                                      Options.Instance.InstanceList),
-          Series, [this](Event event) { record(std::move(event)); },
+          Registry, [this](Event event) { record(std::move(event)); },
           secureRandom),
       Operators(io,
                 {Options.Core.Instance, Options.Operators,
-                 operatorHooks(Shell, Options), runtime::controlHooks(Control),
+                 operatorHooks(Driver, Options), runtime::controlHooks(Control),
                  wallNow, secureRandom},
-                Series, Events, PlatformClient) {}
+                Registry, Events, PlatformClient) {}
 
 AgentDaemon::~AgentDaemon() = default;
 
@@ -54,19 +55,20 @@
   Control.onPublished([this](const std::shared_ptr<const Snapshot> &snapshot) {
     onSnapshot(*snapshot);
   });
-  Shell.onPublished(
-      [this](const serve::AgentSnapshot &snapshot) { Figures.show(snapshot); });
-  return Shell.start(reason) && Control.start(reason) &&
+  Driver.onPublished([this](const serve::AgentSnapshot &snapshot) {
+    Counters.updateGauges(snapshot);
+  });
+  return Driver.start(reason) && Control.start(reason) &&
          Operators.start(reason);
 }
 
 void AgentDaemon::drain(std::function<void()> done) {
   Control.leave();
-  Shell.drain(std::move(done));
+  Driver.drain(std::move(done));
 }
 
 void AgentDaemon::record(Event event) {
-  Figures.count(event);
+  Counters.count(event);
   Events.record(std::move(event));
 }
 
@@ -83,8 +85,8 @@
   }
   if (const Pool *pool = snapshot.pool(Options.Core.Serves, false))
     out.ServersInService = static_cast<uint32_t>(pool->Servers.size());
-  out.ServersOfModel = serversOfModel(snapshot, Options.Core.Serves);
-  Shell.push(out);
+  out.ServersOfModel = countServersOfModel(snapshot, Options.Core.Serves);
+  Driver.push(out);
 }
 
 } // namespace daisytack::agent
--- a/tools/agent/agent_daemon.h
+++ b/tools/agent/agent_daemon.h
@@ -25,12 +25,12 @@
   void onSnapshot(const Snapshot &snapshot);
 
   AgentOptions Options;
-  Metrics Series;
-  AgentMetrics Figures;
+  Metrics Registry;
+  AgentMetrics Counters;
   EventRing Events;
   net::HttpClient PlatformClient;
   edge::KvStore KeyValue;
-  AgentShell Shell;
+  AgentDriver Driver;
   runtime::ControlRuntime Control;
   runtime::OperatorHttp Operators;
 };
--- a/tools/agent/agent_driver.cpp
+++ b/tools/agent/agent_driver.cpp
@@ -15,7 +15,7 @@
 
 /// Inputs applied before other work gets its turn.
 constexpr int MaxInputsPerStep = 256;
-constexpr std::chrono::milliseconds FlushCheck{5};
+constexpr std::chrono::milliseconds FlushCheckInterval{5};
 
 net::HttpClientInit clientInit(const AgentOptions &options) {
   net::HttpClientInit out;
@@ -55,12 +55,12 @@
 
 } // namespace
 
-AgentShell::AgentShell(boost::asio::io_context &io, AgentOptions options,
-                       edge::KvStore keyValue, EventSink events,
-                       wire::HybridClockHooks stamps)
+AgentDriver::AgentDriver(boost::asio::io_context &io, AgentOptions options,
+                         edge::KvStore keyValue, EventSink events,
+                         wire::HybridClockHooks clockHooks)
     : Io(io), Strand(boost::asio::make_strand(io)), Options(std::move(options)),
       KeyValue(std::move(keyValue)), Events(std::move(events)),
-      Stamps(std::move(stamps)), Client(io, clientInit(Options)),
+      ClockHooks(std::move(clockHooks)), Client(io, clientInit(Options)),
       Server(io, Options.Instance.Control.Self.Work,
              Options.Instance.Control.Keys, linkHooks()),
       Timer(Strand), FlushTimer(Strand), Core(Options.Core, secureRandom),
@@ -74,23 +74,23 @@
   Stores = edge::makeHttpStores(Client, storeAddresses(Options), sink);
 }
 
-AgentShell::~AgentShell() = default;
+AgentDriver::~AgentDriver() = default;
 
-bool AgentShell::start(Error &reason) {
+bool AgentDriver::start(Error &reason) {
   if (!Server.start(reason))
     return false;
   push(serve::TimerFired{wallNow()});
   return true;
 }
 
-void AgentShell::drain(std::function<void()> done) {
+void AgentDriver::drain(std::function<void()> done) {
   boost::asio::post(Strand, [this, done = std::move(done)]() mutable {
-    Drained = std::move(done);
+    OnDrained = std::move(done);
     push(serve::DrainRequested{});
   });
 }
 
-net::FrameHooks AgentShell::linkHooks() {
+net::FrameHooks AgentDriver::linkHooks() {
   net::FrameHooks out;
   out.Opened = [this](const std::shared_ptr<net::FrameLink> &link) {
     push(serve::LinkOpened{Links.add(link)});
@@ -105,13 +105,13 @@
   return out;
 }
 
-void AgentShell::onFrame(const std::shared_ptr<net::FrameLink> &link,
-                         std::string_view frame) {
+void AgentDriver::onFrame(const std::shared_ptr<net::FrameLink> &link,
+                          std::string_view frame) {
   auto handle = Links.find(link.get());
   if (!handle)
     return;
   Error reason;
-  auto bytes = wire::stripTimestamp(Stamps, frame, reason);
+  auto bytes = wire::stripTimestamp(ClockHooks, frame, reason);
   auto message =
       bytes ? wire::decode<wire::Message>(*bytes, reason) : std::nullopt;
   if (!message) {
@@ -124,13 +124,13 @@
   push(serve::LinkMessage{*handle, std::move(*message)});
 }
 
-void AgentShell::push(serve::AgentInput input) {
+void AgentDriver::push(serve::AgentInput input) {
   Inputs.push(std::move(input));
   if (!IsScheduled.exchange(true))
     boost::asio::post(Strand, [this] { step(); });
 }
 
-void AgentShell::step() {
+void AgentDriver::step() {
   IsScheduled.store(false);
   serve::AgentInput input;
   int n = 0;
@@ -144,18 +144,18 @@
     boost::asio::post(Strand, [this] { step(); });
   Ready.store(Core.isReady(), std::memory_order_relaxed);
   setTimer();
-  showSnapshot();
+  publishSnapshot();
   checkDrained();
 }
 
-void AgentShell::showSnapshot() {
-  if (Reader.get() == Shown || !Published)
+void AgentDriver::publishSnapshot() {
+  if (Reader.get() == LastPublished || !OnPublished)
     return;
-  Shown = Reader.get();
-  Published(*Shown);
+  LastPublished = Reader.get();
+  OnPublished(*LastPublished);
 }
 
-void AgentShell::setTimer() {
+void AgentDriver::setTimer() {
   std::optional<TimePoint> next = Core.nextTimer();
   if (next == TimerAt)
     return;
@@ -174,62 +174,62 @@
 }
 
 /// The last answers may still wait in the connections' buffers.
-void AgentShell::checkDrained() {
-  if (!Drained || !Core.isDrained())
+void AgentDriver::checkDrained() {
+  if (!OnDrained || !Core.isDrained())
     return;
   if (Links.pendingBytes() == 0) {
-    std::exchange(Drained, nullptr)();
+    std::exchange(OnDrained, nullptr)();
     return;
   }
-  FlushTimer.expires_after(FlushCheck);
+  FlushTimer.expires_after(FlushCheckInterval);
   FlushTimer.async_wait([this](boost::system::error_code ec) {
     if (!ec)
       checkDrained();
   });
 }
 
-void AgentShell::perform(serve::AgentAction &action) {
+void AgentDriver::perform(serve::AgentAction &action) {
   std::visit([this](auto &it) { perform(it); }, action);
 }
 
-void AgentShell::perform(const serve::SendMessage &action) {
+void AgentDriver::perform(const serve::SendMessage &action) {
   if (auto link = Links.find(action.Link))
-    link->send(wire::prependTimestamp(Stamps, wire::encode(action.Body)));
+    link->send(wire::prependTimestamp(ClockHooks, wire::encode(action.Body)));
 }
-void AgentShell::perform(const serve::StartRun &action) {
+void AgentDriver::perform(const serve::StartRun &action) {
   if (Options.Core.IsService)
     Service.Start(action);
   else
     Engine.Start(action);
 }
-void AgentShell::perform(const serve::CancelRun &action) {
+void AgentDriver::perform(const serve::CancelRun &action) {
   if (Options.Core.IsService)
     Service.Cancel(action.Run);
   else
     Engine.Cancel(action.Run);
 }
-void AgentShell::perform(const serve::SuspendRun &action) {
+void AgentDriver::perform(const serve::SuspendRun &action) {
   Engine.Suspend(action.Run);
 }
-void AgentShell::perform(const serve::ResumeRun &action) {
+void AgentDriver::perform(const serve::ResumeRun &action) {
   Engine.Resume(action.Run);
 }
-void AgentShell::perform(const serve::PollStatus & /*action*/) {
+void AgentDriver::perform(const serve::PollStatus & /*action*/) {
   Engine.PollStatus();
 }
-void AgentShell::perform(const serve::PollCacheEvents &action) {
+void AgentDriver::perform(const serve::PollCacheEvents &action) {
   Engine.PollCacheEvents(action);
 }
-void AgentShell::perform(const serve::ExportPiece &action) {
+void AgentDriver::perform(const serve::ExportPiece &action) {
   Engine.Export(action);
 }
-void AgentShell::perform(const serve::ImportPiece &action) {
+void AgentDriver::perform(const serve::ImportPiece &action) {
   Engine.Import(action);
 }
-void AgentShell::perform(const serve::SendOrder &action) {
+void AgentDriver::perform(const serve::SendOrder &action) {
   Engine.Order(action);
 }
-void AgentShell::perform(const serve::CallSlot &action) {
+void AgentDriver::perform(const serve::CallSlot &action) {
   auto answer = [this, number = action.Call.Number](
                     decltype(swap::SlotResult::Response) result) {
     push(serve::SlotAnswer{{number, std::move(result)}});
@@ -237,13 +237,13 @@
   Duration timeout = Options.Core.Swap.Slot.CallTimeout;
   std::visit(SlotCaller{KeyValue, timeout, answer}, action.Call.Operation);
 }
-void AgentShell::perform(const serve::CallStore &action) {
+void AgentDriver::perform(const serve::CallStore &action) {
   Stores.Call(action);
 }
-void AgentShell::perform(const serve::CancelStoreCall &action) {
+void AgentDriver::perform(const serve::CancelStoreCall &action) {
   Stores.Stop(action);
 }
-void AgentShell::perform(serve::RecordEvent &action) {
+void AgentDriver::perform(serve::RecordEvent &action) {
   Events(std::move(action.What));
 }
 
--- a/tools/agent/agent_driver.h
+++ b/tools/agent/agent_driver.h
@@ -21,12 +21,12 @@
 
 namespace daisytack::agent {
 
-class AgentShell {
+class AgentDriver {
 public:
-  AgentShell(boost::asio::io_context &io, AgentOptions options,
-             edge::KvStore keyValue, EventSink events,
-             wire::HybridClockHooks stamps);
-  ~AgentShell();
+  AgentDriver(boost::asio::io_context &io, AgentOptions options,
+              edge::KvStore keyValue, EventSink events,
+              wire::HybridClockHooks clockHooks);
+  ~AgentDriver();
 
   bool start(Error &reason);
   /// Refuses new work; done is called once everything accepted was answered and
@@ -35,7 +35,7 @@
 
   /// Called in the strand with every new snapshot. Set before start().
   void onPublished(std::function<void(const serve::AgentSnapshot &)> hook) {
-    Published = std::move(hook);
+    OnPublished = std::move(hook);
   }
   const Rcu<serve::AgentSnapshot> &snapshot() const { return Core.snapshot(); }
   bool isReady() const { return Ready.load(std::memory_order_relaxed); }
@@ -64,14 +64,14 @@
   void perform(serve::RecordEvent &action);
   void setTimer();
   void checkDrained();
-  void showSnapshot();
+  void publishSnapshot();
 
   boost::asio::io_context &Io;
   boost::asio::strand<boost::asio::io_context::executor_type> Strand;
   AgentOptions Options;
   edge::KvStore KeyValue;
   EventSink Events;
-  wire::HybridClockHooks Stamps;
+  wire::HybridClockHooks ClockHooks;
   LinkTable Links;
   net::HttpClient Client;
   edge::Engine Engine;
@@ -87,11 +87,11 @@
   // Touched in the strand only.
   serve::AgentCore Core;
   Rcu<serve::AgentSnapshot>::Reader Reader;
-  std::shared_ptr<const serve::AgentSnapshot> Shown;
+  std::shared_ptr<const serve::AgentSnapshot> LastPublished;
   serve::AgentActions Actions;
   std::optional<TimePoint> TimerAt;
-  std::function<void()> Drained;
-  std::function<void(const serve::AgentSnapshot &)> Published;
+  std::function<void()> OnDrained;
+  std::function<void(const serve::AgentSnapshot &)> OnPublished;
 };
 
 } // namespace daisytack::agent
--- a/tools/agent/agent_metrics.cpp
+++ b/tools/agent/agent_metrics.cpp
@@ -16,7 +16,7 @@
                                           const std::string &name,
                                           const std::string &help) {
   ByKind out{};
-  for (size_t i = 0; i < Kinds; ++i) {
+  for (size_t i = 0; i < KindCount; ++i) {
     std::string kind(errorName(static_cast<ErrorKind>(i)));
     out[i] = &metrics.counter(name, help, {{"kind", kind}});
   }
@@ -66,9 +66,9 @@
           metrics.distribution("daisytack_agent_first_token_seconds",
                                "From an offer's arrival to the first token",
                                Distribution::Unit::Seconds)),
-      Whole(metrics.distribution("daisytack_agent_run_seconds",
-                                 "From an offer's arrival to the end",
-                                 Distribution::Unit::Seconds)),
+      RunDuration(metrics.distribution("daisytack_agent_run_seconds",
+                                       "From an offer's arrival to the end",
+                                       Distribution::Unit::Seconds)),
       Running(metrics.gauge("daisytack_agent_running",
                             "Runs at the backend server")),
       Waiting(metrics.gauge("daisytack_agent_waiting", "Runs that wait")),
@@ -118,13 +118,13 @@
 
 void AgentMetrics::countFinished(const Event &event) {
   Finished[static_cast<size_t>(event.Reason)]->add();
-  Whole.observe(Duration(event.Scores[0]));
+  RunDuration.observe(Duration(event.Scores[0]));
   PromptTokens.add(scoreOf(event, 1));
   RecomputedTokens.add(scoreOf(event, 2));
   GeneratedTokens.add(scoreOf(event, 3));
 }
 
-void AgentMetrics::show(const serve::AgentSnapshot &snapshot) {
+void AgentMetrics::updateGauges(const serve::AgentSnapshot &snapshot) {
   Running.set(snapshot.Load.Running);
   Waiting.set(snapshot.Load.Waiting);
   WaitMicros.set(static_cast<int64_t>(snapshot.Load.WaitMicros));
--- a/tools/agent/agent_metrics.h
+++ b/tools/agent/agent_metrics.h
@@ -15,11 +15,12 @@
   explicit AgentMetrics(Metrics &metrics);
 
   void count(const Event &event);
-  void show(const serve::AgentSnapshot &snapshot);
+  void updateGauges(const serve::AgentSnapshot &snapshot);
 
 private:
-  static constexpr size_t Kinds = static_cast<size_t>(ErrorKind::Internal) + 1;
-  using ByKind = std::array<Counter *, Kinds>;
+  static constexpr size_t KindCount =
+      static_cast<size_t>(ErrorKind::Internal) + 1;
+  using ByKind = std::array<Counter *, KindCount>;
 
   static ByKind byKind(Metrics &metrics, const std::string &name,
                        const std::string &help);
@@ -45,7 +46,7 @@
   Counter &TicketsRefused;
   Counter &PeersRejected;
   Distribution &FirstToken;
-  Distribution &Whole;
+  Distribution &RunDuration;
   Gauge &Running;
   Gauge &Waiting;
   Gauge &WaitMicros;
--- a/tools/agent/agent_operators.h
+++ b/tools/agent/agent_operators.h
@@ -7,7 +7,7 @@
 namespace daisytack::agent {
 
 /// Hooks over the shell, which must outlive them.
-runtime::OperatorHooks operatorHooks(AgentShell &shell,
+runtime::OperatorHooks operatorHooks(AgentDriver &driver,
                                      const AgentOptions &options);
 
 } // namespace daisytack::agent
--- a/tools/agent/agent_options.cpp
+++ b/tools/agent/agent_options.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr int64_t MaxRunningAtMost = MaxRunSlots;
+constexpr int64_t MaxRunningLimit = MaxRunSlots;
 /// An engine prefills one after another; what waits in it is out of reach.
 constexpr int64_t DefaultPrefills = 1;
-constexpr int64_t MaxWaitingAtMost = 1'000'000;
+constexpr int64_t MaxWaitingLimit = 1'000'000;
 
 void readServer(Settings &settings, AgentOptions &out) {
   out.Core.Serves = settings.text("agent.serves", std::nullopt);
@@ -21,13 +21,13 @@
       settings.choice("agent.kind", "model", {"model", "service"}) == "service";
   out.Server = settings.endpoint("agent.server", std::nullopt);
   out.Core.Queue.Slots = static_cast<uint32_t>(
-      settings.integer("agent.max_running", 32, 1, MaxRunningAtMost));
+      settings.integer("agent.max_running", 32, 1, MaxRunningLimit));
   // An engine prefills one after another; a plain service has no prefill.
   out.Core.MaxWaiting = static_cast<uint32_t>(
-      settings.integer("agent.max_waiting", 4096, 1, MaxWaitingAtMost));
+      settings.integer("agent.max_waiting", 4096, 1, MaxWaitingLimit));
   int64_t prefills = out.Core.IsService ? 0 : DefaultPrefills;
   out.Core.Queue.MaxPrefills = static_cast<uint32_t>(
-      settings.integer("agent.max_prefills", prefills, 0, MaxRunningAtMost));
+      settings.integer("agent.max_prefills", prefills, 0, MaxRunningLimit));
 }
 
 void readAnswers(Settings &settings, AgentOptions &out) {
--- a/tools/entry/active_request.cpp
+++ b/tools/entry/active_request.cpp
@@ -20,21 +20,21 @@
 
 } // namespace
 
-void CallerWatch::gone() {
+void DisconnectNotifier::notify() {
   std::function<void()> hook;
   {
     std::lock_guard guard(Lock);
-    IsGone = true;
+    IsDisconnected = true;
     hook.swap(Hook);
   }
   if (hook)
     hook();
 }
 
-void CallerWatch::onGone(std::function<void()> hook) {
+void DisconnectNotifier::onDisconnect(std::function<void()> hook) {
   {
     std::lock_guard guard(Lock);
-    if (!IsGone) {
+    if (!IsDisconnected) {
       Hook = std::move(hook);
       return;
     }
@@ -43,11 +43,11 @@
 }
 
 ActiveRequest::ActiveRequest(EntryState &state, RequestSpec spec,
-                             AnswerIdentity name,
+                             AnswerIdentity identity,
                              std::shared_ptr<net::HttpExchange> exchange)
     : State(state), Strand(state.Io.get_executor()), Timer(Strand),
-      Flow(std::move(spec), state.Options.Flow, hooks()), Name(std::move(name)),
-      Exchange(std::move(exchange)) {
+      Flow(std::move(spec), state.Options.Flow, hooks()),
+      Identity(std::move(identity)), Exchange(std::move(exchange)) {
   State.Counts.InFlight.add(1);
 }
 
@@ -63,20 +63,20 @@
   out.PromptTokens = spec.Offer.PromptTokens;
   out.Age = std::chrono::duration_cast<Duration>(now - spec.Arrived);
   out.Remaining = std::chrono::duration_cast<Duration>(spec.Deadline - now);
-  std::lock_guard guard(RowLock);
-  out.State = Row.State;
-  out.Server = Row.Server;
-  out.AttemptNumber = Row.AttemptNumber;
-  out.GeneratedTokens = Row.Chunks;
+  std::lock_guard guard(ProgressLock);
+  out.State = LatestProgress.State;
+  out.Server = LatestProgress.Server;
+  out.AttemptNumber = LatestProgress.AttemptNumber;
+  out.GeneratedTokens = LatestProgress.Chunks;
   return out;
 }
 
 bool ActiveRequest::isHeld() const {
-  std::lock_guard guard(RowLock);
-  return Row.State == query::RequestState::Held;
+  std::lock_guard guard(ProgressLock);
+  return LatestProgress.State == query::RequestState::Held;
 }
 
-void ActiveRequest::noteProgress() {
+void ActiveRequest::updateProgress() {
   Progress next;
   next.Chunks = Flow.chunks();
   if (Flow.isHeld())
@@ -85,19 +85,19 @@
     next.State = query::RequestState::Running;
   else if (Flow.isAccepted())
     next.State = query::RequestState::Waiting;
-  std::lock_guard guard(RowLock);
-  Row.State = next.State;
-  Row.Chunks = next.Chunks;
-  if (!Opened.empty()) {
-    Row.AttemptNumber = Opened.back().second.AttemptNumber;
-    Row.Server = Opened.back().first;
+  std::lock_guard guard(ProgressLock);
+  LatestProgress.State = next.State;
+  LatestProgress.Chunks = next.Chunks;
+  if (!OpenedAttempts.empty()) {
+    LatestProgress.AttemptNumber = OpenedAttempts.back().second.AttemptNumber;
+    LatestProgress.Server = OpenedAttempts.back().first;
   }
 }
 
 ActiveRequest::~ActiveRequest() {
   State.Counts.InFlight.add(-1);
-  State.Board.remove(this);
-  State.Limits.finished(Flow.spec().Offer.Organisation);
+  State.Requests.remove(this);
+  State.Limits.releaseSlot(Flow.spec().Offer.Organisation);
   State.Running.fetch_sub(1, std::memory_order_release);
 }
 
@@ -121,9 +121,9 @@
   return out;
 }
 
-void ActiveRequest::start(CallerWatch &watch) {
-  State.Board.add(shared_from_this());
-  watch.onGone([weak = weak_from_this()] {
+void ActiveRequest::start(DisconnectNotifier &notifier) {
+  State.Requests.add(shared_from_this());
+  notifier.onDisconnect([weak = weak_from_this()] {
     if (auto self = weak.lock())
       self->push(CallerDisconnected{});
   });
@@ -147,7 +147,7 @@
       Flow.apply(input, {routes->snapshot(), monotonicNow(), wallNow()});
   for (FlowAction &action : actions)
     std::visit([this](auto &it) { perform(it); }, action);
-  noteProgress();
+  updateProgress();
 }
 
 void ActiveRequest::openAttempt(const std::string &server, Attempt number,
@@ -162,7 +162,7 @@
     State.Attempts.insert(it, key);
     it->second = shared_from_this();
   }
-  Opened.emplace_back(server, key);
+  OpenedAttempts.emplace_back(server, key);
   State.Links.open(*to, key, std::move(message));
 }
 
@@ -183,34 +183,36 @@
 }
 
 void ActiveRequest::perform(AnswerPart &action) {
-  bool isFirst = !StreamBegun;
+  bool isFirst = !StreamStarted;
   if (isFirst) {
-    StreamBegun = true;
-    Exchange->beginStream(200, {{"Content-Type", "text/event-stream"},
-                                {"Cache-Control", "no-store"},
-                                {"X-Daisytack-Request-Id", toHex(Name.Id)}});
+    StreamStarted = true;
+    Exchange->beginStream(200,
+                          {{"Content-Type", "text/event-stream"},
+                           {"Cache-Control", "no-store"},
+                           {"X-Daisytack-Request-Id", toHex(Identity.Id)}});
   }
   const std::string &organisation = Flow.spec().Offer.Organisation;
   net::SseEvent event;
-  event.Id =
-      State.Ids.eventId(organisation, {Name.Id, action.Server, action.Index});
-  event.Data = answerPartJson(Name, action.Text, isFirst);
+  event.Id = State.Ids.eventId(organisation,
+                               {Identity.Id, action.Server, action.Index});
+  event.Data = answerPartJson(Identity, action.Text, isFirst);
   Exchange->write(net::formatSse(event));
 }
 
 void ActiveRequest::perform(AnswerEnd &action) {
-  if (!StreamBegun)
-    Exchange->beginStream(200, {{"Content-Type", "text/event-stream"},
-                                {"X-Daisytack-Request-Id", toHex(Name.Id)}});
+  if (!StreamStarted)
+    Exchange->beginStream(200,
+                          {{"Content-Type", "text/event-stream"},
+                           {"X-Daisytack-Request-Id", toHex(Identity.Id)}});
   net::SseEvent last;
-  last.Data = answerEndJson(Name, action.Summary);
+  last.Data = answerEndJson(Identity, action.Summary);
   net::SseEvent done;
   done.Data = "[DONE]";
   Exchange->write(net::formatSse(last) + net::formatSse(done));
   Exchange->endStream();
-  State.Counts.answered(ErrorKind::None);
+  State.Counts.countAnswer(ErrorKind::None);
   State.Counts.FirstToken.observe(action.Summary.FirstToken);
-  State.Counts.served(Flow.spec().Offer, action.Summary);
+  State.Counts.countServed(Flow.spec().Offer, action.Summary);
 }
 
 void ActiveRequest::respondService(WholeAnswer &action) {
@@ -220,32 +222,32 @@
   for (wire::HeaderField &it : action.Summary.ServiceHeaders)
     if (isForwardedHeader(it.Name))
       out.Headers.push_back({std::move(it.Name), std::move(it.Value)});
-  out.Headers.push_back({"X-Daisytack-Request-Id", toHex(Name.Id)});
+  out.Headers.push_back({"X-Daisytack-Request-Id", toHex(Identity.Id)});
   out.Body = std::move(action.Text);
   Exchange->respond(std::move(out));
 }
 
 void ActiveRequest::perform(WholeAnswer &action) {
-  State.Counts.answered(ErrorKind::None);
+  State.Counts.countAnswer(ErrorKind::None);
   State.Counts.FirstToken.observe(action.Summary.FirstToken);
   if (!Flow.spec().Service.empty())
     return respondService(action);
-  State.Counts.served(Flow.spec().Offer, action.Summary);
+  State.Counts.countServed(Flow.spec().Offer, action.Summary);
   const AnswerSummary &summary = action.Summary;
   net::HttpResponse out;
   out.Headers = {
       {"Content-Type", "application/json"},
-      {"X-Daisytack-Request-Id", toHex(Name.Id)},
+      {"X-Daisytack-Request-Id", toHex(Identity.Id)},
       {"X-Daisytack-First-Token-Us",
        std::to_string(summary.FirstToken.count())},
       {"X-Daisytack-Prompt-Tokens", std::to_string(summary.PromptTokens)},
       {"X-Daisytack-Recomputed-Tokens",
        std::to_string(summary.RecomputedTokens)}};
-  out.Body = wholeAnswerJson(Name, action);
+  out.Body = wholeAnswerJson(Identity, action);
   Exchange->respond(std::move(out));
 }
 
-void ActiveRequest::noteRefusal(const AnswerError &action) {
+void ActiveRequest::recordRefusal(const AnswerError &action) {
   const RequestSpec &spec = Flow.spec();
   query::RefusalRow row;
   row.Request = spec.Offer.Id;
@@ -254,18 +256,18 @@
   row.Organisation = spec.Offer.Organisation;
   row.Class = spec.Offer.Class;
   row.Model = spec.Service.empty() ? spec.Offer.Model : spec.Service;
-  State.Board.refused(std::move(row), monotonicNow());
+  State.Requests.recordRefusal(std::move(row), monotonicNow());
 }
 
 void ActiveRequest::perform(AnswerError &action) {
-  noteRefusal(action);
-  State.Counts.answered(action.Reason.Kind);
-  if (!StreamBegun)
+  recordRefusal(action);
+  State.Counts.countAnswer(action.Reason.Kind);
+  if (!StreamStarted)
     return Exchange->respond(
-        net::problemResponse(action.Reason, action.Ran, Name.Id));
+        net::problemResponse(action.Reason, action.Ran, Identity.Id));
   net::SseEvent event;
   event.Event = "error";
-  event.Data = net::problemJson(action.Reason, action.Ran, Name.Id);
+  event.Data = net::problemJson(action.Reason, action.Ran, Identity.Id);
   Exchange->write(net::formatSse(event));
   Exchange->endStream();
 }
@@ -281,18 +283,18 @@
 }
 
 void ActiveRequest::perform(ReportServer &action) {
-  State.note(action, Flow.spec());
+  State.recordServerResult(action, Flow.spec());
 }
 
 void ActiveRequest::perform(RecordEvent &action) {
   if (action.Recorded.Kind == EventKind::RequestAnswered)
-    State.Counts.Whole.observe(Duration(action.Recorded.Scores[0]));
+    State.Counts.AnswerDuration.observe(Duration(action.Recorded.Scores[0]));
   State.Events(std::move(action.Recorded));
 }
 
 void ActiveRequest::perform(FlowEnded & /*action*/) {
   Timer.cancel();
-  for (const auto &[server, key] : Opened) {
+  for (const auto &[server, key] : OpenedAttempts) {
     State.Links.close(server, key);
     State.Attempts.erase(key);
   }
--- a/tools/entry/active_request.h
+++ b/tools/entry/active_request.h
@@ -18,25 +18,25 @@
 
 /// Notices when a caller goes away, from before its request is understood.
 /// Thread-safe.
-class CallerWatch {
+class DisconnectNotifier {
 public:
-  void gone();
+  void notify();
   /// Calls the hook when the caller goes, at once if it has.
-  void onGone(std::function<void()> hook);
+  void onDisconnect(std::function<void()> hook);
 
 private:
   std::mutex Lock;
-  bool IsGone = false;
+  bool IsDisconnected = false;
   std::function<void()> Hook;
 };
 
 class ActiveRequest : public std::enable_shared_from_this<ActiveRequest> {
 public:
-  ActiveRequest(EntryState &state, RequestSpec spec, AnswerIdentity name,
+  ActiveRequest(EntryState &state, RequestSpec spec, AnswerIdentity identity,
                 std::shared_ptr<net::HttpExchange> exchange);
   ~ActiveRequest();
 
-  void start(CallerWatch &watch);
+  void start(DisconnectNotifier &notifier);
   /// Applies an input on the strand; from any thread.
   void push(FlowInput input);
 
@@ -63,7 +63,7 @@
 
   void openAttempt(const std::string &server, Attempt number,
                    wire::Message message);
-  void noteRefusal(const AnswerError &action);
+  void recordRefusal(const AnswerError &action);
   void respondService(WholeAnswer &action);
   FlowHooks hooks();
 
@@ -71,10 +71,10 @@
   boost::asio::strand<boost::asio::io_context::executor_type> Strand;
   net::Timer Timer;
   RequestFlow Flow;
-  const AnswerIdentity Name;
+  const AnswerIdentity Identity;
   std::shared_ptr<net::HttpExchange> Exchange;
-  std::vector<ServerAttempt> Opened;
-  bool StreamBegun = false;
+  std::vector<ServerAttempt> OpenedAttempts;
+  bool StreamStarted = false;
 
   /// What changes of the row; written on the strand.
   struct Progress {
@@ -83,9 +83,9 @@
     Attempt AttemptNumber = 0;
     uint32_t Chunks = 0;
   };
-  void noteProgress();
-  mutable std::mutex RowLock;
-  Progress Row;
+  void updateProgress();
+  mutable std::mutex ProgressLock;
+  Progress LatestProgress;
 };
 
 } // namespace daisytack::entry
--- a/tools/entry/agent_links.cpp
+++ b/tools/entry/agent_links.cpp
@@ -12,7 +12,7 @@
 class AgentLinks::Link : public std::enable_shared_from_this<AgentLinks::Link> {
 public:
   Link(AgentLinks &owner, std::string name)
-      : Owner(owner), Name(std::move(name)), UsedAt(monotonicNow()),
+      : Owner(owner), Name(std::move(name)), LastUsed(monotonicNow()),
         IdleTimer(owner.Io) {}
 
   void connect(const Endpoint &to) {
@@ -42,8 +42,8 @@
     std::lock_guard guard(Lock);
     if (Closed)
       return false;
-    UsedAt = now;
-    Open.insert(attempt);
+    LastUsed = now;
+    OpenAttempts.insert(attempt);
     sendLocked(std::move(message));
     return true;
   }
@@ -56,8 +56,8 @@
 
   void close(const AttemptKey &attempt, TimePoint now) {
     std::lock_guard guard(Lock);
-    Open.erase(attempt);
-    UsedAt = now;
+    OpenAttempts.erase(attempt);
+    LastUsed = now;
   }
 
   bool isClosed() const {
@@ -65,7 +65,7 @@
     return Closed;
   }
 
-  void shut() {
+  void closeTransport() {
     std::shared_ptr<net::FrameLink> transport;
     {
       std::lock_guard guard(Lock);
@@ -79,7 +79,7 @@
   /// Queues, which is no I/O.
   void sendLocked(wire::Message message) {
     if (!Process) {
-      Waiting.push_back(std::move(message));
+      PendingMessages.push_back(std::move(message));
       return;
     }
     if (auto *offer = std::get_if<wire::Offer>(&message))
@@ -88,12 +88,13 @@
   }
 
   std::string pack(const wire::Message &message) const {
-    return wire::prependTimestamp(Owner.Hooks.Stamps, wire::encode(message));
+    return wire::prependTimestamp(Owner.Hooks.ClockHooks,
+                                  wire::encode(message));
   }
 
   std::optional<wire::Message> unpack(std::string_view frame,
                                       Error &reason) const {
-    auto bytes = wire::stripTimestamp(Owner.Hooks.Stamps, frame, reason);
+    auto bytes = wire::stripTimestamp(Owner.Hooks.ClockHooks, frame, reason);
     if (!bytes)
       return std::nullopt;
     return wire::decode<wire::Message>(*bytes, reason);
@@ -104,7 +105,7 @@
     Error reason;
     std::optional<wire::Message> message = unpack(frame, reason);
     if (!message) {
-      Owner.Hooks.Rejected(reason.Kind);
+      Owner.Hooks.MessageRejected(reason.Kind);
       return link->close();
     }
     if (const auto *hello = std::get_if<wire::Hello>(&*message)) {
@@ -122,44 +123,45 @@
     std::lock_guard guard(Lock);
     Transport = link;
     Process = hello.Process;
-    for (wire::Message &message : Waiting)
+    for (wire::Message &message : PendingMessages)
       sendLocked(std::move(message));
-    Waiting.clear();
+    PendingMessages.clear();
     return true;
   }
 
   void onClosed() {
     std::unordered_set<AttemptKey, AttemptKeyHash> open;
-    bool named = false;
+    bool isIdentified = false;
     {
       std::lock_guard guard(Lock);
       Closed = true;
-      open.swap(Open);
-      named = Process.has_value();
+      open.swap(OpenAttempts);
+      isIdentified = Process.has_value();
       Transport.reset();
-      Waiting.clear();
+      PendingMessages.clear();
     }
     Owner.drop(Name, this);
     for (const AttemptKey &attempt : open)
-      Owner.Hooks.Lost(attempt, named);
+      Owner.Hooks.AttemptLost(attempt, isIdentified);
   }
 
   void watchIdle() {
-    IdleTimer.expires_after(Owner.Init.Idle);
+    IdleTimer.expires_after(Owner.Init.IdleTimeout);
     IdleTimer.async_wait(
         [weak = weak_from_this()](const boost::system::error_code &ec) {
           auto self = weak.lock();
           if (!self || ec || self->isClosed())
             return;
           if (self->isIdle())
-            return self->shut();
+            return self->closeTransport();
           self->watchIdle();
         });
   }
 
   bool isIdle() const {
     std::lock_guard guard(Lock);
-    return Open.empty() && monotonicNow() - UsedAt > Owner.Init.Idle;
+    return OpenAttempts.empty() &&
+           monotonicNow() - LastUsed > Owner.Init.IdleTimeout;
   }
 
   AgentLinks &Owner;
@@ -168,9 +170,9 @@
   std::shared_ptr<net::FrameLink> Transport;
   std::optional<Incarnation> Process; ///< Of the agent, once it said hello.
   bool Closed = false;
-  std::vector<wire::Message> Waiting;
-  std::unordered_set<AttemptKey, AttemptKeyHash> Open;
-  TimePoint UsedAt;
+  std::vector<wire::Message> PendingMessages;
+  std::unordered_set<AttemptKey, AttemptKeyHash> OpenAttempts;
+  TimePoint LastUsed;
   net::Timer IdleTimer;
 };
 
@@ -197,9 +199,9 @@
     it->second = link;
   }
   {
-    std::lock_guard guard(AllLock);
-    std::erase_if(All, [](const auto &it) { return it.expired(); });
-    All.push_back(link);
+    std::lock_guard guard(AllLinksLock);
+    std::erase_if(AllLinks, [](const auto &it) { return it.expired(); });
+    AllLinks.push_back(link);
   }
   link->connect(server.Work);
   return link;
@@ -218,7 +220,7 @@
   for (int i = 0; i < 2; ++i)
     if (findOrConnect(server)->open(attempt, message, monotonicNow()))
       return;
-  Hooks.Lost(attempt, false);
+  Hooks.AttemptLost(attempt, false);
 }
 
 void AgentLinks::send(const std::string &server, const wire::Message &message) {
@@ -234,12 +236,12 @@
 void AgentLinks::stop() {
   std::vector<std::weak_ptr<Link>> all;
   {
-    std::lock_guard guard(AllLock);
-    all.swap(All);
+    std::lock_guard guard(AllLinksLock);
+    all.swap(AllLinks);
   }
   for (const auto &it : all)
     if (std::shared_ptr<Link> link = it.lock())
-      link->shut();
+      link->closeTransport();
 }
 
 } // namespace daisytack::entry
--- a/tools/entry/agent_links.h
+++ b/tools/entry/agent_links.h
@@ -46,9 +46,11 @@
   /// A message of the agent that the entry meant; any but Hello.
   std::function<void(const std::string &server, wire::Message message)> Message;
   /// The connection broke while the attempt was open on it.
-  std::function<void(const AttemptKey &attempt, bool mayBeDelivered)> Lost;
-  std::function<void(ErrorKind)> Rejected; ///< A peer's bytes were no message.
-  wire::HybridClockHooks Stamps;
+  std::function<void(const AttemptKey &attempt, bool mayBeDelivered)>
+      AttemptLost;
+  std::function<void(ErrorKind)>
+      MessageRejected; ///< A peer's bytes were no message.
+  wire::HybridClockHooks ClockHooks;
 };
 
 struct AgentLinksInit {
@@ -56,7 +58,7 @@
   Incarnation Process;
   net::PeerKeys Keys;
   Duration ConnectTimeout{500'000};
-  Duration Idle{60'000'000};
+  Duration IdleTimeout{60'000'000};
 };
 
 /// Thread-safe.
@@ -92,8 +94,8 @@
   AgentHooks Hooks;
   LinkMap Links;
   /// The map can't be walked while links come and go.
-  std::mutex AllLock;
-  std::vector<std::weak_ptr<Link>> All;
+  std::mutex AllLinksLock;
+  std::vector<std::weak_ptr<Link>> AllLinks;
 };
 
 } // namespace daisytack::entry
--- a/tools/entry/caller_http.cpp
+++ b/tools/entry/caller_http.cpp
@@ -25,9 +25,9 @@
 
 } // namespace
 
-CallerHttp::CallerHttp(EntryState &state, TicketDesk &desk,
+CallerHttp::CallerHttp(EntryState &state, TicketClient &tickets,
                        std::function<runtime::Readiness()> ready)
-    : State(state), Desk(desk), Ready(std::move(ready)),
+    : State(state), Tickets(tickets), Ready(std::move(ready)),
       Workers(WorkerThreads, 0),
       Server(state.Io, state.Options.Callers,
              [this](net::HttpRequest request,
@@ -40,19 +40,19 @@
 void CallerHttp::handle(net::HttpRequest request,
                         const std::shared_ptr<net::HttpExchange> &exchange) {
   auto incoming = std::make_shared<Incoming>();
-  *incoming = {std::move(request), exchange, std::make_shared<CallerWatch>(),
-               makeRequestId(State.Options.self().Name, secureRandom),
-               monotonicNow()};
-  exchange->onClosed([this, watch = incoming->Watch] {
-    State.Counts.CallersGone.add();
-    watch->gone();
+  *incoming = {
+      std::move(request), exchange, std::make_shared<DisconnectNotifier>(),
+      makeRequestId(State.Options.self().Name, secureRandom), monotonicNow()};
+  exchange->onClosed([this, notifier = incoming->Notifier] {
+    State.Counts.CallersDisconnected.add();
+    notifier->notify();
   });
   if (Error reason = admit(*incoming))
     return refuse(*incoming, reason);
   State.Running.fetch_add(1, std::memory_order_relaxed);
-  if (incoming->Request.Body.size() <= State.Options.HashOffThread)
-    return read(incoming);
-  Workers.enqueue([this, incoming] { read(incoming); });
+  if (incoming->Request.Body.size() <= State.Options.MaxInlineBodyBytes)
+    return authenticate(incoming);
+  Workers.enqueue([this, incoming] { authenticate(incoming); });
 }
 
 /// What can be said before the request is read.
@@ -75,13 +75,13 @@
 }
 
 void CallerHttp::refuse(const Incoming &incoming, const Error &reason) {
-  State.Counts.answered(reason.Kind);
+  State.Counts.countAnswer(reason.Kind);
   incoming.Exchange->respond(
       net::problemResponse(reason, Outcome::NotRun, incoming.Id));
   query::RefusalRow row;
   row.Request = incoming.Id;
   row.Kind = reason.Kind;
-  State.Board.refused(std::move(row), monotonicNow());
+  State.Requests.recordRefusal(std::move(row), monotonicNow());
   Event event;
   event.Kind = EventKind::RequestRefused;
   event.Request = incoming.Id;
@@ -97,11 +97,11 @@
 void CallerHttp::refuseAdmitted(const Incoming &incoming,
                                 std::string_view organisation,
                                 const Error &reason) {
-  State.Limits.finished(organisation);
+  State.Limits.releaseSlot(organisation);
   refuseRunning(incoming, reason);
 }
 
-void CallerHttp::read(const IncomingPtr &incoming) {
+void CallerHttp::authenticate(const IncomingPtr &incoming) {
   std::shared_ptr<const RoutingTable> routes = State.table();
   std::optional<std::string_view> key =
       bearerKey(incoming->Request.header("Authorization"));
@@ -128,50 +128,54 @@
   if (routeOf(request.Path) == CallerRoute::Tickets)
     return issueTicket(incoming, config, caller);
   Error reason;
-  std::optional<RequestSpec> spec = CallerReader{State, config, caller}.read(
-      request, incoming->Id, incoming->Arrived, reason);
+  std::optional<RequestSpec> spec =
+      CallerRequestParser{State, config, caller}.parse(
+          request, incoming->Id, incoming->Arrived, reason);
   if (!spec)
     return refuseAdmitted(*incoming, caller.Name, reason);
   if (!spec->Offer.Idempotent && !request.header("Idempotency-Key").empty())
-    return findTicket(incoming, std::move(*spec));
-  launch(*incoming, std::move(*spec));
+    return resolveTicket(incoming, std::move(*spec));
+  startRequest(*incoming, std::move(*spec));
 }
 
-void CallerHttp::findTicket(const IncomingPtr &incoming, RequestSpec spec) {
+void CallerHttp::resolveTicket(const IncomingPtr &incoming, RequestSpec spec) {
   std::string key(incoming->Request.header("Idempotency-Key"));
   Error reason;
   if (looksLikeTicket(key)) {
     if (!parseTicket(key, reason))
       return refuseAdmitted(*incoming, spec.Offer.Organisation, reason);
     spec.Offer.Ticket = std::move(key);
-    return launch(*incoming, std::move(spec));
+    return startRequest(*incoming, std::move(spec));
   }
   bool isService = !spec.Service.empty();
-  CallerTicketRequest wish{spec.Offer.Organisation,
-                           isService ? spec.Service : spec.Offer.Model,
-                           isService};
-  Desk.bind(wish, key, [this, incoming, spec](TicketResult result) {
-    if (result.Reason)
-      return refuseAdmitted(*incoming, spec.Offer.Organisation, result.Reason);
-    RequestSpec ticketed = spec;
-    ticketed.Offer.Ticket = std::move(result.Ticket);
-    launch(*incoming, std::move(ticketed));
-  });
+  CallerTicketRequest ticketRequest{spec.Offer.Organisation,
+                                    isService ? spec.Service : spec.Offer.Model,
+                                    isService};
+  Tickets.bindKey(ticketRequest, key,
+                  [this, incoming, spec](TicketResult result) {
+                    if (result.Reason)
+                      return refuseAdmitted(*incoming, spec.Offer.Organisation,
+                                            result.Reason);
+                    RequestSpec ticketed = spec;
+                    ticketed.Offer.Ticket = std::move(result.Ticket);
+                    startRequest(*incoming, std::move(ticketed));
+                  });
 }
 
 void CallerHttp::issueTicket(const IncomingPtr &incoming,
                              const Snapshot &config,
                              const Organisation &caller) {
   Error reason;
-  std::optional<CallerTicketRequest> wish =
+  std::optional<CallerTicketRequest> ticketRequest =
       readTicketRequest(incoming->Request.Body, config, caller.Name, reason);
-  if (!wish)
+  if (!ticketRequest)
     return refuseAdmitted(*incoming, caller.Name, reason);
   std::string organisation = caller.Name;
-  Desk.issue(*wish, [this, incoming, organisation](const TicketResult &result) {
+  Tickets.fetch(*ticketRequest, [this, incoming,
+                                 organisation](const TicketResult &result) {
     if (result.Reason)
       return refuseAdmitted(*incoming, organisation, result.Reason);
-    State.Limits.finished(organisation);
+    State.Limits.releaseSlot(organisation);
     State.Running.fetch_sub(1, std::memory_order_release);
     incoming->Exchange->respond(
         {200,
@@ -180,14 +184,14 @@
   });
 }
 
-void CallerHttp::launch(const Incoming &incoming, RequestSpec spec) {
+void CallerHttp::startRequest(const Incoming &incoming, RequestSpec spec) {
   State.Counts.Received.add();
   State.Retries.onRequest();
-  AnswerIdentity name{spec.Offer.Id, spec.Offer.Model, spec.Offer.Chat,
-                      secondsOf(wallNow())};
+  AnswerIdentity identity{spec.Offer.Id, spec.Offer.Model, spec.Offer.Chat,
+                          secondsOf(wallNow())};
   auto request = std::make_shared<ActiveRequest>(
-      State, std::move(spec), std::move(name), incoming.Exchange);
-  request->start(*incoming.Watch);
+      State, std::move(spec), std::move(identity), incoming.Exchange);
+  request->start(*incoming.Notifier);
 }
 
 } // namespace daisytack::entry
--- a/tools/entry/caller_http.h
+++ b/tools/entry/caller_http.h
@@ -18,7 +18,7 @@
 /// Thread-safe.
 class CallerHttp {
 public:
-  CallerHttp(EntryState &state, TicketDesk &desk,
+  CallerHttp(EntryState &state, TicketClient &tickets,
              std::function<runtime::Readiness()> ready);
 
   bool start(Error &reason);
@@ -32,7 +32,7 @@
   struct Incoming {
     net::HttpRequest Request;
     std::shared_ptr<net::HttpExchange> Exchange;
-    std::shared_ptr<CallerWatch> Watch;
+    std::shared_ptr<DisconnectNotifier> Notifier;
     RequestId Id;
     TimePoint Arrived;
   };
@@ -41,16 +41,16 @@
   void handle(net::HttpRequest request,
               const std::shared_ptr<net::HttpExchange> &exchange);
   Error admit(const Incoming &incoming) const;
-  void read(const IncomingPtr &incoming);
+  void authenticate(const IncomingPtr &incoming);
   /// Authenticated and within the organisation's limits.
   void readAdmitted(const IncomingPtr &incoming,
                     const std::shared_ptr<const RoutingTable> &routes,
                     const Organisation &caller);
   /// Gives a non-idempotent request the ticket that its key stands for.
-  void findTicket(const IncomingPtr &incoming, RequestSpec spec);
+  void resolveTicket(const IncomingPtr &incoming, RequestSpec spec);
   void issueTicket(const IncomingPtr &incoming, const Snapshot &config,
                    const Organisation &caller);
-  void launch(const Incoming &incoming, RequestSpec spec);
+  void startRequest(const Incoming &incoming, RequestSpec spec);
   void refuse(const Incoming &incoming, const Error &reason);
   /// Refuses a request that was counted as running.
   void refuseRunning(const Incoming &incoming, const Error &reason);
@@ -59,7 +59,7 @@
                       const Error &reason);
 
   EntryState &State;
-  TicketDesk &Desk;
+  TicketClient &Tickets;
   std::function<runtime::Readiness()> Ready;
   tbb::task_arena Workers;
   net::HttpServer Server;
--- a/tools/entry/caller_request_parser.cpp
+++ b/tools/entry/caller_request_parser.cpp
@@ -14,7 +14,7 @@
 constexpr std::string_view TicketsPath = "/v1/tickets";
 constexpr std::string_view ServicesPrefix = "/services/";
 
-CallerInput inputOf(const net::HttpRequest &request) {
+CallerInput makeCallerInput(const net::HttpRequest &request) {
   CallerInput out;
   out.Method = request.Method;
   out.Class = request.header("X-Daisytack-Class");
@@ -26,19 +26,21 @@
 }
 
 /// "/services/NAME/REST" to NAME and "/REST".
-std::pair<std::string, std::string> splitService(const net::HttpRequest &it) {
+std::pair<std::string, std::string>
+splitService(const net::HttpRequest &request) {
   std::string_view rest =
-      std::string_view(it.Path).substr(ServicesPrefix.size());
+      std::string_view(request.Path).substr(ServicesPrefix.size());
   size_t slash = rest.find('/');
   std::string name(rest.substr(0, slash));
   std::string target(slash == std::string_view::npos ? "/"
                                                      : rest.substr(slash));
-  if (!it.Query.empty())
-    target += '?' + it.Query;
+  if (!request.Query.empty())
+    target += '?' + request.Query;
   return {std::move(name), std::move(target)};
 }
 
-std::vector<wire::HeaderField> passedOn(const net::HttpRequest &request) {
+std::vector<wire::HeaderField>
+forwardedHeaders(const net::HttpRequest &request) {
   std::vector<wire::HeaderField> out;
   for (const net::HttpHeader &it : request.Headers)
     if (isForwardedHeader(it.Name))
@@ -59,21 +61,21 @@
                                           : CallerRoute::Unknown;
 }
 
-std::optional<RequestSpec> CallerReader::read(const net::HttpRequest &request,
-                                              const RequestId &id,
-                                              TimePoint arrived,
-                                              Error &reason) const {
+std::optional<RequestSpec>
+CallerRequestParser::parse(const net::HttpRequest &request, const RequestId &id,
+                           TimePoint arrived, Error &reason) const {
   CallerRoute route = routeOf(request.Path);
-  CallerInput input = inputOf(request);
+  CallerInput input = makeCallerInput(request);
   CallerContext context{Config, Caller, State.Options.Limits, arrived,
                         wallNow()};
   std::optional<RequestSpec> out;
   if (route == CallerRoute::Service) {
     auto [service, target] = splitService(request);
     input.Target = target;
-    out = readServiceCall(input, context, service, passedOn(request), reason);
+    out = readServiceCall(input, context, service, forwardedHeaders(request),
+                          reason);
   } else if (!input.LastEventId.empty()) {
-    return readResume(request, arrived, reason);
+    return parseResume(request, arrived, reason);
   } else {
     std::optional<PromptRequest> prompt =
         readPrompt(input, context, route == CallerRoute::Chat, reason);
@@ -87,14 +89,14 @@
   out->Offer.Id = id;
   if (!input.IdempotencyKey.empty() && out->Offer.Idempotent) {
     out->Offer.Id = State.Ids.requestId(Caller.Name, input.IdempotencyKey);
-    out->FirstAttempt = State.freshTry();
+    out->FirstAttempt = State.nextFirstAttempt();
   }
   return out;
 }
 
 std::optional<RequestSpec>
-CallerReader::readResume(const net::HttpRequest &request, TimePoint arrived,
-                         Error &reason) const {
+CallerRequestParser::parseResume(const net::HttpRequest &request,
+                                 TimePoint arrived, Error &reason) const {
   std::optional<EventId> id =
       State.Ids.parseEventId(Caller.Name, request.header("Last-Event-ID"));
   if (!id) {
@@ -120,7 +122,7 @@
   out.Stream = true;
   out.Arrived = arrived;
   out.Deadline = arrived + requestClass->Deadline;
-  out.FirstAttempt = State.freshTry();
+  out.FirstAttempt = State.nextFirstAttempt();
   out.Resume = ResumePoint{id->Server, id->Index + 1};
   return out;
 }
--- a/tools/entry/caller_request_parser.h
+++ b/tools/entry/caller_request_parser.h
@@ -21,18 +21,19 @@
 CallerRoute routeOf(std::string_view path);
 
 /// For one request under one snapshot.
-struct CallerReader {
+struct CallerRequestParser {
   EntryState &State;
   const Snapshot &Config;
   const Organisation &Caller;
 
-  std::optional<RequestSpec> read(const net::HttpRequest &request,
-                                  const RequestId &id, TimePoint arrived,
-                                  Error &reason) const;
+  std::optional<RequestSpec> parse(const net::HttpRequest &request,
+                                   const RequestId &id, TimePoint arrived,
+                                   Error &reason) const;
 
 private:
-  std::optional<RequestSpec> readResume(const net::HttpRequest &request,
-                                        TimePoint arrived, Error &reason) const;
+  std::optional<RequestSpec> parseResume(const net::HttpRequest &request,
+                                         TimePoint arrived,
+                                         Error &reason) const;
 };
 
 } // namespace daisytack::entry
--- a/tools/entry/entry_daemon.cpp
+++ b/tools/entry/entry_daemon.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Duration DrainCheck{20'000};
+constexpr Duration DrainCheckInterval{20'000};
 
 Event processEvent(EventKind kind, const std::string &name) {
   Event out;
@@ -22,9 +22,10 @@
   return out;
 }
 
-EntryPeers peersOf(runtime::ControlRuntime &control) {
+EntryPeers makePeers(runtime::ControlRuntime &control) {
   EntryPeers out;
-  out.Ask = [&control](const Endpoint &peer, const QuotaRequest &request) {
+  out.RequestQuota = [&control](const Endpoint &peer,
+                                const QuotaRequest &request) {
     control.requestQuota(peer, request);
   };
   out.ReportDraining = [&control](const std::string &server) {
@@ -35,25 +36,25 @@
 
 } // namespace
 
-EntryShell::EntryShell(boost::asio::io_context &io, EntryOptions options)
+EntryDaemon::EntryDaemon(boost::asio::io_context &io, EntryOptions options)
     : Options(std::move(options)), Ring(EventRingSize, wallNow), Client(io, {}),
       Control(
           io, Options.Instance.Control,
           edge::makeEtcdStore(Client, Options.Instance.KeyValue),
           edge::makeHttpInstanceList(Client, Options.Instance.InstanceList),
-          Counters, [this](Event event) { Ring.record(std::move(event)); },
+          Registry, [this](Event event) { Ring.record(std::move(event)); },
           secureRandom),
-      State(io, Options, Counters,
+      State(io, Options, Registry,
             [this](Event event) { Ring.record(std::move(event)); },
-            peersOf(Control),
+            makePeers(Control),
             {[this] { return Ring.stamp(); },
              [this](const HybridTime &at) { Ring.observe(at); }}),
-      Desk(State, edge::makeEtcdStore(Client, Options.Instance.KeyValue)),
-      Callers(State, Desk, [this] { return Control.readiness(); }),
+      Tickets(State, edge::makeEtcdStore(Client, Options.Instance.KeyValue)),
+      Callers(State, Tickets, [this] { return Control.readiness(); }),
 
-      Operators(io, operatorInit(), Counters, Ring, Client), DrainTimer(io) {}
+      Operators(io, operatorInit(), Registry, Ring, Client), DrainTimer(io) {}
 
-runtime::OperatorInit EntryShell::operatorInit() {
+runtime::OperatorInit EntryDaemon::operatorInit() {
   return {Options.self().Name,
           Options.Operators,
           operatorHooks(State),
@@ -62,9 +63,9 @@
           secureRandom};
 }
 
-EntryShell::~EntryShell() = default;
+EntryDaemon::~EntryDaemon() = default;
 
-bool EntryShell::start(Error &reason) {
+bool EntryDaemon::start(Error &reason) {
   Ring.record(processEvent(EventKind::ProcessStarted, Options.self().Name));
   Control.onPublished([this](std::shared_ptr<const Snapshot> snapshot) {
     State.publish(std::move(snapshot));
@@ -78,32 +79,32 @@
          Callers.start(reason);
 }
 
-void EntryShell::drain(std::function<void()> done) {
+void EntryDaemon::drain(std::function<void()> done) {
   Ring.record(processEvent(EventKind::ProcessDraining, Options.self().Name));
-  Drained = std::move(done);
-  DrainSince = monotonicNow();
+  OnDrained = std::move(done);
+  DrainStart = monotonicNow();
   State.Draining.store(true, std::memory_order_relaxed);
   Control.leave();
-  watchDrain();
+  checkDrained();
 }
 
 /// Callers that still come are refused politely for a while; what runs is
 /// finished however long it takes.
-void EntryShell::watchDrain() {
-  bool noticed = monotonicNow() - DrainSince >= Options.DrainNotice;
-  bool idle = State.Running.load(std::memory_order_acquire) == 0 &&
-              Callers.unsentAnswers() == 0;
-  if (noticed && idle) {
+void EntryDaemon::checkDrained() {
+  bool isNoticeOver = monotonicNow() - DrainStart >= Options.DrainNotice;
+  bool isIdle = State.Running.load(std::memory_order_acquire) == 0 &&
+                Callers.unsentAnswers() == 0;
+  if (isNoticeOver && isIdle) {
     Callers.stopAccepting();
     Operators.stopAccepting();
     State.Links.stop();
     Control.stop();
-    return Drained();
+    return OnDrained();
   }
-  DrainTimer.expires_after(DrainCheck);
+  DrainTimer.expires_after(DrainCheckInterval);
   DrainTimer.async_wait([this](const boost::system::error_code &ec) {
     if (!ec)
-      watchDrain();
+      checkDrained();
   });
 }
 
--- a/tools/entry/entry_daemon.h
+++ b/tools/entry/entry_daemon.h
@@ -17,10 +17,10 @@
 
 namespace daisytack::entry {
 
-class EntryShell {
+class EntryDaemon {
 public:
-  EntryShell(boost::asio::io_context &io, EntryOptions options);
-  ~EntryShell();
+  EntryDaemon(boost::asio::io_context &io, EntryOptions options);
+  ~EntryDaemon();
 
   bool start(Error &reason);
   /// Refuses new requests, and calls done once all running ones were answered.
@@ -28,20 +28,20 @@
 
 private:
   runtime::OperatorInit operatorInit();
-  void watchDrain();
+  void checkDrained();
 
   EntryOptions Options;
-  Metrics Counters;
+  Metrics Registry;
   EventRing Ring;
   net::HttpClient Client;
   runtime::ControlRuntime Control;
   EntryState State;
-  TicketDesk Desk;
+  TicketClient Tickets;
   CallerHttp Callers;
   runtime::OperatorHttp Operators;
   net::Timer DrainTimer;
-  TimePoint DrainSince;
-  std::function<void()> Drained;
+  TimePoint DrainStart;
+  std::function<void()> OnDrained;
 };
 
 } // namespace daisytack::entry
--- a/tools/entry/entry_metrics.cpp
+++ b/tools/entry/entry_metrics.cpp
@@ -11,10 +11,11 @@
                               "Offers after the first one of a request.")),
       Resumes(metrics.counter("daisytack_entry_resumes_total",
                               "Answers taken up again in the middle.")),
-      CallersGone(metrics.counter("daisytack_entry_callers_gone_total",
-                                  "Callers that left before the end.")),
-      Stray(metrics.counter("daisytack_entry_stray_messages_total",
-                            "Messages that named no attempt waited for.")),
+      CallersDisconnected(metrics.counter("daisytack_entry_callers_gone_total",
+                                          "Callers that left before the end.")),
+      UnmatchedMessages(
+          metrics.counter("daisytack_entry_stray_messages_total",
+                          "Messages that named no attempt waited for.")),
       PeersRejected(metrics.counter("daisytack_entry_peers_rejected_total",
                                     "Agents' bytes that were no message.")),
       InFlight(metrics.gauge("daisytack_entry_requests_in_flight",
@@ -23,11 +24,12 @@
           metrics.distribution("daisytack_entry_first_token_seconds",
                                "From arrival to the first part of an answer.",
                                Distribution::Unit::Seconds)),
-      Whole(metrics.distribution("daisytack_entry_answer_seconds",
-                                 "From arrival to the end of an answer.",
-                                 Distribution::Unit::Seconds)),
+      AnswerDuration(
+          metrics.distribution("daisytack_entry_answer_seconds",
+                               "From arrival to the end of an answer.",
+                               Distribution::Unit::Seconds)),
       Serving(metrics) {
-  for (size_t i = 0; i < Kinds; ++i) {
+  for (size_t i = 0; i < KindCount; ++i) {
     auto kind = static_cast<ErrorKind>(i);
     std::string name(kind == ErrorKind::None ? "whole" : errorName(kind));
     Answers[i] = &metrics.counter("daisytack_entry_answers_total",
@@ -35,8 +37,8 @@
   }
 }
 
-void EntryMetrics::served(const wire::Offer &offer,
-                          const AnswerSummary &summary) {
+void EntryMetrics::countServed(const wire::Offer &offer,
+                               const AnswerSummary &summary) {
   ServingSeries series = Serving.of(offer.Model, offer.Class);
   series.FirstToken.observe(summary.FirstToken);
   series.PromptTokens.add(summary.PromptTokens);
--- a/tools/entry/entry_metrics.h
+++ b/tools/entry/entry_metrics.h
@@ -15,25 +15,28 @@
   explicit EntryMetrics(Metrics &metrics);
 
   /// A request got its final answer: None when it was whole.
-  void answered(ErrorKind kind) { Answers[static_cast<size_t>(kind)]->add(); }
+  void countAnswer(ErrorKind kind) {
+    Answers[static_cast<size_t>(kind)]->add();
+  }
   /// A prompt's answer was whole; counts the measures of its model and class.
-  void served(const wire::Offer &offer, const AnswerSummary &summary);
+  void countServed(const wire::Offer &offer, const AnswerSummary &summary);
 
   Counter &Received;
   Counter &Offers;
   Counter &Retries;
   Counter &Resumes;
-  Counter &CallersGone;
-  Counter &Stray; ///< Messages that named no attempt waited for.
+  Counter &CallersDisconnected;
+  Counter &UnmatchedMessages; ///< Messages that named no attempt waited for.
   Counter &PeersRejected;
   Gauge &InFlight;
   Distribution &FirstToken;
-  Distribution &Whole;
+  Distribution &AnswerDuration;
 
 private:
   ServingMetrics Serving;
-  static constexpr size_t Kinds = static_cast<size_t>(ErrorKind::Internal) + 1;
-  std::array<Counter *, Kinds> Answers{};
+  static constexpr size_t KindCount =
+      static_cast<size_t>(ErrorKind::Internal) + 1;
+  std::array<Counter *, KindCount> Answers{};
 };
 
 } // namespace daisytack::entry
--- a/tools/entry/entry_options.cpp
+++ b/tools/entry/entry_options.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr int64_t MaxRequestsAtMost = 1'000'000;
+constexpr int64_t MaxRequestsLimit = 1'000'000;
 
 void readCallers(Settings &settings, EntryOptions &out) {
   out.Callers.Listen = out.Instance.Control.Self.Work;
@@ -26,7 +26,7 @@
   out.Callers.IdleTimeout =
       settings.duration("callers.idle_timeout", 60s, 1s, 1h);
   out.MaxRequests = static_cast<size_t>(
-      settings.integer("callers.max_requests", 50'000, 1, MaxRequestsAtMost));
+      settings.integer("callers.max_requests", 50'000, 1, MaxRequestsLimit));
 }
 
 void readRequests(Settings &settings, EntryOptions &out) {
@@ -65,8 +65,8 @@
                         " bytes, the same in the whole deployment");
   out.ConnectTimeout = settings.duration("agents.connect_timeout",
                                          out.ConnectTimeout, 1ms, 1min);
-  out.LinkIdle =
-      settings.duration("agents.idle_timeout", out.LinkIdle, 1s, 24h);
+  out.LinkIdleTimeout =
+      settings.duration("agents.idle_timeout", out.LinkIdleTimeout, 1s, 24h);
   out.Operators =
       runtime::readOperatorSettings(settings, out.Instance.Control.Self.Peer);
   readCallers(settings, out);
--- a/tools/entry/entry_options.h
+++ b/tools/entry/entry_options.h
@@ -35,11 +35,13 @@
   const Member &self() const { return Instance.Control.Self; }
 
   Duration ConnectTimeout{500'000}; ///< To an agent.
-  Duration LinkIdle{60'000'000};    ///< An unused link to an agent is closed.
-  size_t MaxRequests = 50'000;      ///< In flight at once.
-  size_t HashOffThread = 64U << 10; ///< Longer bodies are read by a worker.
-  Duration DrainNotice{1'000'000};  ///< Between refusing new requests and
-                                    ///< closing the listening socket.
+  Duration LinkIdleTimeout{
+      60'000'000};             ///< An unused link to an agent is closed.
+  size_t MaxRequests = 50'000; ///< In flight at once.
+  size_t MaxInlineBodyBytes = 64U
+                              << 10; ///< Longer bodies are read by a worker.
+  Duration DrainNotice{1'000'000};   ///< Between refusing new requests and
+                                     ///< closing the listening socket.
 };
 
 /// Reads every setting; mistakes are collected in the settings.
--- a/tools/entry/entry_state.cpp
+++ b/tools/entry/entry_state.cpp
@@ -14,8 +14,8 @@
 
 /// Numbers of attempts grow with time, so that a repeat at another entry has
 /// higher ones. In 32 bits of tenths of a second they last for 13 years.
-constexpr WallTime FirstTryEpoch{Duration(1'767'225'600'000'000)}; // 2026.
-constexpr Duration TryTick{100'000};
+constexpr WallTime AttemptNumberEpoch{Duration(1'767'225'600'000'000)}; // 2026.
+constexpr Duration AttemptNumberTick{100'000};
 
 std::shared_ptr<const RoutingTable>
 makeTable(std::shared_ptr<const Snapshot> snapshot) {
@@ -31,7 +31,7 @@
 AgentLinksInit linksInit(const EntryOptions &options) {
   return {options.self().Name, options.Instance.Control.Process,
           options.Instance.Control.Keys, options.ConnectTimeout,
-          options.LinkIdle};
+          options.LinkIdleTimeout};
 }
 
 std::string_view poolName(const RequestSpec &spec) {
@@ -42,13 +42,13 @@
 
 EntryState::EntryState(boost::asio::io_context &io, const EntryOptions &options,
                        Metrics &metrics, EventSink events, EntryPeers peers,
-                       wire::HybridClockHooks stamps)
+                       wire::HybridClockHooks clockHooks)
     : Io(io), Options(options), Events(std::move(events)),
       Peers(std::move(peers)), Counts(metrics), Keyer(options.Secret),
       Ids(options.Secret), Loads(options.Loads), Retries(options.Retries),
       Ejected(options.Ejection),
-      Limits(io, options.self().Name, options.Quotas, Peers.Ask),
-      Links(io, linksInit(options), agentHooks(std::move(stamps))),
+      Limits(io, options.self().Name, options.Quotas, Peers.RequestQuota),
+      Links(io, linksInit(options), agentHooks(std::move(clockHooks))),
       Tables(makeTable(std::make_shared<const Snapshot>())),
       Readers([this] { return Reader(Tables); }) {}
 
@@ -57,22 +57,23 @@
 }
 
 void EntryState::publish(std::shared_ptr<const Snapshot> snapshot) {
-  Heard.prune(*snapshot);
+  LoadReports.prune(*snapshot);
   Tables.publish(makeTable(std::move(snapshot), *Tables.load()));
   // Release times may have moved.
-  for (const auto &request : Board.all())
+  for (const auto &request : Requests.all())
     if (request->isHeld())
       request->push(ConfigChanged{});
 }
 
-Attempt EntryState::freshTry() {
-  int64_t since = (wallNow() - FirstTryEpoch) / TryTick;
-  Attempt present = static_cast<Attempt>(std::max<int64_t>(since, 1));
-  Attempt last = LastTry.load(std::memory_order_relaxed);
+Attempt EntryState::nextFirstAttempt() {
+  int64_t ticks = (wallNow() - AttemptNumberEpoch) / AttemptNumberTick;
+  Attempt fromClock = static_cast<Attempt>(std::max<int64_t>(ticks, 1));
+  Attempt last = LastFirstAttempt.load(std::memory_order_relaxed);
   Attempt next = 0;
   do
-    next = std::max(last + 2 * MaxAttempts, present);
-  while (!LastTry.compare_exchange_weak(last, next, std::memory_order_relaxed));
+    next = std::max(last + 2 * MaxAttempts, fromClock);
+  while (!LastFirstAttempt.compare_exchange_weak(last, next,
+                                                 std::memory_order_relaxed));
   return next;
 }
 
@@ -110,8 +111,8 @@
   std::vector<Candidate> ejected;
   for (const RankedCandidate &it : decision) {
     const Server &server = routes->snapshot().Servers[it.Server.Index];
-    bool isOut = Ejected.isEjected(server.NameHash, now);
-    (isOut ? ejected : out)
+    bool isEjected = Ejected.isEjected(server.NameHash, now);
+    (isEjected ? ejected : out)
         .push_back({server.Name, it.FirstToken, it.WaitLimit});
   }
   // An ejected server is better than none.
@@ -119,40 +120,41 @@
   return out;
 }
 
-void EntryState::note(const ReportServer &note, const RequestSpec &spec) {
+void EntryState::recordServerResult(const ReportServer &report,
+                                    const RequestSpec &spec) {
   std::shared_ptr<const RoutingTable> routes = table();
   const Snapshot &config = routes->snapshot();
-  const Server *server = config.server(note.Server);
+  const Server *server = config.server(report.Server);
   const Pool *pool = config.pool(poolName(spec), !spec.Service.empty());
   if (server == nullptr || pool == nullptr)
     return;
   TimePoint now = monotonicNow();
   uint64_t poolHash = hashName(pool->Name);
   EjectionVerdict verdict =
-      note.Reported == ReportServer::Result::Failed
+      report.Reported == ReportServer::Result::Failed
           ? Ejected.onFailure(poolHash, pool->Servers.size(), server->NameHash,
                               now)
           : Ejected.onAnswer(poolHash, pool->Servers.size(), server->NameHash,
-                             note.Predicted, note.Measured, now);
+                             report.Predicted, report.Measured, now);
   if (verdict == EjectionVerdict::None)
     return;
   Event event;
   event.Kind = EventKind::ServerEjected;
   event.Request = spec.Offer.Id;
-  event.Subject = note.Server;
+  event.Subject = report.Server;
   event.Reason = verdict == EjectionVerdict::CapReached
                      ? ErrorKind::BudgetSpent
                      : ErrorKind::ServerFailed;
   Events(std::move(event));
 }
 
-AgentHooks EntryState::agentHooks(wire::HybridClockHooks stamps) {
+AgentHooks EntryState::agentHooks(wire::HybridClockHooks clockHooks) {
   AgentHooks out;
-  out.Stamps = std::move(stamps);
+  out.ClockHooks = std::move(clockHooks);
   out.Message = [this](const std::string &server, wire::Message message) {
     onMessage(server, std::move(message));
   };
-  out.Lost = [this](const AttemptKey &attempt, bool mayBeDelivered) {
+  out.AttemptLost = [this](const AttemptKey &attempt, bool mayBeDelivered) {
     AttemptTable::const_accessor it;
     if (!Attempts.find(it, attempt)) {
       if (std::shared_ptr<TicketFetch> fetch = ticketFetch(attempt.Id))
@@ -163,42 +165,42 @@
     it.release();
     request->push(LinkLost{attempt.AttemptNumber, mayBeDelivered});
   };
-  out.Rejected = [this](ErrorKind) { Counts.PeersRejected.add(); };
+  out.MessageRejected = [this](ErrorKind) { Counts.PeersRejected.add(); };
   return out;
 }
 
 std::shared_ptr<TicketFetch>
 EntryState::ticketFetch(const RequestId &id) const {
-  TicketTable::const_accessor it;
-  return Tickets.find(it, id) ? it->second : nullptr;
+  TicketFetchTable::const_accessor it;
+  return TicketFetches.find(it, id) ? it->second : nullptr;
 }
 
 void EntryState::onMessage(const std::string &server, wire::Message message) {
   auto deliver = [&]<class Body>(Body body) {
     AttemptTable::const_accessor it;
     if (!Attempts.find(it, AttemptKey{body.Id, body.AttemptNumber}))
-      return Counts.Stray.add();
+      return Counts.UnmatchedMessages.add();
     std::shared_ptr<ActiveRequest> request = it->second;
     it.release();
     request->push(ServerMessage{server, std::move(body)});
   };
-  auto learn = [&](const wire::LoadReport &load) {
+  auto recordLoad = [&](const wire::LoadReport &load) {
     TimePoint now = monotonicNow();
     Loads.observe(hashName(server), load, now);
-    Heard.hear(server, load, now);
+    LoadReports.update(server, load, now);
   };
   if (auto *accepted = std::get_if<wire::Accepted>(&message)) {
-    learn(accepted->Load);
+    recordLoad(accepted->Load);
     deliver(std::move(*accepted));
   } else if (auto *refused = std::get_if<wire::Refused>(&message)) {
-    learn(refused->Load);
+    recordLoad(refused->Load);
     if (refused->Kind == ErrorKind::Draining)
       Peers.ReportDraining(server);
     deliver(std::move(*refused));
   } else if (auto *chunk = std::get_if<wire::Chunk>(&message)) {
     deliver(std::move(*chunk));
   } else if (auto *finished = std::get_if<wire::Finished>(&message)) {
-    learn(finished->Load);
+    recordLoad(finished->Load);
     deliver(std::move(*finished));
   } else if (auto *reply = std::get_if<wire::TicketReply>(&message)) {
     if (std::shared_ptr<TicketFetch> fetch = ticketFetch(reply->Id))
--- a/tools/entry/entry_state.h
+++ b/tools/entry/entry_state.h
@@ -36,12 +36,12 @@
                              AttemptKeyHash>;
 
 /// Tickets being asked for.
-using TicketTable =
+using TicketFetchTable =
     tbb::concurrent_hash_map<Id128, std::shared_ptr<TicketFetch>, Id128Hash>;
 
 /// What the entry tells its peers; from ControlRuntime.
 struct EntryPeers {
-  AskPeer Ask;
+  SendQuotaRequest RequestQuota;
   /// An agent said that it is leaving.
   std::function<void(const std::string &server)> ReportDraining;
 };
@@ -51,7 +51,7 @@
 public:
   EntryState(boost::asio::io_context &io, const EntryOptions &options,
              Metrics &metrics, EventSink events, EntryPeers peers,
-             wire::HybridClockHooks stamps);
+             wire::HybridClockHooks clockHooks);
 
   /// Routing table with its snapshot; a pointer of this thread.
   std::shared_ptr<const RoutingTable> table();
@@ -59,10 +59,10 @@
 
   /// Candidates for a request, best first. A ticket has one, its issuer.
   std::vector<Candidate> rank(const RequestSpec &spec, TimePoint now);
-  void note(const ReportServer &note, const RequestSpec &spec);
+  void recordServerResult(const ReportServer &report, const RequestSpec &spec);
   /// First attempt number of a flow whose request id other flows share, here or
   /// at another entry: above those of all flows before it.
-  Attempt freshTry();
+  Attempt nextFirstAttempt();
 
   boost::asio::io_context &Io;
   const EntryOptions &Options;
@@ -73,26 +73,26 @@
   CallerIds Ids;
   LoadView Loads;
   PrefixPopularity Popularity{{}};
-  HeardLoads Heard;
+  LatestLoadReports LoadReports;
   RetryBudget Retries;
   Ejector Ejected;
-  LimitDesk Limits;
-  RequestBoard Board;
+  LimitEnforcer Limits;
+  RequestRegistry Requests;
   AttemptTable Attempts;
-  TicketTable Tickets;
+  TicketFetchTable TicketFetches;
   AgentLinks Links;
   std::atomic<size_t> Running{0};
   std::atomic<bool> Draining{false};
 
 private:
-  AgentHooks agentHooks(wire::HybridClockHooks stamps);
+  AgentHooks agentHooks(wire::HybridClockHooks clockHooks);
   std::shared_ptr<TicketFetch> ticketFetch(const RequestId &id) const;
   void onMessage(const std::string &server, wire::Message message);
 
   using Reader = Rcu<RoutingTable>::Reader;
   Rcu<RoutingTable> Tables;
   tbb::enumerable_thread_specific<Reader> Readers;
-  std::atomic<Attempt> LastTry{0};
+  std::atomic<Attempt> LastFirstAttempt{0};
 };
 
 } // namespace daisytack::entry
--- a/tools/entry/latest_load_reports.cpp
+++ b/tools/entry/latest_load_reports.cpp
@@ -2,23 +2,24 @@
 
 namespace daisytack::entry {
 
-void HeardLoads::hear(const std::string &server, const wire::LoadReport &load,
-                      TimePoint now) {
+void LatestLoadReports::update(const std::string &server,
+                               const wire::LoadReport &load, TimePoint now) {
   std::lock_guard guard(Lock);
-  Known[server] = {load, now};
+  LastReports[server] = {load, now};
 }
 
-std::optional<HeardLoad> HeardLoads::of(const std::string &server) const {
+std::optional<ReceivedLoadReport>
+LatestLoadReports::find(const std::string &server) const {
   std::lock_guard guard(Lock);
-  auto it = Known.find(server);
-  if (it == Known.end())
+  auto it = LastReports.find(server);
+  if (it == LastReports.end())
     return std::nullopt;
   return it->second;
 }
 
-void HeardLoads::prune(const Snapshot &snapshot) {
+void LatestLoadReports::prune(const Snapshot &snapshot) {
   std::lock_guard guard(Lock);
-  std::erase_if(Known, [&](const auto &entry) {
+  std::erase_if(LastReports, [&](const auto &entry) {
     return snapshot.server(entry.first) == nullptr;
   });
 }
--- a/tools/entry/latest_load_reports.h
+++ b/tools/entry/latest_load_reports.h
@@ -12,24 +12,24 @@
 
 namespace daisytack::entry {
 
-struct HeardLoad {
+struct ReceivedLoadReport {
   wire::LoadReport Load;
-  TimePoint At;
+  TimePoint ReceivedAt;
 };
 
 /// Thread-safe; one lock, held for a look-up or a copy.
-class HeardLoads {
+class LatestLoadReports {
 public:
-  void hear(const std::string &server, const wire::LoadReport &load,
-            TimePoint now);
-  std::optional<HeardLoad> of(const std::string &server) const;
+  void update(const std::string &server, const wire::LoadReport &load,
+              TimePoint now);
+  std::optional<ReceivedLoadReport> find(const std::string &server) const;
   /// Forgets servers that the snapshot doesn't know, so that the memory is
   /// bounded by the fleet's size.
   void prune(const Snapshot &snapshot);
 
 private:
   mutable std::mutex Lock;
-  std::unordered_map<std::string, HeardLoad> Known;
+  std::unordered_map<std::string, ReceivedLoadReport> LastReports;
 };
 
 } // namespace daisytack::entry
--- a/tools/entry/limit_enforcer.cpp
+++ b/tools/entry/limit_enforcer.cpp
@@ -19,41 +19,44 @@
 
 } // namespace
 
-LimitDesk::LimitDesk(boost::asio::io_context &io, std::string self,
-                     LimitSettings settings, AskPeer ask)
-    : Io(io), Self(std::move(self)), Settings(settings), Ask(std::move(ask)),
-      Limits(hashName(Self), settings), Owner(settings) {}
+LimitEnforcer::LimitEnforcer(boost::asio::io_context &io, std::string self,
+                             LimitSettings settings,
+                             SendQuotaRequest sendRequest)
+    : Io(io), Self(std::move(self)), Settings(settings),
+      SendRequest(std::move(sendRequest)), Limits(hashName(Self), settings),
+      Owner(settings) {}
 
-void LimitDesk::admit(const Organisation &organisation,
-                      const std::shared_ptr<const Snapshot> &config,
-                      std::function<void(const Error &)> done) {
+void LimitEnforcer::admit(const Organisation &organisation,
+                          const std::shared_ptr<const Snapshot> &config,
+                          std::function<void(const Error &)> done) {
   size_t entries = config->Entries.size();
   LimitDecision first = Limits.admit(organisation, entries, monotonicNow());
-  bool isAnswered =
-      first.OwnerRequest && ask(organisation, *config, *first.OwnerRequest);
+  bool isGranted = first.OwnerRequest &&
+                   requestQuota(organisation, *config, *first.OwnerRequest);
   if (first.Verdict == LimitVerdict::Admitted)
     return done({});
   if (first.Verdict == LimitVerdict::Refused)
     return done(first.Reason);
-  auto again = [this, &organisation, config, entries, done = std::move(done)] {
+  auto retry = [this, &organisation, config, entries, done = std::move(done)] {
     LimitDecision second = Limits.admit(organisation, entries, monotonicNow());
     done(second.Verdict == LimitVerdict::Admitted ? Error() : second.Reason);
   };
-  if (isAnswered)
-    return again();
+  if (isGranted)
+    return retry();
   auto timer = std::make_shared<net::Timer>(Io);
   timer->expires_after(Settings.MaxGrantWait);
   timer->async_wait(
-      [timer, again = std::move(again)](const auto & /*ec*/) { again(); });
+      [timer, retry = std::move(retry)](const auto & /*ec*/) { retry(); });
 }
 
-bool LimitDesk::ask(const Organisation &organisation, const Snapshot &config,
-                    const QuotaRequest &request) {
+bool LimitEnforcer::requestQuota(const Organisation &organisation,
+                                 const Snapshot &config,
+                                 const QuotaRequest &request) {
   const Member *owner = quotaOwner(hashName(organisation.Name), config.Entries);
   if (owner == nullptr)
     return false;
   if (owner->Name != Self) {
-    Ask(owner->Peer, request);
+    SendRequest(owner->Peer, request);
     return false;
   }
   TimePoint now = monotonicNow();
@@ -61,12 +64,12 @@
   return true;
 }
 
-void LimitDesk::finished(std::string_view organisation) {
+void LimitEnforcer::releaseSlot(std::string_view organisation) {
   Limits.releaseSlot(hashName(organisation));
 }
 
-std::optional<QuotaGrant> LimitDesk::grant(const QuotaRequest &request,
-                                           const Snapshot &config) {
+std::optional<QuotaGrant> LimitEnforcer::grant(const QuotaRequest &request,
+                                               const Snapshot &config) {
   const Organisation *organisation = findByHash(config, request.Organisation);
   const Member *owner = quotaOwner(request.Organisation, config.Entries);
   if (organisation == nullptr || owner == nullptr || owner->Name != Self)
@@ -74,7 +77,7 @@
   return Owner.grant(*organisation, request, monotonicNow());
 }
 
-void LimitDesk::apply(const QuotaGrant &grant) {
+void LimitEnforcer::apply(const QuotaGrant &grant) {
   Limits.apply(grant, monotonicNow());
 }
 
--- a/tools/entry/limit_enforcer.h
+++ b/tools/entry/limit_enforcer.h
@@ -14,21 +14,21 @@
 namespace daisytack::entry {
 
 /// How peers are asked; from ControlRuntime.
-using AskPeer =
+using SendQuotaRequest =
     std::function<void(const Endpoint &peer, const QuotaRequest &request)>;
 
 /// Thread-safe.
-class LimitDesk {
+class LimitEnforcer {
 public:
-  LimitDesk(boost::asio::io_context &io, std::string self,
-            LimitSettings settings, AskPeer ask);
+  LimitEnforcer(boost::asio::io_context &io, std::string self,
+                LimitSettings settings, SendQuotaRequest sendRequest);
 
   /// Calls done with None when the request is admitted; finished must follow
   /// its end. May hold it for the time of a grant.
   void admit(const Organisation &organisation,
              const std::shared_ptr<const Snapshot> &config,
              std::function<void(const Error &)> done);
-  void finished(std::string_view organisation);
+  void releaseSlot(std::string_view organisation);
 
   /// From peers.
   std::optional<QuotaGrant> grant(const QuotaRequest &request,
@@ -37,13 +37,13 @@
 
 private:
   /// True when this process is the owner and has answered already.
-  bool ask(const Organisation &organisation, const Snapshot &config,
-           const QuotaRequest &request);
+  bool requestQuota(const Organisation &organisation, const Snapshot &config,
+                    const QuotaRequest &request);
 
   boost::asio::io_context &Io;
   const std::string Self;
   const LimitSettings Settings;
-  const AskPeer Ask;
+  const SendQuotaRequest SendRequest;
   OrganisationLimits Limits;
   QuotaOwner Owner;
 };
--- a/tools/entry/main.cpp
+++ b/tools/entry/main.cpp
@@ -12,40 +12,40 @@
 
 int main(int argc, char **argv) {
   entry::EntryOptions options;
-  std::optional<gateway::GatewayOptions> direct;
-  std::unique_ptr<entry::EntryShell> shell;
+  std::optional<gateway::GatewayOptions> gatewayOptions;
+  std::unique_ptr<entry::EntryDaemon> daemon;
   std::unique_ptr<gateway::Gateway> gateway;
   runtime::ProcessInit init;
   init.Name = "daisytack-entry";
   init.Summary = "Takes callers' requests and has them run by backend servers.";
   init.ReadSettings = [&](Settings &settings) {
     if (gateway::isGatewaySettings(settings))
-      direct = gateway::readGatewayOptions(settings);
+      gatewayOptions = gateway::readGatewayOptions(settings);
     else
       options = entry::readEntryOptions(settings);
   };
   init.Start = [&](boost::asio::io_context &io, Error &reason) {
-    if (direct) {
+    if (gatewayOptions) {
       gateway = std::make_unique<gateway::Gateway>(
-          io, *direct, platform::makeProtocol(), platform::makeKvStore);
+          io, *gatewayOptions, platform::makeProtocol(), platform::makeKvStore);
       return gateway->start(reason);
     }
-    shell = std::make_unique<entry::EntryShell>(io, options);
-    return shell->start(reason);
+    daemon = std::make_unique<entry::EntryDaemon>(io, options);
+    return daemon->start(reason);
   };
   init.Drain = [&](TimePoint end, std::function<void(bool)> done) {
     if (gateway)
       gateway->drain(end, std::move(done));
     else
-      shell->drain([done = std::move(done)] { done(true); });
+      daemon->drain([done = std::move(done)] { done(true); });
   };
   init.Reload = [&] {
-    if (gateway && direct)
-      gateway->reload(*direct);
+    if (gateway && gatewayOptions)
+      gateway->reload(*gatewayOptions);
   };
   init.Stop = [&] {
     gateway.reset();
-    shell.reset();
+    daemon.reset();
   };
   runtime::endProcess(runtime::runProcess(argc, argv, init));
 }
--- a/tools/entry/operator_rows.cpp
+++ b/tools/entry/operator_rows.cpp
@@ -11,7 +11,7 @@
 
 std::vector<query::RequestRow> requestRows(const EntryState &state) {
   std::vector<query::RequestRow> out;
-  for (const auto &request : state.Board.all())
+  for (const auto &request : state.Requests.all())
     out.push_back(request->row(monotonicNow()));
   return out;
 }
@@ -27,11 +27,11 @@
     LoadEstimate load = state.Loads.estimate(it.NameHash, now);
     if (load.Known)
       row.PredictedWait = load.Wait;
-    if (auto heard = state.Heard.of(it.Name)) {
-      row.Version = heard->Load.Version;
-      row.Running = heard->Load.Running;
-      row.Waiting = heard->Load.Waiting;
-      row.ReportAge = now - heard->At;
+    if (auto received = state.LoadReports.find(it.Name)) {
+      row.Version = received->Load.Version;
+      row.Running = received->Load.Running;
+      row.Waiting = received->Load.Waiting;
+      row.ReportAge = now - received->ReceivedAt;
     }
     out.push_back(std::move(row));
   }
@@ -40,10 +40,10 @@
 
 size_t stopRequests(const EntryState &state, const query::StopTarget &target) {
   size_t count = 0;
-  for (const auto &request : state.Board.all()) {
-    bool meant = target.Request ? request->spec().Offer.Id == *target.Request
-                                : request->spec().Offer.Class == target.Class;
-    if (!meant)
+  for (const auto &request : state.Requests.all()) {
+    bool matches = target.Request ? request->spec().Offer.Id == *target.Request
+                                  : request->spec().Offer.Class == target.Class;
+    if (!matches)
       continue;
     request->push(StopRequested{});
     ++count;
@@ -56,7 +56,7 @@
 runtime::OperatorHooks operatorHooks(EntryState &state) {
   runtime::OperatorHooks out;
   out.Requests = [&state] { return requestRows(state); };
-  out.Refusals = [&state] { return state.Board.refusals(monotonicNow()); };
+  out.Refusals = [&state] { return state.Requests.refusals(monotonicNow()); };
   out.Servers = [&state] { return serverRows(state); };
   out.Stop = [&state](const query::StopTarget &target) {
     return stopRequests(state, target);
--- a/tools/entry/request_registry.cpp
+++ b/tools/entry/request_registry.cpp
@@ -6,23 +6,23 @@
 
 namespace daisytack::entry {
 
-RequestBoard::Shard &RequestBoard::shardOf(const ActiveRequest *request) {
+RequestRegistry::Shard &RequestRegistry::shardOf(const ActiveRequest *request) {
   return Table[mix64(reinterpret_cast<uintptr_t>(request)) % Shards];
 }
 
-void RequestBoard::add(const std::shared_ptr<ActiveRequest> &request) {
+void RequestRegistry::add(const std::shared_ptr<ActiveRequest> &request) {
   Shard &shard = shardOf(request.get());
   std::lock_guard guard(shard.Lock);
   shard.Requests.emplace(request.get(), request);
 }
 
-void RequestBoard::remove(const ActiveRequest *request) {
+void RequestRegistry::remove(const ActiveRequest *request) {
   Shard &shard = shardOf(request);
   std::lock_guard guard(shard.Lock);
   shard.Requests.erase(request);
 }
 
-std::vector<std::shared_ptr<ActiveRequest>> RequestBoard::all() const {
+std::vector<std::shared_ptr<ActiveRequest>> RequestRegistry::all() const {
   std::vector<std::shared_ptr<ActiveRequest>> out;
   for (const Shard &shard : Table) {
     std::lock_guard guard(shard.Lock);
@@ -33,18 +33,18 @@
   return out;
 }
 
-void RequestBoard::refused(query::RefusalRow row, TimePoint at) {
+void RequestRegistry::recordRefusal(query::RefusalRow row, TimePoint at) {
   std::lock_guard guard(RefusalLock);
   Refusals.push_back({std::move(row), at});
-  if (Refusals.size() > RefusalsKept)
+  if (Refusals.size() > MaxRefusals)
     Refusals.pop_front();
 }
 
-std::vector<query::RefusalRow> RequestBoard::refusals(TimePoint now) const {
+std::vector<query::RefusalRow> RequestRegistry::refusals(TimePoint now) const {
   std::vector<query::RefusalRow> out;
   std::lock_guard guard(RefusalLock);
   out.reserve(Refusals.size());
-  for (const KeptRefusal &it : Refusals) {
+  for (const RecordedRefusal &it : Refusals) {
     out.push_back(it.Row);
     out.back().Age = std::chrono::duration_cast<Duration>(now - it.At);
   }
--- a/tools/entry/request_registry.h
+++ b/tools/entry/request_registry.h
@@ -18,19 +18,19 @@
 
 /// Thread-safe. The table is cut into shards, each with a lock that is held for
 /// one entry only, or for a copy of pointers.
-class RequestBoard {
+class RequestRegistry {
 public:
   void add(const std::shared_ptr<ActiveRequest> &request);
   void remove(const ActiveRequest *request);
   std::vector<std::shared_ptr<ActiveRequest>> all() const;
 
   /// Keeps the latest refusals; Age is counted from the given time.
-  void refused(query::RefusalRow row, TimePoint at);
+  void recordRefusal(query::RefusalRow row, TimePoint at);
   std::vector<query::RefusalRow> refusals(TimePoint now) const;
 
 private:
   static constexpr size_t Shards = 16;
-  static constexpr size_t RefusalsKept = 256;
+  static constexpr size_t MaxRefusals = 256;
 
   struct Shard {
     mutable std::mutex Lock;
@@ -39,14 +39,14 @@
   };
   Shard &shardOf(const ActiveRequest *request);
 
-  struct KeptRefusal {
+  struct RecordedRefusal {
     query::RefusalRow Row;
     TimePoint At;
   };
 
   std::array<Shard, Shards> Table;
   mutable std::mutex RefusalLock;
-  std::deque<KeptRefusal> Refusals;
+  std::deque<RecordedRefusal> Refusals;
 };
 
 } // namespace daisytack::entry
--- a/tools/entry/ticket_client.cpp
+++ b/tools/entry/ticket_client.cpp
@@ -13,7 +13,7 @@
 constexpr Duration KvTimeout{2'000'000};
 constexpr Duration KvRetryAfter{1'000'000};
 
-TicketResult refused(Error reason) {
+TicketResult failedResult(Error reason) {
   if (reason.RetryAfter.count() == 0)
     reason.RetryAfter = KvRetryAfter;
   return {std::move(reason), {}, {}};
@@ -22,44 +22,44 @@
 } // namespace
 
 /// One submission on its way to its ticket.
-struct TicketDesk::Binding {
+struct TicketClient::Binding {
   BindRequest Request;
-  std::optional<KeyBinding> Steps;
+  std::optional<KeyBinding> KeySteps;
   TicketDone Done;
 };
 
-TicketDesk::TicketDesk(EntryState &state, edge::KvStore kv)
+TicketClient::TicketClient(EntryState &state, edge::KvStore kv)
     : State(state), Kv(std::move(kv)),
       Budget({state.Options.BindingsPerSecond, state.Options.BindingBurst}),
       Lease(BindingLeaseInit()) {}
 
-void TicketDesk::issue(const CallerTicketRequest &wish, TicketDone done) {
-  std::make_shared<TicketFetch>(State, wish, std::move(done))->start();
+void TicketClient::fetch(const CallerTicketRequest &request, TicketDone done) {
+  std::make_shared<TicketFetch>(State, request, std::move(done))->start();
 }
 
-void TicketDesk::bind(const CallerTicketRequest &wish, const std::string &key,
-                      TicketDone done) {
+void TicketClient::bindKey(const CallerTicketRequest &request,
+                           const std::string &key, TicketDone done) {
   Error reason;
   {
     std::lock_guard guard(Lock);
     Budget.take(monotonicNow(), reason);
   }
   if (reason)
-    return done(refused(std::move(reason)));
+    return done(failedResult(std::move(reason)));
   auto binding = std::make_shared<Binding>();
-  binding->Request.Organisation = wish.Organisation;
+  binding->Request.Organisation = request.Organisation;
   binding->Request.IdempotencyKey = key;
   binding->Request.WriterId = randomId(secureRandom);
   binding->Done = std::move(done);
-  issue(wish, [this, binding](TicketResult issued) {
+  fetch(request, [this, binding](TicketResult issued) {
     if (issued.Reason)
       return binding->Done(std::move(issued));
     binding->Request.Ticket = std::move(issued.Ticket);
-    withLease(binding);
+    ensureLease(binding);
   });
 }
 
-void TicketDesk::withLease(const std::shared_ptr<Binding> &binding) {
+void TicketClient::ensureLease(const std::shared_ptr<Binding> &binding) {
   TimePoint now = monotonicNow();
   std::optional<uint64_t> lease;
   Duration timeToLive;
@@ -70,39 +70,39 @@
   }
   if (lease) {
     binding->Request.Lease = *lease;
-    binding->Steps.emplace(binding->Request);
-    return proceed(binding, binding->Steps->start());
+    binding->KeySteps.emplace(binding->Request);
+    return performStep(binding, binding->KeySteps->start());
   }
   Kv.GrantLease(timeToLive, KvTimeout,
                 [this, binding, now](const edge::KvLeaseResult &granted) {
                   if (granted.Header.Status != edge::KvStatus::Ok)
-                    return binding->Done(refused(
+                    return binding->Done(failedResult(
                         {ErrorKind::ServiceUnavailable,
                          "the key can't be bound while the service is down"}));
                   {
                     std::lock_guard guard(Lock);
                     Lease.granted(granted.Lease, now);
                   }
-                  withLease(binding);
+                  ensureLease(binding);
                 });
 }
 
-void TicketDesk::proceed(const std::shared_ptr<Binding> &binding,
-                         BindStep step) {
+void TicketClient::performStep(const std::shared_ptr<Binding> &binding,
+                               BindStep step) {
   if (auto *write = std::get_if<edge::KvTransaction>(&step)) {
     Kv.Commit(std::move(*write), KvTimeout,
               [this, binding](const edge::KvTransactionResult &result) {
-                proceed(binding, binding->Steps->onCommit(result));
+                performStep(binding, binding->KeySteps->onCommit(result));
               });
   } else if (auto *read = std::get_if<edge::KvRange>(&step)) {
     Kv.Range(std::move(*read), KvTimeout,
              [this, binding](const edge::KvRangeResult &result) {
-               proceed(binding, binding->Steps->onRange(result));
+               performStep(binding, binding->KeySteps->onRange(result));
              });
   } else if (auto *bound = std::get_if<KeyBound>(&step)) {
     binding->Done({{}, std::move(bound->Ticket), {}});
-  } else if (auto *no = std::get_if<KeyRefused>(&step)) {
-    binding->Done(refused(std::move(no->Reason)));
+  } else if (auto *refusal = std::get_if<KeyRefused>(&step)) {
+    binding->Done(failedResult(std::move(refusal->Reason)));
   }
 }
 
--- a/tools/entry/ticket_client.h
+++ b/tools/entry/ticket_client.h
@@ -26,22 +26,22 @@
 using TicketDone = std::function<void(TicketResult)>;
 
 /// Thread-safe. Results arrive on I/O threads, exactly once each.
-class TicketDesk {
+class TicketClient {
 public:
-  TicketDesk(EntryState &state, edge::KvStore kv);
+  TicketClient(EntryState &state, edge::KvStore kv);
 
   /// A new ticket from one of the servers.
-  void issue(const CallerTicketRequest &wish, TicketDone done);
+  void fetch(const CallerTicketRequest &request, TicketDone done);
   /// The ticket that the caller's own key is bound to, binding it when it is
   /// new.
-  void bind(const CallerTicketRequest &wish, const std::string &key,
-            TicketDone done);
+  void bindKey(const CallerTicketRequest &request, const std::string &key,
+               TicketDone done);
 
 private:
   struct Binding;
 
-  void withLease(const std::shared_ptr<Binding> &binding);
-  void proceed(const std::shared_ptr<Binding> &binding, BindStep step);
+  void ensureLease(const std::shared_ptr<Binding> &binding);
+  void performStep(const std::shared_ptr<Binding> &binding, BindStep step);
 
   EntryState &State;
   edge::KvStore Kv;
--- a/tools/entry/ticket_fetch.cpp
+++ b/tools/entry/ticket_fetch.cpp
@@ -16,46 +16,47 @@
 
 } // namespace
 
-TicketFetch::TicketFetch(EntryState &state, CallerTicketRequest wish,
+TicketFetch::TicketFetch(EntryState &state, CallerTicketRequest request,
                          TicketDone done)
     : State(state), Strand(state.Io.get_executor()), Timer(Strand),
-      Wish(std::move(wish)), Id(randomId(secureRandom)), Done(std::move(done)) {
-}
+      Requested(std::move(request)), Id(randomId(secureRandom)),
+      Done(std::move(done)) {}
 
 void TicketFetch::start() {
-  State.Tickets.insert({Id, shared_from_this()});
+  State.TicketFetches.insert({Id, shared_from_this()});
   boost::asio::dispatch(Strand, [self = shared_from_this()] {
     RequestSpec spec;
     spec.Offer.Id = self->Id;
-    spec.Offer.Organisation = self->Wish.Organisation;
-    spec.Offer.Model = self->Wish.Serves;
-    if (self->Wish.IsService)
-      spec.Service = self->Wish.Serves;
+    spec.Offer.Organisation = self->Requested.Organisation;
+    spec.Offer.Model = self->Requested.Serves;
+    if (self->Requested.IsService)
+      spec.Service = self->Requested.Serves;
     self->Candidates = self->State.rank(spec, monotonicNow());
-    self->ask();
+    self->requestNext();
   });
 }
 
-void TicketFetch::ask() {
-  if (Asked >= Candidates.size())
+void TicketFetch::requestNext() {
+  if (CurrentAttempt >= Candidates.size())
     return finish(
         {{ErrorKind::NoServer, "no server issues a ticket now", RetryAfter},
          {},
          {}});
-  const Candidate &to = Candidates[Asked++];
+  const Candidate &to = Candidates[CurrentAttempt++];
   std::shared_ptr<const RoutingTable> routes = State.table();
   const Server *server = routes->snapshot().server(to.Server);
   if (server == nullptr)
-    return ask();
+    return requestNext();
   Timer.expires_after(ReplyTimeout);
-  Timer.async_wait([weak = weak_from_this(),
-                    number = Asked](const boost::system::error_code &ec) {
+  Timer.async_wait([weak = weak_from_this(), number = CurrentAttempt](
+                       const boost::system::error_code &ec) {
     auto self = weak.lock();
-    if (self && !ec && self->Asked == number)
-      self->ask();
+    if (self && !ec && self->CurrentAttempt == number)
+      self->requestNext();
   });
-  wire::TicketRequest request{Id, Wish.Organisation, Wish.Serves};
-  State.Links.open(*server, {Id, Asked}, wire::Message(std::move(request)));
+  wire::TicketRequest request{Id, Requested.Organisation, Requested.Serves};
+  State.Links.open(*server, {Id, CurrentAttempt},
+                   wire::Message(std::move(request)));
 }
 
 void TicketFetch::onReply(const wire::TicketReply &reply) {
@@ -66,14 +67,14 @@
       return self->finish({{},
                            reply.Ticket,
                            Duration(static_cast<int64_t>(reply.ValidMicros))});
-    self->ask();
+    self->requestNext();
   });
 }
 
 void TicketFetch::onLost(Attempt attempt) {
   boost::asio::dispatch(Strand, [self = shared_from_this(), attempt] {
-    if (self->Done && self->Asked == attempt)
-      self->ask();
+    if (self->Done && self->CurrentAttempt == attempt)
+      self->requestNext();
   });
 }
 
@@ -81,9 +82,9 @@
   if (!Done)
     return;
   Timer.cancel();
-  for (Attempt i = 1; i <= Asked; ++i)
+  for (Attempt i = 1; i <= CurrentAttempt; ++i)
     State.Links.close(Candidates[i - 1].Server, {Id, i});
-  State.Tickets.erase(Id);
+  State.TicketFetches.erase(Id);
   TicketDone done = std::exchange(Done, nullptr);
   done(std::move(result));
 }
--- a/tools/entry/ticket_fetch.h
+++ b/tools/entry/ticket_fetch.h
@@ -14,7 +14,7 @@
 
 class TicketFetch : public std::enable_shared_from_this<TicketFetch> {
 public:
-  TicketFetch(EntryState &state, CallerTicketRequest wish, TicketDone done);
+  TicketFetch(EntryState &state, CallerTicketRequest request, TicketDone done);
 
   void start();
   /// From any thread.
@@ -22,17 +22,17 @@
   void onLost(Attempt attempt);
 
 private:
-  void ask();
+  void requestNext();
   void finish(TicketResult result);
 
   EntryState &State;
   boost::asio::strand<boost::asio::io_context::executor_type> Strand;
   net::Timer Timer;
-  const CallerTicketRequest Wish;
+  const CallerTicketRequest Requested;
   const RequestId Id;
   TicketDone Done;
   std::vector<Candidate> Candidates;
-  Attempt Asked = 0; ///< Number of the agent asked last, from 1.
+  Attempt CurrentAttempt = 0; ///< Number of the agent asked last, from 1.
 };
 
 } // namespace daisytack::entry
