--- a/tools/agent/agent_daemon.h
+++ b/tools/agent/agent_daemon.h
@@ -1,9 +1,9 @@
 /// The parts of a running daisytack-agent and how they are tied together.
 #pragma once
 
+#include "agent_driver.h"
 #include "agent_metrics.h"
 #include "agent_operators.h"
-#include "agent_shell.h"
 #include "base/metrics.h"
 #include "runtime/control_runtime.h"
 
@@ -25,12 +25,12 @@
   void onSnapshot(const Snapshot &snapshot);
 
   AgentOptions Options;
-  Metrics Series;
-  AgentMetrics Figures;
+  Metrics Registry;
+  AgentMetrics Counters;
   EventRing Events;
   net::HttpClient PlatformClient;
   edge::KvStore KeyValue;
-  AgentShell Shell;
+  AgentDriver Driver;
   runtime::ControlRuntime Control;
   runtime::OperatorHttp Operators;
 };
