--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// Room for a burst of rumours while the process is busy.
+/// Holds a burst of gossip datagrams while the process is busy.
 constexpr int ReceiveBufferBytes = 1 << 20;
 
 std::optional<udp::endpoint> toUdp(const Endpoint &endpoint) {
@@ -48,7 +48,8 @@
   Hook Receive;
   std::function<void(ErrorKind)> Rejected;
   uint16_t Port = 0;
-  /// One byte more than allowed, so that a longer datagram shows.
+  /// One byte larger than the limit, so that an oversized datagram is detected
+  /// instead of being truncated to a permitted size.
   std::array<char, MaxDatagramBytes + 1> Buffer{};
   udp::endpoint From;
 };
@@ -83,7 +84,7 @@
                                   size_t bytes) {
         if (ec == asio::error::operation_aborted || !self->Socket.is_open())
           return;
-        // Other errors report that an earlier datagram was not delivered.
+        // Other errors report that a datagram sent earlier was not delivered.
         if (!ec)
           self->handleDatagram(bytes);
         self->receive();
@@ -106,7 +107,8 @@
   std::optional<std::string> bytes = Seal.seal(payload, reason);
   if (!at || !bytes || !Socket.is_open())
     return;
-  // A full socket buffer drops the datagram, as the network may.
+  // A datagram is dropped if the socket buffer is full. Callers have to
+  // tolerate loss anyway, since the network may drop datagrams too.
   boost::system::error_code ignored;
   Socket.send_to(asio::buffer(*bytes), *at, 0, ignored);
 }
--- a/src/net/datagram.h
+++ b/src/net/datagram.h
@@ -1,13 +1,15 @@
-/// Authenticated datagrams between peers.
+/// UDP socket for authenticated datagrams between peers.
 #pragma once
 
 #include "net/frame_link.h"
 
 namespace daisytack::net {
 
-/// Sends and receives datagrams of at most MaxDatagramBytes, each with key id,
-/// sender incarnation, a counter and an HMAC. A datagram that was received
-/// before, or is older than the replay window, is dropped and counted.
+/// Sends and receives datagrams of at most MaxDatagramBytes. Each one carries a
+/// key id, the sender's incarnation, a counter and an HMAC. A datagram that
+/// fails authentication, was received before or is older than the replay window
+/// is dropped, and the error kind is passed to the rejected callback.
+/// Thread-safe after start(); callbacks run on an I/O thread, one at a time.
 class DatagramSocket {
 public:
   using Hook =
--- a/src/net/frame_crypto.cpp
+++ b/src/net/frame_crypto.cpp
@@ -21,7 +21,8 @@
   return {reinterpret_cast<const char *>(nonce.data()), nonce.size()};
 }
 
-/// Length before the bytes, so that no two lists of fields read the same.
+/// Appends the length and then the bytes, so that different lists of fields
+/// always have different encodings.
 void appendField(std::string &out, std::string_view field) {
   appendFrameLength(out, field.size());
   out.append(field);
@@ -126,7 +127,8 @@
     number[i] = static_cast<unsigned char>(Sequence >> (8 * i));
   std::array<unsigned char, 32> full{};
   size_t written = 0;
-  // A null key starts over with the key already set, at no cost of a new one.
+  // A null key resets the context and keeps its key, which avoids the cost of
+  // setting the key up again.
   EVP_MAC_init(KeyedContext->Handle, nullptr, 0, nullptr);
   EVP_MAC_update(KeyedContext->Handle, number.data(), number.size());
   EVP_MAC_update(KeyedContext->Handle,
--- a/src/net/frame_crypto.h
+++ b/src/net/frame_crypto.h
@@ -1,5 +1,6 @@
-/// What authenticates a framed connection: the hello of each side, the session
-/// keys derived from both, and the code that ends every frame. No sockets.
+/// Authentication of framed connections, without sockets: the hello message of
+/// each side, the session keys derived from both hellos, and the message
+/// authentication code (MAC) at the end of every frame.
 #pragma once
 
 #include "net/frame_link.h"
@@ -16,37 +17,41 @@
 constexpr size_t FrameNonceBytes = 16;
 constexpr size_t FrameMacBytes = 16; ///< HMAC-SHA256, truncated.
 constexpr size_t FrameLengthBytes = 4;
-/// A hello comes from a stranger, so it is bounded far below a frame.
+/// A hello comes from an unauthenticated peer, so its limit is far below that
+/// of a frame.
 constexpr size_t MaxFrameHelloBytes = 512;
 
 using FrameNonce = std::array<uint8_t, FrameNonceBytes>;
 
-/// Which side of the connection speaks.
+/// Side of the connection that sent a message.
 enum class FrameRole : uint8_t { Connector, Acceptor };
 
-/// First frame of each side, not yet authenticated.
+/// First frame of each side; sent without authentication.
 struct FrameHello {
   FrameRole Role = FrameRole::Connector;
   FrameNonce Nonce{};
-  std::string KeyId; ///< Key that signs what this side sends.
+  std::string KeyId; ///< Key used to sign this side's frames.
   bool operator==(const FrameHello &) const = default;
 };
 
 std::string encodeFrameHello(const FrameHello &hello);
-/// Nothing when the bytes are no hello of this protocol version.
+/// Returns nullopt with the reason if the bytes are not a valid hello of this
+/// protocol version.
 std::optional<FrameHello> decodeFrameHello(std::string_view bytes,
                                            Error &reason);
 
-/// Key of one direction of one connection. Both hellos go into it, so a frame
-/// of another connection, or one sent back to its sender, never verifies.
+/// Derives the key for one direction of one connection. The sender's role and
+/// both hellos are part of the input, so a frame that is replayed on another
+/// connection or reflected to its sender does not verify.
 std::string frameSessionKey(std::string_view secret, FrameRole sender,
                             const FrameHello &connector,
                             const FrameHello &acceptor);
 
 using FrameMacValue = std::array<uint8_t, FrameMacBytes>;
 
-/// Computes the codes of one direction. The sequence number is implied, so a
-/// frame that was repeated, left out or moved does not verify. Not thread-safe.
+/// Computes the MACs of one direction. Each MAC covers an implicit sequence
+/// number that is not transmitted, so a frame that was repeated, dropped or
+/// reordered does not verify. Not thread-safe.
 class FrameMac {
 public:
   explicit FrameMac(std::string_view sessionKey);
@@ -54,9 +59,10 @@
   FrameMac(const FrameMac &) = delete;
   FrameMac &operator=(const FrameMac &) = delete;
 
-  /// Code of the next frame in order.
+  /// Returns the MAC of the next frame and increments the sequence number.
   FrameMacValue sign(std::string_view payload);
-  /// Whether the code is the next frame's; counts the frame when it is.
+  /// Checks the MAC of the next frame; increments the sequence number only if
+  /// it is correct.
   bool verify(std::string_view payload, std::string_view mac);
 
 private:
@@ -67,7 +73,7 @@
   uint64_t Sequence = 0;
 };
 
-/// Big-endian length before every frame.
+/// Appends the big-endian length that precedes every frame.
 void appendFrameLength(std::string &out, size_t length);
 size_t readFrameLength(std::string_view bytes);
 
--- a/src/net/frame_link.cpp
+++ b/src/net/frame_link.cpp
@@ -14,9 +14,10 @@
 
 namespace {
 
-/// A stranger that does not prove its key within this is let go.
+/// An accepted connection is closed if the peer does not authenticate within
+/// this time.
 constexpr Duration HandshakeTimeout{5'000'000};
-/// Pause after a failed accept, for instance for want of descriptors.
+/// Delay after a failed accept, for example when file descriptors run out.
 constexpr Duration AcceptRetryDelay{50'000};
 
 } // namespace
--- a/src/net/frame_session.cpp
+++ b/src/net/frame_session.cpp
@@ -19,10 +19,12 @@
 namespace {
 
 constexpr size_t ReadChunkBytes = 64U << 10;
-constexpr size_t MaxRetainedInputBytes =
-    256U << 10; ///< A larger buffer is given back.
+/// A larger input buffer is freed when it is empty.
+constexpr size_t MaxRetainedInputBytes = 256U << 10;
+/// Time that close() allows for writing the queued frames.
 constexpr Duration CloseTimeout{1'000'000};
-/// A peer that has vanished without a word is given up after about this long.
+/// A connection whose peer no longer acknowledges data or keepalive probes is
+/// closed after about this time.
 constexpr int PeerTimeoutMillis = 10'000;
 constexpr int KeepAliveSeconds = 3;
 
@@ -143,7 +145,6 @@
   readMore();
 }
 
-/// Handles one whole frame of the input; false when more bytes are needed.
 bool FrameSession::processFrame() {
   std::string_view input(Input.data() + InputBegin, InputEnd - InputBegin);
   if (input.size() < FrameLengthBytes)
@@ -240,13 +241,12 @@
   asio::post(Strand, [self = shared_from_this()] { self->flush(); });
 }
 
-/// Signs all queued frames in one go; they leave in one write.
 void FrameSession::flush() {
   std::vector<std::string> frames;
   {
     std::lock_guard guard(QueueLock);
     if (State != Phase::Open && State != Phase::Closed)
-      return; // Opening flushes again.
+      return; // onAuthenticated() flushes once the link is open.
     FlushScheduled = false;
     frames.swap(Queue);
   }
@@ -315,7 +315,8 @@
   error_code ignored;
   Stream.shutdown(Socket::shutdown_both, ignored);
   Stream.close(ignored);
-  // The hooks hold their owner; they are let go with the last call.
+  // The hooks may hold references to their owner; release them after the last
+  // call.
   FrameHooks hooks = std::exchange(Hooks, {});
   if (hooks.Closed)
     hooks.Closed(shared_from_this(), reason);
--- a/src/net/frame_session.h
+++ b/src/net/frame_session.h
@@ -1,4 +1,4 @@
-/// One framed connection: handshake, reading, and writing with coalescing.
+/// One framed connection: handshake, reading, and coalesced writes.
 /// Internal to src/net/frame_*.cpp.
 #pragma once
 
@@ -16,8 +16,9 @@
 namespace daisytack::net {
 
 /// Runs on its own strand; send, close and pendingBytes may be called from any
-/// thread. Both sides send a hello, then an empty authenticated frame as proof
-/// of their key; the link is open once the other side's proof has verified.
+/// thread. Each side sends a hello and then an empty authenticated frame, which
+/// proves that it holds its key. The link is open once the peer's proof has
+/// been verified.
 class FrameSession : public FrameLink,
                      public std::enable_shared_from_this<FrameSession> {
 public:
@@ -26,26 +27,32 @@
   FrameSession(boost::asio::io_context &io, Socket socket, FrameRole role,
                PeerKeys keys, FrameHooks hooks);
 
-  /// Connects first, then shakes hands; both within the timeout.
+  /// Connects and performs the handshake; the timeout covers both.
   void connect(const Endpoint &to, Duration timeout);
-  /// Shakes hands on a connection that was accepted.
+  /// Performs the handshake on an accepted connection.
   void startAccepted(Duration timeout);
 
   void send(std::string frame) override;
-  /// Writes what was queued, waiting a moment at most, then closes.
+  /// Writes the queued frames and closes; gives up after CloseTimeout. Closes
+  /// at once if the handshake is not complete.
   void close() override;
   size_t pendingBytes() const override;
 
 private:
   enum class Phase : uint8_t { Hello, Proof, Open, Closed };
 
+  /// Closes the link with this error detail after the timeout, unless Deadline
+  /// is cancelled first.
   void armDeadline(Duration timeout, const char *what);
   void startHandshake();
   void readMore();
   void onRead(size_t n);
+  /// Handles one complete frame of the input; false if more bytes are needed or
+  /// the link was closed.
   bool processFrame();
   void onHello(std::string_view bytes);
   void onAuthenticated(std::string_view payload);
+  /// Signs all queued frames and sends them in one write.
   void flush();
   void startWrite();
   void finish(const Error &reason);
@@ -59,7 +66,7 @@
   const PeerKeys Keys;
   FrameHooks Hooks;
 
-  // Used on the strand only.
+  // The members up to QueueLock are used on the strand only.
   Phase State = Phase::Hello;
   FrameHello OwnHello;
   std::unique_ptr<FrameMac> SendMac;
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -32,7 +32,8 @@
 
 void HttpConnectionPool::put(const Endpoint &to,
                              std::shared_ptr<HttpClientConnection> connection) {
-  std::shared_ptr<HttpClientConnection> oldest; // Closed outside the lock.
+  // Destroyed after the lock is released.
+  std::shared_ptr<HttpClientConnection> oldest;
   std::lock_guard guard(Lock);
   if (Closed)
     return;
@@ -45,7 +46,8 @@
 }
 
 void HttpConnectionPool::drop(const Endpoint &to) {
-  std::vector<std::shared_ptr<HttpClientConnection>> dropped; // As above.
+  // Destroyed after the lock is released.
+  std::vector<std::shared_ptr<HttpClientConnection>> dropped;
   std::lock_guard guard(Lock);
   if (auto it = Idle.find(to); it != Idle.end())
     dropped.swap(it->second);
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,32 +1,40 @@
-/// HTTP/1.1 client on Boost.Beast: asynchronous, with kept-alive connections,
-/// deadlines and cancellation.
+/// Asynchronous HTTP/1.1 client on Boost.Beast, with connection reuse, timeouts
+/// and cancellation.
 #pragma once
 
 #include "net/http_server.h"
 
 namespace daisytack::net {
 
-/// Called on an I/O thread, in order, and never after done.
+/// Callbacks of a call, called in order on an I/O thread. None is called after
+/// Done.
 struct HttpHooks {
-  /// Whether a response belongs to this request. One that does not is read and
-  /// dropped, and the next one on the connection counts. Empty: every one does.
+  /// Returns whether a response belongs to this request. A response that does
+  /// not is read and discarded, and the next one on the connection is checked.
+  /// If empty, every response is accepted.
   std::function<bool(const std::vector<HttpHeader> &headers)> MatchesRequest;
   std::function<void(unsigned status, const std::vector<HttpHeader> &headers)>
       Head;
   std::function<void(std::string_view data)> Data;
-  /// Kind None when the whole response was received. ServerLost: the connection
-  /// broke after bytes of the request may have been sent. DeadlinePassed: the
-  /// timeout came then. ServiceUnavailable: nothing was sent, for whichever
-  /// reason. ProtocolError: the response is malformed or too large.
+  /// Called once at the end of the call. Kinds of error:
+  /// - None: the complete response was received.
+  /// - ServerLost: the connection failed after bytes of the request may have
+  ///   been sent.
+  /// - DeadlinePassed: the timeout expired after bytes of the request may have
+  ///   been sent.
+  /// - ServiceUnavailable: the call failed or timed out before anything was
+  ///   sent.
+  /// - ProtocolError: the response is malformed or too large.
+  /// - Cancelled: the call was cancelled.
   std::function<void(const Error &error)> Done;
 };
 
-/// Cancels a call; Done is then called with Cancelled unless it was already.
-/// Copyable, may outlive the call.
+/// Handle of a running call. Copyable; may outlive the call.
 class HttpCall {
 public:
   HttpCall() = default;
   explicit HttpCall(std::function<void()> cancel) : Stop(std::move(cancel)) {}
+  /// Cancels the call; Done is called with Cancelled unless the call has ended.
   void cancel() const {
     if (Stop)
       Stop();
@@ -39,14 +47,17 @@
 struct HttpClientInit {
   size_t MaxIdlePerEndpoint = 16;
   Duration ConnectTimeout{1'000'000};
-  /// A kept connection is given up so long before its peer would close it, as
-  /// the peer's Keep-Alive says; covers a trip and a late timer on both sides.
+  /// An idle connection is no longer reused this long before the timeout in the
+  /// peer's Keep-Alive header. Covers network latency and timer delays on both
+  /// sides.
   Duration KeepAliveMargin{300'000};
   size_t MaxResponseHeaderBytes = 64U << 10;
-  size_t MaxResponseBodyBytes = 64U << 20; ///< Of fetch; call() is unbounded.
-  /// Whether a GET or HEAD that was sent over a stale connection is sent once
-  /// more by itself. Not where its sender must know that it may have run: the
-  /// second answer says nothing of the first.
+  /// Applies to fetch(); call() has no limit.
+  size_t MaxResponseBodyBytes = 64U << 20;
+  /// Whether a GET or HEAD request that was sent over a stale connection is
+  /// retried once automatically. Disable it if the caller must know that the
+  /// request may have run: the response to the retry does not tell whether the
+  /// first attempt ran.
   bool RetriesSafeMethods = true;
 };
 
@@ -55,19 +66,20 @@
 public:
   HttpClient(boost::asio::io_context &io, HttpClientInit init);
   ~HttpClient();
-  /// That its calls run on; for timers around them.
+  /// I/O context that runs the calls; callers may run their timers on it.
   boost::asio::io_context &context() const;
-  /// Sends the request, with a Host header of its own if it names none. A
-  /// timeout of zero means none but the connect timeout.
-  /// A kept-alive connection that turns out stale is replaced once, if nothing
-  /// was sent over it or the method is GET or HEAD and those are repeated.
+  /// Sends the request; adds a Host header if it has none. If timeout is zero,
+  /// only the connect timeout applies.
+  /// If a reused connection turns out to be stale, the request is sent once
+  /// more on a new connection, provided that nothing was sent before or that
+  /// the method is GET or HEAD and RetriesSafeMethods is set.
   HttpCall call(const Endpoint &to, HttpRequest request, Duration timeout,
                 HttpHooks hooks);
-  /// The same with the whole response at once.
+  /// Like call(), but passes the complete response to done.
   HttpCall fetch(const Endpoint &to, HttpRequest request, Duration timeout,
                  std::function<void(const Error &, HttpResponse)> done);
 
-  /// Closes the connections that are kept to the peer and carry no call.
+  /// Closes the idle connections to the endpoint.
   void dropIdle(const Endpoint &to);
 
 private:
--- a/src/net/http_client_call.cpp
+++ b/src/net/http_client_call.cpp
@@ -41,7 +41,7 @@
   return method == http::verb::get || method == http::verb::head;
 }
 
-/// Whether the response's length can be read in one way only (RFC 9112, 6.3).
+/// Whether the length of the response is unambiguous (RFC 9112, 6.3).
 bool isFramingValid(const http::response<http::buffer_body> &message) {
   size_t lengths = message.count(http::field::content_length);
   size_t codings = message.count(http::field::transfer_encoding);
@@ -145,7 +145,8 @@
       return;
     return fail(ec, "send");
   }
-  // A server may answer before it has read everything, and then close.
+  // Read even after a failed write: a server may respond before it has read the
+  // whole request and then close the connection.
   if (!IsReading)
     readHead();
 }
--- a/src/net/http_client_call.h
+++ b/src/net/http_client_call.h
@@ -1,5 +1,5 @@
-/// One call of the HTTP client and its pool of kept-alive connections. Internal
-/// to src/net.
+/// One call of the HTTP client, and the client's pool of idle connections.
+/// Internal to src/net.
 #pragma once
 
 #include "net/http_client.h"
@@ -21,20 +21,22 @@
 
 namespace http = boost::beast::http;
 
-/// A connection and what was read from it beyond the last response.
+/// A connection with its read buffer, which may hold bytes received after the
+/// last response.
 struct HttpClientConnection {
   explicit HttpClientConnection(asio::io_context &io)
       : Socket(asio::make_strand(io)) {}
 
-  /// Idle time when the peer names none.
+  /// Maximum idle time before reuse; a shorter timeout in the peer's Keep-Alive
+  /// header takes precedence.
   static constexpr std::chrono::seconds MaxIdleTime{20};
-  /// False when the peer has closed it, sent something unasked, or it has been
-  /// idle for so long that the peer may be about to.
+  /// False if the peer closed the connection or sent unsolicited data, or if
+  /// the peer's idle timeout may be about to expire.
   bool isReusable(BootClock::time_point now);
 
   StrandSocket Socket;
   boost::beast::flat_buffer Buffer;
-  /// Not to be used again from then on.
+  /// The connection is not reused from this time on.
   BootClock::time_point UsableUntil;
 };
 
@@ -42,12 +44,13 @@
 class HttpConnectionPool {
 public:
   explicit HttpConnectionPool(size_t maxIdle) : MaxIdle(maxIdle) {}
-  /// A connection that seems usable, or null.
+  /// Removes and returns a connection that appears usable, or returns null.
   std::shared_ptr<HttpClientConnection> take(const Endpoint &to);
   void put(const Endpoint &to,
            std::shared_ptr<HttpClientConnection> connection);
-  /// Those to one endpoint.
+  /// Closes the idle connections to one endpoint.
   void drop(const Endpoint &to);
+  /// Closes all idle connections and rejects later ones.
   void close();
 
 private:
@@ -59,8 +62,7 @@
   std::map<Endpoint, std::vector<std::shared_ptr<HttpClientConnection>>> Idle;
 };
 
-/// Sends one request and reports its response. All steps run on the strand of
-/// the connection in use.
+/// Sends one request and reports its response. All steps run on CallStrand.
 class HttpClientCall : public std::enable_shared_from_this<HttpClientCall> {
 public:
   HttpClientCall(asio::io_context &io, const HttpClientInit &init,
@@ -72,12 +74,12 @@
 private:
   using Request = http::request<http::string_body>;
   using Parser = http::response_parser<http::buffer_body>;
-  /// A body's reads start small, since a token's chunk is, and grow while they
-  /// are filled.
+  /// The read buffer for the body starts small, since the chunk of one
+  /// generated token is small, and doubles each time that a read fills it.
   static constexpr size_t InitialReadBytes = 1U << 10;
   static constexpr size_t MaxReadBytes = 64U << 10;
-  /// A longer request is sent while its response is awaited, as a server may
-  /// answer before it has read everything.
+  /// For a longer request body, reading the response starts together with the
+  /// write, since a server may respond before it has read the whole request.
   static constexpr size_t MaxBytesBeforeRead = 16U << 10;
 
   void begin();
@@ -89,12 +91,14 @@
   void onHead(ErrorCode ec);
   void readBody();
   void onBody(ErrorCode ec);
-  /// The response is whole: ends the call, or reads on after one that belongs
-  /// to another request.
+  /// Ends the call after a complete response, or reads the next response if
+  /// this one belongs to another request.
   void onResponseComplete();
-  /// How long the connection may stay idle, by the response's Keep-Alive.
+  /// How long the connection may stay idle, according to the Keep-Alive header
+  /// of the response.
   Duration idleTimeout() const;
-  /// Takes a new connection after a stale one; false when that isn't allowed.
+  /// Reconnects and sends the request again if the reused connection was stale.
+  /// False if the connection was not reused or has received data.
   bool retryOnNewConnection();
   void complete();
   void fail(ErrorCode ec, const char *what);
@@ -108,19 +112,20 @@
   Endpoint To;
   Request Message;
   HttpHooks Hooks;
-  Strand
-      CallStrand; ///< Runs begin, cancel and the timer, and all I/O handlers.
+  /// Runs begin(), cancel(), the timer and all I/O handlers.
+  Strand CallStrand;
   StrandTimer Timer;
   std::optional<BootClock::time_point> Deadline;
   std::shared_ptr<HttpClientConnection> Connection;
   std::optional<Parser> Response;
   std::vector<char> ReadBuffer;
   bool Reused = false;
-  bool MayHaveSent = false; ///< Some byte of the request may have been sent.
+  bool MayHaveSent = false; ///< Part of the request may have been sent.
   bool AnyReceived = false;
-  bool IsSent = false; ///< The whole request was given to the socket.
+  bool IsSent = false; ///< The whole request was written to the socket.
   bool IsReading = false;
-  bool IgnoresResponse = false; ///< The response read now is another request's.
+  /// The current response is for another request.
+  bool IgnoresResponse = false;
   bool Finished = false;
 };
 
--- a/src/net/http_connection.cpp
+++ b/src/net/http_connection.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-constexpr size_t MaxRetainedBufferBytes =
-    4096; ///< More is freed between requests.
+/// A larger buffer is freed between requests.
+constexpr size_t MaxRetainedBufferBytes = 4096;
 constexpr std::string_view HeaderEnd = "\r\n\r\n";
-constexpr size_t HeaderReadBytes = 4096; ///< Read at once.
+constexpr size_t HeaderReadBytes = 4096; ///< Per read.
 constexpr unsigned HttpVersion11 = 11;
 
-/// Continuation lines are obsolete (RFC 9112, 5.2) and read differently by
-/// different programs.
+/// Whether the header section has a continuation line. These are obsolete (RFC
+/// 9112, 5.2), and implementations interpret them differently.
 bool hasFoldedLine(std::string_view head) {
   return head.find("\r\n ") != std::string_view::npos ||
          head.find("\r\n\t") != std::string_view::npos;
@@ -31,9 +31,10 @@
          text.find_first_not_of("0123456789") == std::string_view::npos;
 }
 
-/// Whether the message's length can be read in one way only (RFC 9112, 6.3),
-/// and its target host is named once (3.2): anything else could hide a second
-/// request from one of two readers.
+/// Whether the length of the message is unambiguous (RFC 9112, 6.3) and it has
+/// exactly one Host header (3.2; optional in HTTP/1.0). Otherwise two
+/// implementations could read different requests from the same bytes (request
+/// smuggling).
 bool isFramingValid(const http::request<http::string_body> &message) {
   size_t lengths = message.count(http::field::content_length);
   size_t codings = message.count(http::field::transfer_encoding);
@@ -326,8 +327,8 @@
   else
     Pipelined = true;
   auto exchange = std::make_shared<Exchange>(shared_from_this(), serial);
-  // Asked of each request: a connection may become idle, and take another
-  // request, long after the idle ones were closed.
+  // Checked for each request: a busy connection may become idle and receive
+  // another request long after the idle connections were closed.
   if (Shared->Closed)
     return;
   if (BootClock::now() > Shared->HandleDeadline.load())
@@ -339,7 +340,8 @@
 void HttpConnection::nextRequest() {
   CurrentState = State::Idle;
   if (Pipelined || Buffer.size() > 0) {
-    // Not at once, so that answered requests can't build up the stack.
+    // Posted instead of called, so that pipelined requests can't grow the
+    // stack.
     asio::post(Socket.get_executor(), [self = shared_from_this()] {
       if (self->CurrentState == State::Idle)
         self->startRequest();
@@ -376,7 +378,8 @@
     serial = Serial;
     mayRespond = !HeadSent;
   }
-  // A peer that only ended its sending side still reads why it gets no answer.
+  // A peer that only closed its sending side can still read why its request was
+  // cancelled.
   if (mayRespond)
     respond(serial,
             problemResponse({ErrorKind::Cancelled,
@@ -441,14 +444,14 @@
 
 void HttpConnection::onDeadline() {
   if (CurrentState == State::Idle && !Shared->Stopping) {
-    // The limit may have been raised meanwhile.
+    // The idle timeout may have been raised since the timer was set.
     Deadline = IdleSince + Shared->limits()->IdleTimeout;
     if (BootClock::now() < Deadline)
       return armTimer();
   }
   if (CurrentState != State::Reading || TimedOut)
     return close();
-  // Ends the pending read, whose handler then answers 408.
+  // Cancels the pending read; its handler then responds with status 408.
   TimedOut = true;
   ErrorCode ignored;
   Socket.cancel(ignored);
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -21,7 +21,7 @@
 
 class HttpConnection;
 
-/// What the connections of one server share.
+/// State shared by all connections of one server.
 struct HttpServerShared {
   HttpServerShared(HttpServerInit init, HttpHandler handler)
       : Init(std::move(init)), Handler(std::move(handler)),
@@ -30,24 +30,27 @@
                        Init.ReadTimeout, Init.IdleTimeout})) {}
 
   std::shared_ptr<const HttpLimits> limits() const { return Limits.load(); }
-  /// The earliest of the times that were set holds.
+  /// Requests completed after the time are refused. The earliest time set takes
+  /// effect.
   void refuseAfter(BootClock::time_point time);
+  /// Response to a request that was completed after HandleDeadline.
   HttpResponse lateRequestResponse(const HttpRequest &request) const;
-  /// How long a connection may wait for a request.
+  /// How long a connection may wait for its next request.
   Duration idleTimeout() const;
 
   const HttpServerInit Init;
   const HttpHandler Handler;
   std::atomic<std::shared_ptr<const HttpLimits>> Limits;
-  /// Every answer is the last of its connection.
+  /// Every connection is closed after the next response that it begins.
   std::atomic<bool> ClosesAfterResponse{false};
   std::atomic<size_t> OpenConnections{0};
-  std::atomic<size_t> UnsentResponses{0}; ///< Handed over and not wholly sent.
+  /// Requests passed to the handler whose response is not fully written.
+  std::atomic<size_t> UnsentResponses{0};
   std::atomic<bool> Stopping{false};
-  /// Requests that are whole later reach no handler.
+  /// Requests completed after this time are not passed to the handler.
   std::atomic<BootClock::time_point> HandleDeadline{
       BootClock::time_point::max()};
-  std::atomic<bool> Closed{false}; ///< The handler may not be called any more.
+  std::atomic<bool> Closed{false}; ///< The handler must no longer be called.
 
   std::mutex Lock; ///< Guards Connections only.
   std::unordered_map<HttpConnection *, std::weak_ptr<HttpConnection>>
@@ -55,9 +58,9 @@
   std::vector<std::shared_ptr<HttpConnection>> connections();
 };
 
-/// Reads requests one after another, hands each to the handler and writes its
-/// answer. Input runs on the strand of the socket; answers are queued from any
-/// thread under a lock that is never held over I/O.
+/// Reads requests one after another, passes each to the handler and writes its
+/// response. Input is processed on the strand of the socket. Responses may be
+/// queued from any thread, under a lock that is never held during I/O.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
 public:
   HttpConnection(StrandSocket socket, std::shared_ptr<HttpServerShared> shared);
@@ -66,18 +69,20 @@
   HttpConnection &operator=(const HttpConnection &) = delete;
 
   void start();
-  /// Closes the connection soon if no request is under way on it.
+  /// If no request is in progress, shortens the idle timeout so that the
+  /// connection closes soon.
   void closeWhenIdle();
   void closeNow();
 
-  // For the exchange with that serial number; ignored when it is over.
+  // Operations of the exchange with the serial number; ignored after it ended.
   void respond(uint64_t serial, HttpResponse response);
   void beginStream(uint64_t serial, unsigned status,
                    std::vector<HttpHeader> headers);
   void write(uint64_t serial, std::string data);
   void endStream(uint64_t serial);
   void abort(uint64_t serial);
-  /// Answers for a handler that dropped its exchange.
+  /// Responds with an error, or aborts the stream, if the handler dropped its
+  /// exchange without ending the response.
   void abandon(uint64_t serial);
   void setClosedHook(uint64_t serial, std::function<void()> hook);
   size_t pendingBytes() const { return PendingBytes.load(); }
@@ -85,7 +90,8 @@
 private:
   enum class State : uint8_t { Idle, Reading, Responding, Draining, Closed };
   using Parser = http::request_parser<http::string_body>;
-  /// How much input, and for how long, is read and thrown away before closing.
+  /// Maximum amount of input, and maximum time, for discarding unread input
+  /// before the connection is closed.
   static constexpr size_t MaxDiscardBytes = 16U << 20;
   static constexpr Duration DiscardTimeout{2'000'000};
 
@@ -93,8 +99,8 @@
   void waitReadable();
   void onReadable(ErrorCode ec);
   void startRequest();
-  /// Parses what was received of the header section and reads on until it is
-  /// whole.
+  /// Parses the header section once it was received completely; reads more
+  /// input until then.
   void parseHeader();
   void onHeader(ErrorCode ec);
   void readBody();
@@ -104,7 +110,7 @@
   void nextRequest();
   void discardInput(size_t maxBytes);
 
-  // Output. Lock is held where the name says so.
+  // Output. Functions with the suffix Locked require that Lock is held.
   bool isOpenLocked(uint64_t serial) const;
   bool closesAfterResponse() const {
     return Shared->Stopping || Shared->ClosesAfterResponse;
@@ -119,7 +125,7 @@
                          const std::vector<HttpHeader> &headers, bool streamed,
                          size_t length);
 
-  // End.
+  // Closing and timeouts.
   void onPeerHalfClosed();
   void close();
   void setDeadline(Duration fromNow);
@@ -132,13 +138,13 @@
   boost::beast::flat_buffer Buffer;
   std::unique_ptr<Parser> Input;
   BootClock::time_point IdleSince;
-  uint32_t HandledRequests = 0; ///< Requests so far.
+  uint32_t HandledRequests = 0; ///< Requests received so far.
   BootClock::time_point ReadingSince;
   BootClock::time_point Deadline = BootClock::time_point::max();
   BootClock::time_point TimerExpiry = BootClock::time_point::max();
   State CurrentState = State::Idle;
-  bool WaitingReadable = false; ///< A wait for readability is outstanding.
-  bool Pipelined = false; ///< The next request came before the answer ended.
+  bool WaitingReadable = false; ///< An asynchronous wait for input is pending.
+  bool Pipelined = false;       ///< Input arrived before the response ended.
   bool TimedOut = false;
   bool Writing = false;
   std::vector<std::string> Sending;
@@ -146,17 +152,17 @@
   size_t SendOffset = 0;
 
   std::atomic<size_t> PendingBytes{0}; ///< Bytes queued and not yet sent.
-  std::mutex Lock;                     ///< Guards all below.
+  std::mutex Lock;                     ///< Guards the members below.
   std::vector<std::string> Queued;
   std::function<void()> ClosedHook;
   uint64_t Serial = 0;
-  bool Ended = true;    ///< No further byte of this answer will be queued.
-  bool Aborted = false; ///< Close once what was queued has been sent.
+  bool Ended = true;    ///< The response was queued completely or aborted.
+  bool Aborted = false; ///< Close after the queued data was sent.
   bool HeadSent = false;
   bool Chunked = false;
   bool KeepAlive = false;
   bool IsHead = false;
-  bool IsHttp10 = false; ///< HTTP/1.0: no chunks.
+  bool IsHttp10 = false; ///< No chunked transfer encoding.
   bool IsClosed = false;
 };
 
--- a/src/net/http_connection_output.cpp
+++ b/src/net/http_connection_output.cpp
@@ -1,4 +1,4 @@
-/// The answering half of HttpConnection.
+/// The part of HttpConnection that writes responses.
 #include "net/http_connection.h"
 
 #include "net/problem.h"
@@ -156,7 +156,7 @@
 
 void HttpConnection::scheduleFlush() {
   if (Shared->Closed)
-    return; // The I/O context may be going away with the server.
+    return; // The I/O context may be destroyed together with the server.
   asio::dispatch(Socket.get_executor(),
                  [self = shared_from_this()] { self->flush(); });
 }
@@ -166,7 +166,8 @@
     return;
   bool ended = false;
   bool aborted = false;
-  std::function<void()> finishedHook; // Destroyed outside the lock.
+  // Destroyed after the lock is released.
+  std::function<void()> finishedHook;
   {
     std::lock_guard guard(Lock);
     Sending.swap(Queued);
@@ -207,7 +208,7 @@
   if (CurrentState == State::Closed)
     return;
   if (ec == asio::error::operation_aborted)
-    return sendSome(); // Only the pending read was to end.
+    return sendSome(); // onDeadline() cancels to end the pending read only.
   if (ec)
     return close();
   PendingBytes -= n;
@@ -234,8 +235,9 @@
     Shared->UnsentResponses.fetch_sub(1);
   if (keep && CurrentState == State::Responding)
     return nextRequest();
-  // Unread input would turn the close into a reset that can destroy the
-  // answer on its way; so it is read first.
+  // Closing a socket with unread input sends a reset, and the peer may then
+  // lose a response that is still in transit. The input is therefore discarded
+  // first.
   CurrentState = State::Draining;
   setDeadline(DiscardTimeout);
   ErrorCode ignored;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -5,7 +5,7 @@
 namespace daisytack::net {
 
 namespace {
-/// Before accepting again after the system ran out of descriptors.
+/// Delay after a failed accept, for example when file descriptors run out.
 constexpr Duration AcceptRetryDelay{50'000};
 } // namespace
 
@@ -62,8 +62,8 @@
 }
 
 void HttpServer::Impl::onAccepted(ErrorCode ec, StrandSocket socket) {
-  // A connection that came just before the listener was closed is served: to
-  // its caller it was open.
+  // A connection accepted just before the listener was closed is served,
+  // because its caller already sees it as established.
   if (!ec)
     admit(std::move(socket));
   if (!Acceptor.is_open())
@@ -79,12 +79,12 @@
 
 void HttpServer::Impl::admit(StrandSocket socket) {
   if (Shared->Closed || Shared->OpenConnections >= Shared->Init.MaxConnections)
-    return; // Closed by its destructor.
+    return; // The destructor of the socket closes the connection.
   std::make_shared<HttpConnection>(std::move(socket), Shared)->start();
 }
 
-/// Takes what has connected already, so that closing the listener resets
-/// nobody.
+/// Accepts the connections in the listen backlog, which would be reset when the
+/// listener is closed.
 void HttpServer::Impl::acceptPending() {
   ErrorCode ec;
   Acceptor.non_blocking(true, ec);
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,5 +1,5 @@
-/// HTTP/1.1 server on Boost.Beast: bounded input, streamed answers, several
-/// threads.
+/// Multi-threaded HTTP/1.1 server on Boost.Beast, with limits on its input and
+/// streamed responses.
 #pragma once
 
 #include "daisytack/error.h"
@@ -27,15 +27,16 @@
   std::string Query; ///< Without the question mark.
   std::vector<HttpHeader> Headers;
   std::string Body;
-  /// Path and query exactly as received. In a request to be sent it replaces
+  /// Path and query exactly as received. In an outgoing request it replaces
   /// Path and Query unless it is empty.
   std::string Target = {};
-  /// Which request of its connection it is, from 1 on; 0 in one to be sent.
+  /// Number of the request on its connection, starting at 1; 0 in an outgoing
+  /// request.
   uint32_t ConnectionRequestNumber = 0;
-  Duration ReadTime{0}; ///< From its first byte until it was whole.
+  Duration ReadTime{0}; ///< From the first byte to the end of the request.
 
-  /// Value of the first header of that name, whatever its case; empty when
-  /// there is none.
+  /// Value of the first header with the name, compared case-insensitively;
+  /// empty if there is none.
   std::string_view header(std::string_view name) const;
 };
 
@@ -45,41 +46,43 @@
   std::string Body;
 };
 
-/// The answer to one request. Every function may be called from any thread, and
-/// after the caller has gone.
+/// Sends the response to one request. Every function may be called from any
+/// thread, also after the caller has disconnected.
 class HttpExchange {
 public:
   virtual ~HttpExchange() = default;
-  /// The whole answer. Nothing may follow.
+  /// Sends a complete response. Later calls have no effect.
   virtual void respond(HttpResponse response) = 0;
-  /// Starts a streamed answer (chunked transfer encoding).
+  /// Starts a streamed response (chunked transfer encoding; in HTTP/1.0 the
+  /// response ends when the connection is closed).
   virtual void beginStream(unsigned status,
                            std::vector<HttpHeader> headers) = 0;
   virtual void write(std::string data) = 0;
   virtual void endStream() = 0;
-  /// Closes the connection after what was written, without ending the stream,
-  /// so that the caller sees that the answer is not whole.
+  /// Sends the data written so far and closes the connection without ending the
+  /// stream, so that the caller can detect that the response is incomplete.
   virtual void abort() = 0;
-  /// Bytes written but not yet taken by the socket.
+  /// Bytes of the response queued and not yet written to the socket.
   virtual size_t pendingBytes() const = 0;
-  /// Called at most once, when the caller goes away before the answer ended.
-  /// A caller that ends only its sending side counts as gone: TCP can't tell
-  /// the two apart. Set it before returning from the handler.
+  /// Sets a hook that is called at most once, if the caller disconnects before
+  /// the response has ended. A caller that closes only its sending side is
+  /// treated as disconnected, because TCP can't distinguish the two. Must be
+  /// set before the handler returns.
   virtual void onClosed(std::function<void()> hook) = 0;
 };
 
 using HttpHandler =
     std::function<void(HttpRequest, std::shared_ptr<HttpExchange>)>;
 
-/// Bounds on what a caller may send and how long it may take; they may change
-/// while the server runs.
+/// Limits on the size of requests and on the time that a caller may take. They
+/// may be changed while the server runs.
 struct HttpLimits {
   size_t MaxHeaderBytes = MaxHttpHeaderBytes;
   size_t MaxBodyBytes = MaxHttpBodyBytes;
-  Duration HeaderTimeout{10'000'000}; ///< From a request's first byte on.
-  Duration BodyTimeout{10'000'000};   ///< From the end of its headers on.
+  Duration HeaderTimeout{10'000'000}; ///< From the first byte of a request.
+  Duration BodyTimeout{10'000'000};   ///< From the end of the headers.
   Duration IdleTimeout{60'000'000};   ///< Between requests, and for a write
-                                      ///< without progress.
+                                      ///< that makes no progress.
   auto operator<=>(const HttpLimits &) const = default;
 };
 
@@ -87,16 +90,16 @@
   Endpoint Listen;
   size_t MaxHeaderBytes = MaxHttpHeaderBytes;
   size_t MaxBodyBytes = MaxHttpBodyBytes;
-  size_t MaxPendingBytes = 1U << 20; ///< A slower reader is cut off.
+  size_t MaxPendingBytes = 1U << 20; ///< Slower readers are disconnected.
   size_t MaxConnections = 20'000;    ///< Further ones are closed at once.
   Duration ReadTimeout{10'000'000};  ///< For the headers, and for the body.
-  Duration IdleTimeout{
-      60'000'000}; ///< Between requests, and for a write without progress.
-  /// After stopAccepting, requests that were on their way are still handled for
-  /// so long.
+  Duration IdleTimeout{60'000'000};  ///< Between requests, and for a write that
+                                     ///< makes no progress.
+  /// Requests that arrive within this time after stopAccepting() are still
+  /// handled.
   Duration LateRequestGrace{250'000};
-  /// Makes the refusal of a request that came later still; by default a problem
-  /// that names the remedy.
+  /// Creates the response to a request that arrives after that time. If empty,
+  /// the response is a problem document of kind draining with its remedy.
   std::function<HttpResponse(const HttpRequest &)> LateRequestResponse = {};
 };
 
@@ -105,27 +108,27 @@
   HttpServer(boost::asio::io_context &io, HttpServerInit init,
              HttpHandler handler);
   ~HttpServer();
-  /// Binds and listens; false with the reason when the address can't be had.
+  /// Binds and listens; false with the reason if that fails.
   bool start(Error &reason);
-  /// Port in use, for Listen.Port 0 in tests.
+  /// Bound port; differs from Listen.Port if that is 0, as in tests.
   uint16_t port() const;
-  /// In force for every request and idle wait that begins afterwards, and for
-  /// idle waits that would otherwise end sooner.
+  /// Applies to requests and idle periods that begin afterwards. A longer idle
+  /// timeout also applies to connections that are already idle.
   void setLimits(const HttpLimits &limits);
-  /// Every answer from now on is the last of its connection; new connections
-  /// are still accepted.
+  /// Closes every connection after the next response that it begins. New
+  /// connections are still accepted.
   void closeConnectionsAfterResponses();
-  /// Whatever its connection is doing, a request that is whole only after that
-  /// time is refused and reaches no handler.
+  /// Requests that are received completely only after that time are refused and
+  /// not passed to the handler, whatever the state of their connection.
   void refuseAfter(Duration fromNow);
-  /// Accepts no further connection and closes idle ones after a moment, in
-  /// which a request that was on its way still reaches the handler; running
-  /// exchanges go on, each the last of its connection. After that moment
-  /// requests are refused.
+  /// Stops accepting connections. Requests that arrive within LateRequestGrace
+  /// are still handled; after that, idle connections are closed and further
+  /// requests are refused. Running exchanges continue, and their connections
+  /// are closed afterwards.
   void stopAccepting();
   size_t openConnections() const;
-  /// Requests handed to the handler whose answer has not wholly been given to
-  /// the socket: a drained process waits until there are none.
+  /// Number of requests passed to the handler whose response has not been
+  /// written to the socket completely. A draining process waits until it is 0.
   size_t unsentResponses() const;
 
 private:
--- a/src/net/http_socket.h
+++ b/src/net/http_socket.h
@@ -1,4 +1,4 @@
-/// What the HTTP server and client share about TCP sockets.
+/// TCP socket types and helpers shared by the HTTP server and client.
 #pragma once
 
 #include "base/clock.h"
@@ -23,16 +23,16 @@
 using StrandTimer =
     asio::basic_waitable_timer<BootClock, asio::wait_traits<BootClock>, Strand>;
 
-/// No delay for small writes, and TCP keepalive so that a vanished host is
-/// noticed within about half a minute.
+/// Disables Nagle's algorithm and enables TCP keepalive, which detects an
+/// unreachable host within about 30 s.
 void tuneSocket(StrandSocket &socket);
 
-/// What can be read without waiting.
+/// What a non-blocking read of the socket would yield.
 enum class PeerState : uint8_t { NoData, HasData, Closed };
-/// Looks without taking any byte.
+/// Checks the socket without consuming any input.
 PeerState probePeer(StrandSocket &socket);
 
-/// Reads the address literal; false when it is none.
+/// Converts the endpoint; false if its address is not an IP address literal.
 bool toTcp(const Endpoint &endpoint, tcp::endpoint &out);
 
 } // namespace daisytack::net
--- a/src/net/http_status.h
+++ b/src/net/http_status.h
@@ -1,4 +1,4 @@
-/// Status codes of HTTP that this code names (RFC 9110, RFC 6585).
+/// HTTP status codes used by this project (RFC 9110, RFC 6585).
 #pragma once
 
 namespace daisytack::net {
--- a/src/net/problem.cpp
+++ b/src/net/problem.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// "deadline_too_short" as "Deadline too short".
+/// Converts "deadline_too_short" to "Deadline too short".
 std::string titleOf(ErrorKind kind) {
   std::string out(errorName(kind));
   for (char &c : out)
--- a/src/net/sse.h
+++ b/src/net/sse.h
@@ -1,4 +1,4 @@
-/// Server-Sent Events: an incremental parser and the matching writer. Pure.
+/// Server-Sent Events: an incremental parser and a formatter. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -8,15 +8,16 @@
 
 namespace daisytack::net {
 
-/// One event as dispatched by the blank line after it.
+/// One complete event.
 struct SseEvent {
   std::string Event; ///< Empty for the default "message".
-  std::string Id;    ///< Of this event only; empty when it names none.
+  std::string Id;    ///< Id field of this event; empty if it has none.
   std::string Data;  ///< Lines joined by '\n'.
   auto operator<=>(const SseEvent &) const = default;
 };
 
-/// Takes the bytes of a stream in parts of any size and reports whole events.
+/// Parses a stream that is passed in pieces of any size, and reports complete
+/// events.
 class SseParser {
 public:
   using Sink = std::function<void(SseEvent)>;
@@ -25,8 +26,8 @@
   explicit SseParser(size_t maxEventBytes = DefaultMaxEventBytes)
       : MaxEventBytes(maxEventBytes) {}
 
-  /// False once an event has exceeded the bound; nothing is reported after
-  /// that.
+  /// Returns false once an event has exceeded MaxEventBytes; no events are
+  /// reported after that.
   bool feed(std::string_view data, const Sink &sink);
 
 private:
@@ -42,7 +43,7 @@
   bool Failed = false;
 };
 
-/// The event as bytes of a stream, with its final blank line.
+/// Formats the event for the stream, including the blank line that ends it.
 std::string formatSse(const SseEvent &event);
 
 } // namespace daisytack::net
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -1,6 +1,6 @@
-/// Timers that also run out while the machine is suspended: as it is back,
-/// those whose time has come do so with the next timer of the process that
-/// ticks.
+/// Timers on BootClock, which includes time spent in suspend. A timer that
+/// expired during a suspend fires after the resume, when the next timer of the
+/// process fires.
 #pragma once
 
 #include "base/clock.h"
--- a/tests/net_datagram/datagram_test.cpp
+++ b/tests/net_datagram/datagram_test.cpp
@@ -51,7 +51,8 @@
   DatagramSeal alice({Old}, Alice);
   DatagramSeal bob({Old}, Bob);
   Error reason;
-  // Everyone accepts the new key first, then signs by it, then drops the old.
+  // Key rotation: all peers first accept the new key, then sign with it, then
+  // remove the old one.
   bob.setKeys({Old, New});
   EXPECT_TRUE(bob.open(sealed(alice, "1"), reason));
   alice.setKeys({New, Old});
--- a/tests/net_frame/frame_link_test.cpp
+++ b/tests/net_frame/frame_link_test.cpp
@@ -1,4 +1,5 @@
-// Framed connections: what passes, and every kind of frame that must not.
+// Framed connections: delivery, key rotation, and rejection of frames that are
+// unauthenticated, modified, repeated, missing or too large.
 #include "net/frame_crypto.h"
 #include "net/frame_link.h"
 
@@ -24,7 +25,7 @@
 const PeerKey NewKey{"new", "the second secret"};
 constexpr Duration Timeout{5'000'000};
 
-/// Keeps what the hooks of one side report.
+/// Records the events that the hooks of one side receive.
 class Recorder {
 public:
   FrameHooks hooks(bool echo = false) {
@@ -83,8 +84,8 @@
                          recorder.hooks());
   }
 
-  /// A recorder that outlives the I/O thread, unlike a local one: a link may
-  /// report its end while the test is being torn down.
+  /// Returns a recorder that outlives the I/O thread, unlike a local variable
+  /// of the test: a link may call Closed while the test is being torn down.
   Recorder &addRecorder() { return Others.emplace_back(); }
 
   asio::io_context Io;
@@ -97,7 +98,7 @@
   std::thread Thread{[this] { Io.run(); }};
 };
 
-/// Speaks the protocol by hand, so that it can break it.
+/// Implements the protocol on a plain socket, so that tests can violate it.
 class RawPeer {
 public:
   explicit RawPeer(uint16_t port) : Stream(Io) {
@@ -147,7 +148,7 @@
     expected.push_back("echo " + std::to_string(i));
   }
   link->send(std::string(MaxFrameBytes, 'x'));
-  link->send(std::string(MaxFrameBytes + 1, 'y')); // Too long: never sent.
+  link->send(std::string(MaxFrameBytes + 1, 'y')); // Too long; dropped.
   ASSERT_TRUE(
       Accepting.waitFor([&] { return Accepting.Frames.size() == 1001; }));
   EXPECT_EQ(Accepting.Frames.back().size(), MaxFrameBytes);
--- a/tests/net_http/client_test.cpp
+++ b/tests/net_http/client_test.cpp
@@ -10,7 +10,7 @@
 namespace daisytack::net {
 namespace {
 
-/// Accepts connections one after another; what to do with each is scripted.
+/// Accepts connections one after another and runs one step on each.
 class ScriptedServer {
 public:
   using Step = std::function<void(tcp::socket &)>;
@@ -52,7 +52,7 @@
                            std::to_string(text.size()) + "\r\n\r\n" + text));
 }
 
-/// Answers once, takes the next request, and closes without a word.
+/// Responds once, reads the next request and closes without a response.
 void answerThenDrop(tcp::socket &socket) {
   answer(socket, "first");
   readRequest(socket);
@@ -66,8 +66,8 @@
   EXPECT_EQ(fixture.Server.openConnections(), 1U);
 }
 
-/// What listens at the address has started anew: a kept connection on which no
-/// reset was seen yet would lose the next request.
+/// If the server at an address has restarted, the next request would be lost on
+/// an idle connection whose reset has not arrived yet.
 TEST(HttpClient, DoesNotReuseDroppedIdleConnections) {
   HttpFixture fixture(echo);
   HttpRequest request{"POST", "/", "", {}, "b"};
@@ -140,7 +140,7 @@
             "second");
 }
 
-/// The first may have run: its sender has to know.
+/// The first attempt may have run, and the caller must be told so.
 TEST(HttpClient, GetOverStaleConnectionIsNotRetriedWhenDisabled) {
   ScriptedServer server({answerThenDrop});
   HttpClientInit init;
@@ -177,7 +177,7 @@
   EXPECT_EQ(got.Response.Body, "all");
 }
 
-/// Fetches with a filter that takes responses marked "own" only.
+/// Fetches with a MatchesRequest hook that accepts responses marked "own" only.
 HttpFixture::Fetched fetchMatching(HttpFixture &fixture, const Endpoint &to,
                                    const HttpRequest &request) {
   auto promise = std::make_shared<std::promise<HttpFixture::Fetched>>();
@@ -213,7 +213,7 @@
     readRequest(s);
     asio::write(s, asio::buffer(marked("own", "first")));
     readRequest(s);
-    // Late and unasked, where the next response is due.
+    // An unsolicited response, sent before the response to the second request.
     asio::write(s, asio::buffer(marked("foreign", "extra")));
     asio::write(s, asio::buffer(marked("own", "second")));
   }});
@@ -280,7 +280,7 @@
   EXPECT_EQ(got.Response.Status, 413U);
 }
 
-/// Responses whose length can be read in two ways (RFC 9112, 6.3).
+/// Responses whose length is ambiguous (RFC 9112, 6.3).
 TEST(HttpClient, RefusesResponsesOfAmbiguousLength) {
   for (const char *framing :
        {"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n",
--- a/tests/net_http/drain_test.cpp
+++ b/tests/net_http/drain_test.cpp
@@ -1,6 +1,7 @@
-/// Every way in which a request can still come to a server that has stopped
-/// accepting: by the state in which its connection was at that moment. None may
-/// reach the handler once the time for requests on their way is over.
+/// Requests that arrive after the server has stopped accepting and after
+/// LateRequestGrace, one case for each state that the connection can be in when
+/// the server stops. They arrive on connections that were still open then. None
+/// of them may reach the handler.
 #include "net_http/http_fixture.h"
 
 #include <gtest/gtest.h>
@@ -15,8 +16,9 @@
 constexpr const char *LateRequestBytes =
     "GET /late HTTP/1.1\r\nHost: a\r\n\r\n";
 
-/// Streams on /stream until told to end, holds /hold until told to answer,
-/// counts /late, answers /now.
+/// Begins a response to /stream, holds back the one to /hold, counts requests
+/// to /late and responds to /now at once. respondToAll() ends the open
+/// exchanges.
 class HoldingHandler {
 public:
   HttpHandler handler() {
@@ -39,7 +41,7 @@
   void respondToAll() {
     std::lock_guard guard(Lock);
     for (const auto &exchange : Open) {
-      exchange->respond({200, {}, "whole"}); // Ignored by a begun stream.
+      exchange->respond({200, {}, "whole"}); // Ignored if a stream was begun.
       exchange->endStream();
     }
     Open.clear();
@@ -51,13 +53,16 @@
   std::vector<std::shared_ptr<HttpExchange>> Open;
 };
 
-/// What a caller has sent before the server stops, and what it sends later.
+/// What the caller sends before the server stops, and what it sends after
+/// LateRequestGrace.
 struct LateRequestCase {
   const char *Name;
   const char *Before;
-  const char *AwaitedText; ///< Read by the caller before the server stops.
-  const char *After;  ///< Sent when the time for requests on their way is over.
-  bool MustBeRefused; ///< Surely with a refusal, not perhaps with a close.
+  const char *AwaitedText; ///< The caller reads up to this text before the
+                           ///< server stops; empty to read nothing.
+  const char *After;       ///< Sent after LateRequestGrace.
+  bool MustBeRefused;      ///< Must get a refusal; otherwise the connection
+                           ///< may be closed instead.
 };
 
 class LateRequest : public testing::TestWithParam<LateRequestCase> {};
@@ -75,7 +80,7 @@
   idle.readUntil("now");
   fixture.Server.closeConnectionsAfterResponses();
   fixture.Server.stopAccepting();
-  idle.readAll(); // Closed when the time is over.
+  idle.readAll(); // Returns after LateRequestGrace.
   caller.send(testCase.After);
   holding.respondToAll();
   std::string got = caller.readAll();
@@ -108,8 +113,9 @@
                         false}),
     [](const auto &row) { return row.param.Name; });
 
-/// To its caller a connection is open once the kernel has taken it, perhaps
-/// just before the listener was closed.
+/// The caller sees a connection as established once it is in the listen
+/// backlog. Closing the listener would reset connections that are not yet
+/// accepted.
 TEST(HttpServer, ServesConnectionsAcceptedJustBeforeItStopped) {
   constexpr int Rounds = 20;
   for (int i = 0; i < Rounds; ++i) {
--- a/tests/net_http/http_fixture.h
+++ b/tests/net_http/http_fixture.h
@@ -1,5 +1,5 @@
-/// A server on a port of its own, I/O threads, and raw sockets to misbehave
-/// with.
+/// An HTTP server on an ephemeral port, I/O threads, and raw sockets for
+/// sending invalid input.
 #pragma once
 
 #include "net/http_client.h"
@@ -18,7 +18,7 @@
 
 constexpr std::chrono::seconds WaitLimit{30};
 
-/// Runs an io_context on a few threads until destroyed.
+/// Runs an io_context on several threads until destroyed.
 class IoThreads {
 public:
   static constexpr size_t MaxThreads = 3;
@@ -27,7 +27,7 @@
       Threads.emplace_back([this] { Io.run(); });
   }
   ~IoThreads() { stop(); }
-  /// No handler runs any more when it returns.
+  /// Stops and joins the threads; no handler runs after it returns.
   void stop() {
     Io.stop();
     for (auto &t : Threads)
@@ -41,7 +41,7 @@
   std::vector<std::thread> Threads;
 };
 
-/// A blocking client without any manners.
+/// A blocking client that sends arbitrary bytes.
 class RawClient {
 public:
   explicit RawClient(uint16_t port) : Socket(Io) {
@@ -52,7 +52,7 @@
     asio::write(Socket, asio::buffer(bytes), ignored);
   }
   void endSending() { Socket.shutdown(tcp::socket::shutdown_send); }
-  /// Until the server closes.
+  /// Reads until the server closes the connection.
   std::string readAll() {
     std::string out;
     char buf[4096];
@@ -63,7 +63,7 @@
     }
     return out;
   }
-  /// Until the text was seen.
+  /// Reads until the text was received or the connection ends.
   std::string readUntil(const std::string &mark) {
     std::string out;
     char c = 0;
@@ -83,7 +83,7 @@
   tcp::socket Socket;
 };
 
-/// Server with the handler, and a client for it.
+/// A server that runs the handler, and a client for it.
 class HttpFixture {
 public:
   explicit HttpFixture(HttpHandler handler, HttpServerInit init = {},
--- a/tests/net_http/server_test.cpp
+++ b/tests/net_http/server_test.cpp
@@ -168,7 +168,7 @@
   EXPECT_NE(raw.readAll().find("POST  ab"), std::string::npos);
 }
 
-/// Keeps the exchange and reports when its caller has gone.
+/// Holds the exchange and reports when its caller disconnects.
 struct Holder {
   std::promise<std::shared_ptr<HttpExchange>> Arrived;
   std::promise<void> Closed;
