--- a/tools/entry/active_request.cpp
+++ b/tools/entry/active_request.cpp
@@ -134,7 +134,7 @@
   auto run = [self = shared_from_this(), input = std::move(input)] {
     self->apply(input);
   };
-  // An input that an action brings about waits until the actions are done.
+  // An input caused by an action is applied after the remaining actions.
   if (Strand.running_in_this_thread())
     asio::post(Strand, std::move(run));
   else
--- a/tools/entry/active_request.h
+++ b/tools/entry/active_request.h
@@ -1,4 +1,5 @@
-/// One request in flight: its flow on a strand, its caller and its timer.
+/// A request in flight: runs its RequestFlow on a strand and performs the
+/// flow's actions.
 #pragma once
 
 #include "entry_state.h"
@@ -16,12 +17,12 @@
 
 namespace daisytack::entry {
 
-/// Notices when a caller goes away, from before its request is understood.
-/// Thread-safe.
+/// Calls a hook when the caller closes its connection. Created before the
+/// request is parsed, so that an early disconnect is not missed. Thread-safe.
 class DisconnectNotifier {
 public:
   void notify();
-  /// Calls the hook when the caller goes, at once if it has.
+  /// Sets the hook. Calls it immediately if the caller has disconnected.
   void onDisconnect(std::function<void()> hook);
 
 private:
@@ -37,12 +38,12 @@
   ~ActiveRequest();
 
   void start(DisconnectNotifier &notifier);
-  /// Applies an input on the strand; from any thread.
+  /// Applies an input on the strand. May be called from any thread.
   void push(FlowInput input);
 
   const RequestSpec &spec() const { return Flow.spec(); }
   bool isHeld() const;
-  /// For operators; from any thread.
+  /// The request's row in operators' queries. May be called from any thread.
   query::RequestRow row(TimePoint now) const;
 
 private:
@@ -76,7 +77,7 @@
   std::vector<ServerAttempt> OpenedAttempts;
   bool StreamStarted = false;
 
-  /// What changes of the row; written on the strand.
+  /// The fields of the operators' row that change; written on the strand only.
   struct Progress {
     query::RequestState State = query::RequestState::Offered;
     std::string Server;
--- a/tools/entry/agent_links.cpp
+++ b/tools/entry/agent_links.cpp
@@ -7,8 +7,9 @@
 
 namespace daisytack::entry {
 
-/// One agent's connection. Nothing is sent before the agent has named itself: a
-/// successor at the same address must not get what was meant for another.
+/// Connection to one agent. Messages are queued until the agent's Hello has
+/// named the expected instance: another instance that reuses the address must
+/// not receive them.
 class AgentLinks::Link : public std::enable_shared_from_this<AgentLinks::Link> {
 public:
   Link(AgentLinks &owner, std::string name)
@@ -37,7 +38,7 @@
     watchIdle();
   }
 
-  /// False when the link has closed and the message was left as it was.
+  /// Returns false and leaves the message unchanged if the link is closed.
   bool open(const AttemptKey &attempt, wire::Message &message, TimePoint now) {
     std::lock_guard guard(Lock);
     if (Closed)
@@ -76,7 +77,7 @@
   }
 
 private:
-  /// Queues, which is no I/O.
+  /// Called with Lock held. Only queues the message; does no I/O.
   void sendLocked(wire::Message message) {
     if (!Process) {
       PendingMessages.push_back(std::move(message));
@@ -168,7 +169,7 @@
   const std::string Name;
   mutable std::mutex Lock;
   std::shared_ptr<net::FrameLink> Transport;
-  std::optional<Incarnation> Process; ///< Of the agent, once it said hello.
+  std::optional<Incarnation> Process; ///< Of the agent; empty before its Hello.
   bool Closed = false;
   std::vector<wire::Message> PendingMessages;
   std::unordered_set<AttemptKey, AttemptKeyHash> OpenAttempts;
@@ -215,8 +216,8 @@
 
 void AgentLinks::open(const Server &server, const AttemptKey &attempt,
                       wire::Message message) {
-  // A link that closed in between is replaced once; its attempt is then lost
-  // like any other.
+  // A link that closed since the look-up is replaced once. If the replacement
+  // is closed too, the attempt is reported as lost.
   for (int i = 0; i < 2; ++i)
     if (findOrConnect(server)->open(attempt, message, monotonicNow()))
       return;
--- a/tools/entry/agent_links.h
+++ b/tools/entry/agent_links.h
@@ -1,5 +1,5 @@
-/// Connections to agents: one for each, opened on demand and closed when idle.
-/// Messages are handed to the attempt that they name.
+/// Connections to agents: one per agent, opened on demand and closed when idle.
+/// Received messages and lost attempts are passed to the hooks.
 #pragma once
 
 #include "control/snapshot.h"
@@ -21,7 +21,7 @@
 
 namespace daisytack::entry {
 
-/// One attempt of one request.
+/// Identifies one attempt of a request.
 struct AttemptKey {
   RequestId Id;
   Attempt AttemptNumber = 0;
@@ -41,24 +41,25 @@
   static bool equal(const Id128 &a, const Id128 &b) { return a == b; }
 };
 
-/// Called on I/O threads, in order for one agent.
+/// Called on I/O threads; the calls for one agent are made in order.
 struct AgentHooks {
-  /// A message of the agent that the entry meant; any but Hello.
+  /// The agent sent a message other than Hello.
   std::function<void(const std::string &server, wire::Message message)> Message;
-  /// The connection broke while the attempt was open on it.
+  /// The connection closed while the attempt was open on it.
+  /// `mayBeDelivered` is false if the attempt's message can't have been sent.
   std::function<void(const AttemptKey &attempt, bool mayBeDelivered)>
       AttemptLost;
-  std::function<void(ErrorKind)>
-      MessageRejected; ///< A peer's bytes were no message.
+  /// A frame of the peer couldn't be decoded.
+  std::function<void(ErrorKind)> MessageRejected;
   wire::HybridClockHooks ClockHooks;
 };
 
 struct AgentLinksInit {
-  std::string Name; ///< This entry's instance.
+  std::string Name; ///< Instance name of this entry.
   Incarnation Process;
   net::PeerKeys Keys;
   Duration ConnectTimeout{500'000};
-  Duration IdleTimeout{60'000'000};
+  Duration IdleTimeout{60'000'000}; ///< Without open attempts.
 };
 
 /// Thread-safe.
@@ -68,16 +69,16 @@
              AgentHooks hooks);
   ~AgentLinks();
 
-  /// Sends the first message of an attempt, connecting when needed; an offer is
-  /// addressed to the agent's present process. Lost is called for the attempt
-  /// unless it is closed first.
+  /// Sends the first message of an attempt, connecting if necessary. Sets
+  /// Offer::Process to the agent's current process. If the link fails before
+  /// close() is called for the attempt, calls AgentHooks::AttemptLost.
   void open(const Server &server, const AttemptKey &attempt,
             wire::Message message);
-  /// Sends to the agent if a connection stands; drops the message otherwise.
+  /// Sends the message if there is a connection; drops it otherwise.
   void send(const std::string &server, const wire::Message &message);
-  /// The attempt no longer waits for the agent.
+  /// Ends the attempt: AgentHooks::AttemptLost is no longer called for it.
   void close(const std::string &server, const AttemptKey &attempt);
-  /// Closes all links. Nothing may be opened after it.
+  /// Closes all links. open() must not be called afterwards.
   void stop();
   size_t size() const { return Links.size(); }
 
@@ -93,7 +94,8 @@
   AgentLinksInit Init;
   AgentHooks Hooks;
   LinkMap Links;
-  /// The map can't be walked while links come and go.
+  /// For stop(): Links can't be iterated during concurrent insertions and
+  /// erasures.
   std::mutex AllLinksLock;
   std::vector<std::weak_ptr<Link>> AllLinks;
 };
--- a/tools/entry/caller_http.cpp
+++ b/tools/entry/caller_http.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Threads that read long prompts.
+/// Threads that parse and hash long request bodies.
 constexpr int WorkerThreads = 4;
 constexpr Duration DrainRetryAfter{1'000'000};
 constexpr Duration OverloadRetryAfter{1'000'000};
@@ -55,7 +55,7 @@
   Workers.enqueue([this, incoming] { authenticate(incoming); });
 }
 
-/// What can be said before the request is read.
+/// Returns the errors that can be found without parsing the request.
 Error CallerHttp::admit(const Incoming &incoming) const {
   const net::HttpRequest &request = incoming.Request;
   CallerRoute route = routeOf(request.Path);
@@ -110,7 +110,7 @@
   if (caller == nullptr)
     return refuseRunning(*incoming, {ErrorKind::Unauthenticated,
                                      "no organisation has this key"});
-  // The table keeps its snapshot, and so the caller, alive.
+  // Shares ownership of the table, which keeps `caller` alive.
   std::shared_ptr<const Snapshot> config(routes, &routes->snapshot());
   State.Limits.admit(*caller, config,
                      [this, incoming, routes, caller](const Error &reason) {
--- a/tools/entry/caller_http.h
+++ b/tools/entry/caller_http.h
@@ -1,5 +1,5 @@
-/// The callers' side of an entry: authenticates and reads requests, and starts
-/// a flow for each.
+/// HTTP server of an entry for callers: authenticates and parses requests, and
+/// starts an ActiveRequest for each.
 #pragma once
 
 #include "active_request.h"
@@ -24,11 +24,11 @@
   bool start(Error &reason);
   uint16_t port() const { return Server.port(); }
   void stopAccepting() { Server.stopAccepting(); }
-  /// Answers that have not wholly been given to their sockets.
+  /// Number of answers not yet completely written to their sockets.
   size_t unsentAnswers() const { return Server.unsentAnswers(); }
 
 private:
-  /// One request on its way to a flow.
+  /// A received request that is not yet started as an ActiveRequest.
   struct Incoming {
     net::HttpRequest Request;
     std::shared_ptr<net::HttpExchange> Exchange;
@@ -41,20 +41,23 @@
   void handle(net::HttpRequest request,
               const std::shared_ptr<net::HttpExchange> &exchange);
   Error admit(const Incoming &incoming) const;
+  /// Authenticates the caller and applies its organisation's limits.
   void authenticate(const IncomingPtr &incoming);
-  /// Authenticated and within the organisation's limits.
+  /// Continues a request admitted by its organisation's limits.
   void readAdmitted(const IncomingPtr &incoming,
                     const std::shared_ptr<const RoutingTable> &routes,
                     const Organisation &caller);
-  /// Gives a non-idempotent request the ticket that its key stands for.
+  /// Starts a non-idempotent request with the ticket in its Idempotency-Key, or
+  /// with the ticket that the key is bound to.
   void resolveTicket(const IncomingPtr &incoming, RequestSpec spec);
   void issueTicket(const IncomingPtr &incoming, const Snapshot &config,
                    const Organisation &caller);
   void startRequest(const Incoming &incoming, RequestSpec spec);
   void refuse(const Incoming &incoming, const Error &reason);
-  /// Refuses a request that was counted as running.
+  /// Refuses a request that was counted in EntryState::Running.
   void refuseRunning(const Incoming &incoming, const Error &reason);
-  /// Refuses a request that was admitted by its organisation's limits.
+  /// Refuses a request that was admitted by its organisation's limits, and
+  /// releases its slot.
   void refuseAdmitted(const Incoming &incoming, std::string_view organisation,
                       const Error &reason);
 
--- a/tools/entry/caller_request_parser.cpp
+++ b/tools/entry/caller_request_parser.cpp
@@ -25,7 +25,7 @@
   return out;
 }
 
-/// "/services/NAME/REST" to NAME and "/REST".
+/// Splits "/services/NAME/REST" into NAME and "/REST", with the query string.
 std::pair<std::string, std::string>
 splitService(const net::HttpRequest &request) {
   std::string_view rest =
@@ -115,7 +115,8 @@
   out.Offer.Organisation = Caller.Name;
   out.Offer.Class = requestClass->Name;
   out.Offer.Chat = routeOf(request.Path) == CallerRoute::Chat;
-  // The body is not needed, but names the model when it is sent again.
+  // The body is optional when a stream is resumed; if sent again, it gives the
+  // model name.
   Error ignored;
   if (auto prompt = parsePrompt(request.Body, out.Offer.Chat, ignored))
     out.Offer.Model = prompt->Model;
--- a/tools/entry/caller_request_parser.h
+++ b/tools/entry/caller_request_parser.h
@@ -1,5 +1,4 @@
-/// Turns one HTTP request of an authenticated caller into what its flow is to
-/// pursue.
+/// Converts an HTTP request of an authenticated caller to a RequestSpec.
 #pragma once
 
 #include "entry_state.h"
@@ -9,7 +8,7 @@
 
 namespace daisytack::entry {
 
-/// What a path on the callers' address stands for.
+/// Endpoint of the callers' API that a path belongs to.
 enum class CallerRoute : uint8_t {
   Unknown,
   Completions,
@@ -20,17 +19,19 @@
 
 CallerRoute routeOf(std::string_view path);
 
-/// For one request under one snapshot.
+/// Parses one request against one snapshot.
 struct CallerRequestParser {
   EntryState &State;
   const Snapshot &Config;
   const Organisation &Caller;
 
+  /// Returns std::nullopt with the error in `reason` if the request is invalid.
   std::optional<RequestSpec> parse(const net::HttpRequest &request,
                                    const RequestId &id, TimePoint arrived,
                                    Error &reason) const;
 
 private:
+  /// Parses a request that resumes an interrupted stream at Last-Event-ID.
   std::optional<RequestSpec> parseResume(const net::HttpRequest &request,
                                          TimePoint arrived,
                                          Error &reason) const;
--- a/tools/entry/entry_daemon.cpp
+++ b/tools/entry/entry_daemon.cpp
@@ -88,8 +88,8 @@
   checkDrained();
 }
 
-/// Callers that still come are refused politely for a while; what runs is
-/// finished however long it takes.
+/// New requests are refused with an answer during the drain notice, before the
+/// listening socket is closed. Running requests are finished without a timeout.
 void EntryDaemon::checkDrained() {
   bool isNoticeOver = monotonicNow() - DrainStart >= Options.DrainNotice;
   bool isIdle = State.Running.load(std::memory_order_acquire) == 0 &&
--- a/tools/entry/entry_daemon.h
+++ b/tools/entry/entry_daemon.h
@@ -1,5 +1,4 @@
-/// The daemon: builds the parts of an entry over one io_context and drains
-/// them.
+/// Constructs, starts and drains the components of an entry on one io_context.
 #pragma once
 
 #include "base/event_ring.h"
@@ -23,11 +22,13 @@
   ~EntryDaemon();
 
   bool start(Error &reason);
-  /// Refuses new requests, and calls done once all running ones were answered.
+  /// Refuses new requests. Calls `done` when all running requests have been
+  /// answered.
   void drain(std::function<void()> done);
 
 private:
   runtime::OperatorInit operatorInit();
+  /// Repeats until the entry is drained, then stops it and calls OnDrained.
   void checkDrained();
 
   EntryOptions Options;
--- a/tools/entry/entry_metrics.h
+++ b/tools/entry/entry_metrics.h
@@ -1,4 +1,5 @@
-/// Counters of an entry, looked up once.
+/// Metrics of an entry. Each is looked up in the registry once, at
+/// construction.
 #pragma once
 
 #include "base/metrics.h"
@@ -14,11 +15,11 @@
 public:
   explicit EntryMetrics(Metrics &metrics);
 
-  /// A request got its final answer: None when it was whole.
+  /// Counts the final answer of a request; ErrorKind::None if it succeeded.
   void countAnswer(ErrorKind kind) {
     Answers[static_cast<size_t>(kind)]->add();
   }
-  /// A prompt's answer was whole; counts the measures of its model and class.
+  /// Counts a complete answer to a prompt in the series of its model and class.
   void countServed(const wire::Offer &offer, const AnswerSummary &summary);
 
   Counter &Received;
@@ -26,7 +27,7 @@
   Counter &Retries;
   Counter &Resumes;
   Counter &CallersDisconnected;
-  Counter &UnmatchedMessages; ///< Messages that named no attempt waited for.
+  Counter &UnmatchedMessages; ///< Messages for no open attempt.
   Counter &PeersRejected;
   Gauge &InFlight;
   Distribution &FirstToken;
--- a/tools/entry/entry_options.h
+++ b/tools/entry/entry_options.h
@@ -21,7 +21,9 @@
 struct EntryOptions {
   runtime::InstanceSettings Instance;
   net::HttpServerInit Callers; ///< Listens on the instance's work address.
-  std::string Secret; ///< Shared by the deployment: names pieces and requests.
+  /// Key, the same in the whole deployment, from which piece keys and the
+  /// request and event identifiers of callers are derived.
+  std::string Secret;
   runtime::OperatorSettings Operators;
   FlowSettings Flow;
   CallerLimits Limits;
@@ -30,21 +32,22 @@
   RetryBudgetSettings Retries;
   EjectionSettings Ejection;
   LimitSettings Quotas;
-  double BindingsPerSecond = 5; ///< Of callers' own keys to tickets.
+  /// Maximum rate of binding callers' own idempotency keys to tickets.
+  double BindingsPerSecond = 5;
   double BindingBurst = 20;
   const Member &self() const { return Instance.Control.Self; }
 
-  Duration ConnectTimeout{500'000}; ///< To an agent.
-  Duration LinkIdleTimeout{
-      60'000'000};             ///< An unused link to an agent is closed.
-  size_t MaxRequests = 50'000; ///< In flight at once.
-  size_t MaxInlineBodyBytes = 64U
-                              << 10; ///< Longer bodies are read by a worker.
-  Duration DrainNotice{1'000'000};   ///< Between refusing new requests and
-                                     ///< closing the listening socket.
+  Duration ConnectTimeout{500'000}; ///< For connections to agents.
+  /// An unused connection to an agent is closed after this time.
+  Duration LinkIdleTimeout{60'000'000};
+  size_t MaxRequests = 50'000; ///< Maximum requests in flight.
+  /// Longer request bodies are parsed by a worker thread.
+  size_t MaxInlineBodyBytes = 64U << 10;
+  /// Time between refusing new requests and closing the listening socket.
+  Duration DrainNotice{1'000'000};
 };
 
-/// Reads every setting; mistakes are collected in the settings.
+/// Reads all settings of an entry. Invalid values are reported to `settings`.
 EntryOptions readEntryOptions(Settings &settings);
 
 } // namespace daisytack::entry
--- a/tools/entry/entry_state.cpp
+++ b/tools/entry/entry_state.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-/// Numbers of attempts grow with time, so that a repeat at another entry has
-/// higher ones. In 32 bits of tenths of a second they last for 13 years.
+/// Attempt numbers are derived from the wall clock, so that a repeated request
+/// at another entry gets higher numbers. 32 bits of tenths of a second last for
+/// 13 years.
 constexpr WallTime AttemptNumberEpoch{Duration(1'767'225'600'000'000)}; // 2026.
 constexpr Duration AttemptNumberTick{100'000};
 
@@ -59,7 +60,7 @@
 void EntryState::publish(std::shared_ptr<const Snapshot> snapshot) {
   LoadReports.prune(*snapshot);
   Tables.publish(makeTable(std::move(snapshot), *Tables.load()));
-  // Release times may have moved.
+  // The new configuration may change the release times of held requests.
   for (const auto &request : Requests.all())
     if (request->isHeld())
       request->push(ConfigChanged{});
@@ -115,7 +116,7 @@
     (isEjected ? ejected : out)
         .push_back({server.Name, it.FirstToken, it.WaitLimit});
   }
-  // An ejected server is better than none.
+  // Ejected servers are tried last: better than having no candidate.
   out.insert(out.end(), ejected.begin(), ejected.end());
   return out;
 }
--- a/tools/entry/entry_state.h
+++ b/tools/entry/entry_state.h
@@ -1,4 +1,4 @@
-/// What all requests of one entry process share.
+/// State shared by all requests of one entry process.
 #pragma once
 
 #include "agent_links.h"
@@ -30,38 +30,40 @@
 class ActiveRequest;
 class TicketFetch;
 
-/// Requests in flight by each of their attempts.
+/// Maps the attempts of requests in flight to their requests.
 using AttemptTable =
     tbb::concurrent_hash_map<AttemptKey, std::shared_ptr<ActiveRequest>,
                              AttemptKeyHash>;
 
-/// Tickets being asked for.
+/// Ticket requests in progress, by their request id.
 using TicketFetchTable =
     tbb::concurrent_hash_map<Id128, std::shared_ptr<TicketFetch>, Id128Hash>;
 
-/// What the entry tells its peers; from ControlRuntime.
+/// Functions that send to peers through ControlRuntime.
 struct EntryPeers {
   SendQuotaRequest RequestQuota;
-  /// An agent said that it is leaving.
+  /// Reports that the agent has refused an offer because it is draining.
   std::function<void(const std::string &server)> ReportDraining;
 };
 
-/// Thread-safe in all members.
+/// All members are thread-safe.
 class EntryState {
 public:
   EntryState(boost::asio::io_context &io, const EntryOptions &options,
              Metrics &metrics, EventSink events, EntryPeers peers,
              wire::HybridClockHooks clockHooks);
 
-  /// Routing table with its snapshot; a pointer of this thread.
+  /// Current routing table with its snapshot, through the thread-local reader.
   std::shared_ptr<const RoutingTable> table();
   void publish(std::shared_ptr<const Snapshot> snapshot);
 
-  /// Candidates for a request, best first. A ticket has one, its issuer.
+  /// Candidates for a request, best first. A request with a ticket has one
+  /// candidate: the server that issued the ticket.
   std::vector<Candidate> rank(const RequestSpec &spec, TimePoint now);
+  /// Updates ejection with the result of an attempt at a server.
   void recordServerResult(const ReportServer &report, const RequestSpec &spec);
-  /// First attempt number of a flow whose request id other flows share, here or
-  /// at another entry: above those of all flows before it.
+  /// First attempt number for a request id that other flows may share, at this
+  /// or another entry. Higher than the attempt numbers of earlier flows.
   Attempt nextFirstAttempt();
 
   boost::asio::io_context &Io;
--- a/tools/entry/latest_load_reports.h
+++ b/tools/entry/latest_load_reports.h
@@ -1,5 +1,5 @@
-/// The last load report of each backend server, for operators; routing has its
-/// own, decayed view (decide/load_view.h).
+/// The latest load report of each backend server, for operators. Routing uses
+/// estimates that decay with time (decide/load_view.h).
 #pragma once
 
 #include "control/snapshot.h"
@@ -17,14 +17,14 @@
   TimePoint ReceivedAt;
 };
 
-/// Thread-safe; one lock, held for a look-up or a copy.
+/// Thread-safe: one mutex, held for a look-up, an update or prune().
 class LatestLoadReports {
 public:
   void update(const std::string &server, const wire::LoadReport &load,
               TimePoint now);
   std::optional<ReceivedLoadReport> find(const std::string &server) const;
-  /// Forgets servers that the snapshot doesn't know, so that the memory is
-  /// bounded by the fleet's size.
+  /// Removes reports of servers that are not in the snapshot, so that memory is
+  /// bounded by the number of servers.
   void prune(const Snapshot &snapshot);
 
 private:
--- a/tools/entry/limit_enforcer.h
+++ b/tools/entry/limit_enforcer.h
@@ -1,5 +1,6 @@
-/// Organisations' limits at this entry: decides on each request, asks the entry
-/// that allots an organisation's limits, and answers when that is this one.
+/// Enforces organisations' limits at this entry: admits or refuses each
+/// request, requests quota from the entry that owns an organisation's quota,
+/// and grants quota if this entry is the owner.
 #pragma once
 
 #include "control/snapshot.h"
@@ -13,7 +14,7 @@
 
 namespace daisytack::entry {
 
-/// How peers are asked; from ControlRuntime.
+/// Sends a quota request to a peer, through ControlRuntime.
 using SendQuotaRequest =
     std::function<void(const Endpoint &peer, const QuotaRequest &request)>;
 
@@ -23,20 +24,23 @@
   LimitEnforcer(boost::asio::io_context &io, std::string self,
                 LimitSettings settings, SendQuotaRequest sendRequest);
 
-  /// Calls done with None when the request is admitted; finished must follow
-  /// its end. May hold it for the time of a grant.
+  /// Calls `done` with ErrorKind::None if the request is admitted.
+  /// releaseSlot() must be called when an admitted request ends. May delay the
+  /// call up to LimitSettings::MaxGrantWait to wait for a quota grant.
   void admit(const Organisation &organisation,
              const std::shared_ptr<const Snapshot> &config,
              std::function<void(const Error &)> done);
   void releaseSlot(std::string_view organisation);
 
-  /// From peers.
+  /// Handles a peer's quota request. Returns std::nullopt if this entry doesn't
+  /// own the organisation's quota.
   std::optional<QuotaGrant> grant(const QuotaRequest &request,
                                   const Snapshot &config);
+  /// Applies a grant received from a peer.
   void apply(const QuotaGrant &grant);
 
 private:
-  /// True when this process is the owner and has answered already.
+  /// Returns true if this entry is the owner and its grant is already applied.
   bool requestQuota(const Organisation &organisation, const Snapshot &config,
                     const QuotaRequest &request);
 
--- a/tools/entry/main.cpp
+++ b/tools/entry/main.cpp
@@ -1,5 +1,5 @@
-// daisytack-entry: callers' HTTP on one side; agents, or backend servers
-// themselves, on the other.
+// daisytack-entry: accepts callers' HTTP requests and forwards them to agents,
+// or directly to backend servers.
 #include "entry_daemon.h"
 #include "gateway/gateway.h"
 #include "platform/kv_store.h"
--- a/tools/entry/operator_rows.h
+++ b/tools/entry/operator_rows.h
@@ -1,4 +1,5 @@
-/// What an entry shows and does for operators, as hooks of the operators' HTTP.
+/// Hooks through which the operators' HTTP server queries an entry and stops
+/// its requests.
 #pragma once
 
 #include "entry_state.h"
@@ -6,7 +7,7 @@
 
 namespace daisytack::entry {
 
-/// The state must outlive the hooks.
+/// `state` must outlive the hooks.
 runtime::OperatorHooks operatorHooks(EntryState &state);
 
 } // namespace daisytack::entry
--- a/tools/entry/request_registry.h
+++ b/tools/entry/request_registry.h
@@ -1,5 +1,4 @@
-/// What operators see of an entry's requests: those in flight, and the latest
-/// refusals.
+/// The requests in flight at an entry and its latest refusals, for operators.
 #pragma once
 
 #include "query/rows.h"
@@ -16,16 +15,17 @@
 
 class ActiveRequest;
 
-/// Thread-safe. The table is cut into shards, each with a lock that is held for
-/// one entry only, or for a copy of pointers.
+/// Thread-safe. The table is sharded; the mutex of a shard is held only to
+/// change one element or to copy the shard's pointers.
 class RequestRegistry {
 public:
   void add(const std::shared_ptr<ActiveRequest> &request);
   void remove(const ActiveRequest *request);
   std::vector<std::shared_ptr<ActiveRequest>> all() const;
 
-  /// Keeps the latest refusals; Age is counted from the given time.
+  /// Keeps the latest MaxRefusals refusals. `at` is the time of the refusal.
   void recordRefusal(query::RefusalRow row, TimePoint at);
+  /// The kept refusals, oldest first, with their Age at `now`.
   std::vector<query::RefusalRow> refusals(TimePoint now) const;
 
 private:
--- a/tools/entry/ticket_client.cpp
+++ b/tools/entry/ticket_client.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-/// One submission on its way to its ticket.
+/// State of one submission while its idempotency key is bound to a ticket.
 struct TicketClient::Binding {
   BindRequest Request;
   std::optional<KeyBinding> KeySteps;
--- a/tools/entry/ticket_client.h
+++ b/tools/entry/ticket_client.h
@@ -1,5 +1,6 @@
-/// Tickets for calls that may run at most once: fetched from an agent, and
-/// bound to callers' own keys. See docs/AT_MOST_ONCE.md.
+/// Tickets for non-idempotent calls, which run at most once: fetches tickets
+/// from agents and binds callers' own idempotency keys to them. See
+/// docs/AT_MOST_ONCE.md.
 #pragma once
 
 #include "edge/kv.h"
@@ -16,36 +17,42 @@
 
 namespace daisytack::entry {
 
-/// A ticket, or why there is none: then nothing was run.
+/// A ticket, or the error for which there is none. After an error, the call was
+/// not run.
 struct TicketResult {
   Error Reason;
   std::string Ticket;
-  Duration Valid{0};
+  Duration Valid{0}; ///< Of a new ticket; 0 for a bound one.
 };
 
 using TicketDone = std::function<void(TicketResult)>;
 
-/// Thread-safe. Results arrive on I/O threads, exactly once each.
+/// Thread-safe. Each callback is called exactly once, on an I/O thread or
+/// during the call.
 class TicketClient {
 public:
   TicketClient(EntryState &state, edge::KvStore kv);
 
-  /// A new ticket from one of the servers.
+  /// Fetches a new ticket from one of the agents.
   void fetch(const CallerTicketRequest &request, TicketDone done);
-  /// The ticket that the caller's own key is bound to, binding it when it is
-  /// new.
+  /// Fetches a new ticket and binds the caller's own key to it. The result is
+  /// the ticket of the existing binding if the key is already bound.
   void bindKey(const CallerTicketRequest &request, const std::string &key,
                TicketDone done);
 
 private:
   struct Binding;
 
+  /// Gets a lease for the binding, granting a new one if needed, then starts
+  /// the binding.
   void ensureLease(const std::shared_ptr<Binding> &binding);
+  /// Makes the step's call to the key-value service, or calls Done if the step
+  /// is a final result.
   void performStep(const std::shared_ptr<Binding> &binding, BindStep step);
 
   EntryState &State;
   edge::KvStore Kv;
-  std::mutex Lock; ///< Over Budget and Lease only.
+  std::mutex Lock; ///< Guards Budget and Lease.
   BindingBudget Budget;
   BindingLease Lease;
 };
--- a/tools/entry/ticket_fetch.h
+++ b/tools/entry/ticket_fetch.h
@@ -1,5 +1,6 @@
-/// One ticket asked of one agent after another. An unused ticket harms nobody,
-/// so an agent that is slow or lost is passed over.
+/// Requests a ticket from one candidate after another until one issues it. An
+/// unused ticket has no effect, so the next candidate is tried when an agent
+/// doesn't reply in time or its connection is lost.
 #pragma once
 
 #include "net/timer.h"
@@ -17,11 +18,13 @@
   TicketFetch(EntryState &state, CallerTicketRequest request, TicketDone done);
 
   void start();
-  /// From any thread.
+  /// onReply() and onLost() may be called from any thread.
   void onReply(const wire::TicketReply &reply);
   void onLost(Attempt attempt);
 
 private:
+  /// Requests the ticket from the next candidate, or finishes with an error if
+  /// there is none.
   void requestNext();
   void finish(TicketResult result);
 
@@ -32,7 +35,7 @@
   const RequestId Id;
   TicketDone Done;
   std::vector<Candidate> Candidates;
-  Attempt CurrentAttempt = 0; ///< Number of the agent asked last, from 1.
+  Attempt CurrentAttempt = 0; ///< Counted from 1; 0 before the first.
 };
 
 } // namespace daisytack::entry
