--- a/tests/operators/operator_http_test.cpp
+++ b/tests/operators/operator_http_test.cpp
@@ -12,14 +12,14 @@
 namespace {
 
 constexpr Duration CallTimeout{10'000'000};
-/// No port of this test's fleet answers there.
+/// No instance of the test listens on this port.
 constexpr uint16_t ClosedPort = 1;
 
 std::string jsonText(std::string_view text) {
   return boost::json::serialize(boost::json::object{{"text", text}});
 }
 
-/// Two entries and two agents in one io_context; one agent doesn't answer.
+/// Two entries and two agents on one io_context. agent-2 is unreachable.
 class OperatorRoutes : public testing::Test {
 protected:
   struct Process {
--- a/tools/agent/agent_daemon.h
+++ b/tools/agent/agent_daemon.h
@@ -1,4 +1,4 @@
-/// The parts of a running daisytack-agent and how they are tied together.
+/// Constructs, connects and starts the components of daisytack-agent.
 #pragma once
 
 #include "agent_driver.h"
@@ -17,7 +17,8 @@
   ~AgentDaemon();
 
   bool start(Error &reason);
-  /// Refuses new work; done is called once everything accepted was answered.
+  /// Refuses new offers. Calls `done` when all accepted requests have been
+  /// answered.
   void drain(std::function<void()> done);
 
 private:
--- a/tools/agent/agent_driver.cpp
+++ b/tools/agent/agent_driver.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Inputs applied before other work gets its turn.
+/// Maximum inputs applied before the I/O thread is yielded to other work.
 constexpr int MaxInputsPerStep = 256;
 constexpr std::chrono::milliseconds FlushCheckInterval{5};
 
@@ -30,7 +30,7 @@
   return out;
 }
 
-/// Hands a call for a load slot to the key-value service.
+/// Makes a load slot's call to the key-value service.
 struct SlotCaller {
   const edge::KvStore &KeyValue;
   Duration Timeout;
@@ -173,7 +173,7 @@
   });
 }
 
-/// The last answers may still wait in the connections' buffers.
+/// Waits for the send buffers too: they may still hold the last answers.
 void AgentDriver::checkDrained() {
   if (!OnDrained || !Core.isDrained())
     return;
--- a/tools/agent/agent_driver.h
+++ b/tools/agent/agent_driver.h
@@ -1,5 +1,5 @@
-/// The daemon around AgentCore: I/O threads push inputs into a queue, one step
-/// at a time applies them and carries out the actions.
+/// Runs AgentCore: I/O threads push inputs into a queue, and a strand applies
+/// them to the core and performs the returned actions.
 #pragma once
 
 #include "agent_options.h"
@@ -29,17 +29,18 @@
   ~AgentDriver();
 
   bool start(Error &reason);
-  /// Refuses new work; done is called once everything accepted was answered and
-  /// sent.
+  /// Refuses new offers. Calls `done` when all accepted requests have been
+  /// answered and their answers sent.
   void drain(std::function<void()> done);
 
-  /// Called in the strand with every new snapshot. Set before start().
+  /// Sets the hook called on the strand with each new snapshot. Must be called
+  /// before start().
   void onPublished(std::function<void(const serve::AgentSnapshot &)> hook) {
     OnPublished = std::move(hook);
   }
   const Rcu<serve::AgentSnapshot> &snapshot() const { return Core.snapshot(); }
   bool isReady() const { return Ready.load(std::memory_order_relaxed); }
-  /// Takes an input from any thread.
+  /// Queues an input. May be called from any thread.
   void push(serve::AgentInput input);
 
 private:
@@ -63,6 +64,7 @@
   void perform(const serve::CancelStoreCall &action);
   void perform(serve::RecordEvent &action);
   void setTimer();
+  /// Calls OnDrained once the core is drained and all bytes are sent.
   void checkDrained();
   void publishSnapshot();
 
@@ -84,7 +86,7 @@
   std::atomic<bool> IsScheduled{false};
   std::atomic<bool> Ready{false};
 
-  // Touched in the strand only.
+  // Accessed on the strand only.
   serve::AgentCore Core;
   Rcu<serve::AgentSnapshot>::Reader Reader;
   std::shared_ptr<const serve::AgentSnapshot> LastPublished;
--- a/tools/agent/agent_metrics.h
+++ b/tools/agent/agent_metrics.h
@@ -1,4 +1,4 @@
-/// Counters of an agent, fed by its events.
+/// Metrics of an agent, updated from its events and snapshots.
 #pragma once
 
 #include "base/metrics.h"
@@ -14,6 +14,7 @@
 public:
   explicit AgentMetrics(Metrics &metrics);
 
+  /// Updates the counters and distributions.
   void count(const Event &event);
   void updateGauges(const serve::AgentSnapshot &snapshot);
 
--- a/tools/agent/agent_operators.h
+++ b/tools/agent/agent_operators.h
@@ -1,4 +1,5 @@
-/// What an agent shows to operators, from its published snapshot.
+/// Hooks through which the operators' HTTP server queries an agent's latest
+/// snapshot and stops its requests.
 #pragma once
 
 #include "agent_driver.h"
@@ -6,7 +7,7 @@
 
 namespace daisytack::agent {
 
-/// Hooks over the shell, which must outlive them.
+/// `driver` and `options` must outlive the hooks.
 runtime::OperatorHooks operatorHooks(AgentDriver &driver,
                                      const AgentOptions &options);
 
--- a/tools/agent/agent_options.cpp
+++ b/tools/agent/agent_options.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr int64_t MaxRunningLimit = MaxRunSlots;
-/// An engine prefills one after another; what waits in it is out of reach.
+/// The engine prefills sequentially, and the agent can't reorder requests that
+/// wait inside the engine.
 constexpr int64_t DefaultPrefills = 1;
 constexpr int64_t MaxWaitingLimit = 1'000'000;
 
@@ -22,9 +23,9 @@
   out.Server = settings.endpoint("agent.server", std::nullopt);
   out.Core.Queue.Slots = static_cast<uint32_t>(
       settings.integer("agent.max_running", 32, 1, MaxRunningLimit));
-  // An engine prefills one after another; a plain service has no prefill.
   out.Core.MaxWaiting = static_cast<uint32_t>(
       settings.integer("agent.max_waiting", 4096, 1, MaxWaitingLimit));
+  // A plain service has no prefill.
   int64_t prefills = out.Core.IsService ? 0 : DefaultPrefills;
   out.Core.Queue.MaxPrefills = static_cast<uint32_t>(
       settings.integer("agent.max_prefills", prefills, 0, MaxRunningLimit));
@@ -48,7 +49,7 @@
       settings.duration("engine.silence_limit", 3s, 100ms, 10min);
 }
 
-/// "DOMAIN IP:PORT".
+/// Parses "FAILURE_DOMAIN IP:PORT".
 StoreInstance readStore(Settings &settings, const std::string &name) {
   std::string key = "stores." + name;
   std::string text = settings.text(key, std::nullopt);
--- a/tools/agent/agent_options.h
+++ b/tools/agent/agent_options.h
@@ -14,11 +14,11 @@
   runtime::InstanceSettings Instance;
   runtime::OperatorSettings Operators;
   serve::AgentSettings Core;
-  Endpoint Server; ///< The backend server: engine or plain service.
+  Endpoint Server; ///< The backend server: an engine or a plain service.
   Endpoint Weights;
 };
 
-/// Reads every setting; mistakes are collected in the settings.
+/// Reads all settings of an agent. Invalid values are reported to `settings`.
 AgentOptions readAgentOptions(Settings &settings);
 
 } // namespace daisytack::agent
--- a/tools/agent/link_table.h
+++ b/tools/agent/link_table.h
@@ -1,4 +1,4 @@
-/// Connections to entries, by the handle that the agent's core knows them by.
+/// Maps connections to entries to the handles that AgentCore uses for them.
 #pragma once
 
 #include "net/frame_link.h"
@@ -19,18 +19,18 @@
 public:
   serve::LinkHandle add(std::shared_ptr<net::FrameLink> link);
   std::optional<serve::LinkHandle> find(const net::FrameLink *link) const;
-  /// Nothing when the connection is gone.
+  /// Returns nullptr if the connection has closed.
   std::shared_ptr<net::FrameLink> find(serve::LinkHandle handle) const;
   std::optional<serve::LinkHandle> remove(const net::FrameLink *link);
   size_t size() const { return ByHandle.size(); }
-  /// Bytes that the connections have yet to send.
+  /// Total bytes in the connections' send buffers.
   size_t pendingBytes() const;
 
 private:
   std::atomic<uint32_t> Next{0};
   tbb::concurrent_hash_map<const net::FrameLink *, uint32_t> ByLink;
   tbb::concurrent_hash_map<uint32_t, std::shared_ptr<net::FrameLink>> ByHandle;
-  /// To go through all of them, which the tables above can't bear beside an
+  /// For iteration: the concurrent tables above can't be iterated during an
   /// erasure.
   mutable std::mutex AllLock;
   std::map<uint32_t, std::shared_ptr<net::FrameLink>> All;
--- a/tools/agent/main.cpp
+++ b/tools/agent/main.cpp
@@ -1,4 +1,5 @@
-/// daisytack-agent: stands beside one backend server and is the only way to it.
+/// daisytack-agent: runs beside one backend server, which is reached only
+/// through it.
 #include "agent_daemon.h"
 
 #include "runtime/process.h"
