--- a/tests/fakes/fake_kv.h
+++ b/tests/fakes/fake_kv.h
@@ -15,41 +15,41 @@
 public:
   explicit FakeKv(uint64_t clusterId = 1) : ClusterId(clusterId) {}
 
-  edge::KvRangeResult range(const edge::KvRange &what, TimePoint now) {
+  edge::KvRangeResult range(const edge::KvRange &keys, TimePoint now) {
     expire(now);
     edge::KvRangeResult out;
     out.Header = header(edge::KvStatus::Ok);
     for (const auto &[key, entry] : Entries) {
-      bool inside = what.End.empty() ? key == what.Begin
-                                     : key >= what.Begin && key < what.End;
-      if (inside && entry.ModRevision >= what.MinModRevision)
+      bool inRange = keys.End.empty() ? key == keys.Begin
+                                      : key >= keys.Begin && key < keys.End;
+      if (inRange && entry.ModRevision >= keys.MinModRevision)
         out.Entries.push_back(entry);
     }
     return out;
   }
 
-  edge::KvTransactionResult commit(const edge::KvTransaction &what,
+  edge::KvTransactionResult commit(const edge::KvTransaction &transaction,
                                    TimePoint now) {
     expire(now);
     edge::KvTransactionResult out;
-    bool holds = std::all_of(what.If.begin(), what.If.end(),
-                             [&](const edge::KvCompare &it) {
-                               return IgnoreCompares || compare(it);
-                             });
-    if (!holds) {
+    bool succeeded = std::all_of(transaction.If.begin(), transaction.If.end(),
+                                 [&](const edge::KvCompare &it) {
+                                   return IgnoreCompares || compareSucceeds(it);
+                                 });
+    if (!succeeded) {
       out.Header = header(edge::KvStatus::CompareFailed);
-      for (const auto &key : what.ReadOnFailure)
+      for (const auto &key : transaction.ReadOnFailure)
         if (auto it = Entries.find(key); it != Entries.end())
           out.Current.push_back(it->second);
       return out;
     }
-    if (!leasesExist(what)) {
+    if (!leasesExist(transaction)) {
       out.Header = header(edge::KvStatus::Unavailable);
       out.Header.Reason = {ErrorKind::ServiceUnavailable, "no such lease"};
       return out;
     }
     ++Revision;
-    for (const auto &it : what.Then)
+    for (const auto &it : transaction.Then)
       write(it);
     out.Header = header(edge::KvStatus::Ok);
     return out;
@@ -62,30 +62,30 @@
     return {header(edge::KvStatus::Ok), id, timeToLive};
   }
 
-  edge::KvLeaseResult keep(uint64_t lease, TimePoint now) {
+  edge::KvLeaseResult keepAlive(uint64_t lease, TimePoint now) {
     expire(now);
     auto it = Leases.find(lease);
     if (it == Leases.end())
       return {header(edge::KvStatus::Ok), 0, Duration(0)};
-    it->second.EndsAt = now + it->second.TimeToLive;
+    it->second.ExpiresAt = now + it->second.TimeToLive;
     return {header(edge::KvStatus::Ok), lease, it->second.TimeToLive};
   }
 
   edge::KvLeaseResult revoke(uint64_t lease, TimePoint now) {
     expire(now);
     Leases.erase(lease);
-    dropKeysOf(lease);
+    deleteKeysOf(lease);
     return {header(edge::KvStatus::Ok), lease, Duration(0)};
   }
 
   /// Drops what has lapsed.
   void expire(TimePoint now) {
     for (auto it = Leases.begin(); it != Leases.end();) {
-      if (now < it->second.EndsAt) {
+      if (now < it->second.ExpiresAt) {
         ++it;
         continue;
       }
-      dropKeysOf(it->first);
+      deleteKeysOf(it->first);
       it = Leases.erase(it);
     }
   }
@@ -107,51 +107,51 @@
   bool IgnoreCompares = false;
 
 private:
-  struct Term {
+  struct Lease {
     Duration TimeToLive{0};
-    TimePoint EndsAt;
+    TimePoint ExpiresAt;
   };
 
-  bool compare(const edge::KvCompare &what) const {
-    auto it = Entries.find(what.Key);
+  bool compareSucceeds(const edge::KvCompare &condition) const {
+    auto it = Entries.find(condition.Key);
     edge::KvEntry entry = it == Entries.end() ? edge::KvEntry{} : it->second;
     using Target = edge::KvCompare::Target;
-    switch (what.Field) {
+    switch (condition.Field) {
     case Target::CreateRevision:
-      return entry.CreateRevision == what.Number;
+      return entry.CreateRevision == condition.Number;
     case Target::ModRevision:
-      return entry.ModRevision == what.Number;
+      return entry.ModRevision == condition.Number;
     case Target::Version:
-      return entry.Version == what.Number;
+      return entry.Version == condition.Number;
     case Target::Lease:
-      return entry.Lease == what.Number;
+      return entry.Lease == condition.Number;
     }
     return false;
   }
 
-  bool leasesExist(const edge::KvTransaction &what) const {
-    return std::all_of(what.Then.begin(), what.Then.end(),
+  bool leasesExist(const edge::KvTransaction &transaction) const {
+    return std::all_of(transaction.Then.begin(), transaction.Then.end(),
                        [&](const edge::KvWrite &it) {
                          return it.Lease == 0 || Leases.contains(it.Lease);
                        });
   }
 
-  void write(const edge::KvWrite &what) {
-    if (what.Delete) {
-      Entries.erase(what.Key);
+  void write(const edge::KvWrite &change) {
+    if (change.Delete) {
+      Entries.erase(change.Key);
       return;
     }
-    edge::KvEntry &entry = Entries[what.Key];
-    entry.Key = what.Key;
-    entry.Value = what.Value;
-    entry.Lease = what.Lease;
+    edge::KvEntry &entry = Entries[change.Key];
+    entry.Key = change.Key;
+    entry.Value = change.Value;
+    entry.Lease = change.Lease;
     entry.ModRevision = Revision;
     if (entry.CreateRevision == 0)
       entry.CreateRevision = Revision;
     ++entry.Version;
   }
 
-  void dropKeysOf(uint64_t lease) {
+  void deleteKeysOf(uint64_t lease) {
     size_t n = std::erase_if(
         Entries, [&](const auto &it) { return it.second.Lease == lease; });
     if (n > 0)
@@ -162,7 +162,7 @@
   uint64_t Revision = 1;
   uint64_t LastLease = 100;
   std::map<std::string, edge::KvEntry> Entries;
-  std::map<uint64_t, Term> Leases;
+  std::map<uint64_t, Lease> Leases;
 };
 
 } // namespace daisytack::test
--- a/tests/matrix/agent_host.cpp
+++ b/tests/matrix/agent_host.cpp
@@ -248,7 +248,7 @@
     });
   else if (const auto *keep = std::get_if<swap::KeepLease>(&call.Operation))
     onLease([lease = keep->Lease](test::FakeKv &kv, TimePoint now) {
-      return kv.keep(lease, now);
+      return kv.keepAlive(lease, now);
     });
   else
     onLease(
--- a/tests/swap/swap_fleet.cpp
+++ b/tests/swap/swap_fleet.cpp
@@ -127,7 +127,7 @@
   else if (auto *grant = std::get_if<GrantLease>(&call.Operation))
     out.Response = kv.grant(grant->TimeToLive, Now);
   else if (auto *keep = std::get_if<KeepLease>(&call.Operation))
-    out.Response = kv.keep(keep->Lease, Now);
+    out.Response = kv.keepAlive(keep->Lease, Now);
   else
     out.Response = kv.revoke(std::get<RevokeLease>(call.Operation).Lease, Now);
   return out;
--- a/tools/client/client_options.cpp
+++ b/tools/client/client_options.cpp
@@ -61,12 +61,12 @@
   std::string text =
       FLAGS_entries.empty() ? environment("DAISYTACK_ENTRIES") : FLAGS_entries;
   for (const std::string &word : splitList(text)) {
-    auto one = parseEndpoint(word);
-    if (!one) {
+    auto endpoint = parseEndpoint(word);
+    if (!endpoint) {
       reason = "'" + word + "' is not IP:PORT";
       return false;
     }
-    out.Entries.push_back(*one);
+    out.Entries.push_back(*endpoint);
   }
   return true;
 }
@@ -124,16 +124,16 @@
 std::optional<Options> readOptions(int argc, char **argv, std::string &reason) {
   Options out;
   for (int i = 1; i < argc; ++i)
-    out.Words.emplace_back(argv[i]);
+    out.Arguments.emplace_back(argv[i]);
   out.Request = FLAGS_request;
-  bool isRead = readEntries(out, reason) && readKey(out, reason) &&
-                readFormat(out, reason) && readColours(out, reason) &&
-                readPortOffset(out, reason) &&
-                readDuration("timeout", FLAGS_timeout, out.Timeout, reason) &&
-                readDuration("wait", FLAGS_wait, out.Wait, reason) &&
-                readDuration("watch", FLAGS_watch, out.Watch, reason) &&
-                readDuration("since", FLAGS_since, out.Since, reason);
-  if (!isRead)
+  bool isValid = readEntries(out, reason) && readKey(out, reason) &&
+                 readFormat(out, reason) && readColours(out, reason) &&
+                 readPortOffset(out, reason) &&
+                 readDuration("timeout", FLAGS_timeout, out.Timeout, reason) &&
+                 readDuration("wait", FLAGS_wait, out.Wait, reason) &&
+                 readDuration("watch", FLAGS_watch, out.Watch, reason) &&
+                 readDuration("since", FLAGS_since, out.Since, reason);
+  if (!isValid)
     return std::nullopt;
   return out;
 }
--- a/tools/client/client_options.h
+++ b/tools/client/client_options.h
@@ -34,7 +34,7 @@
   std::string Request; ///< Timeline of one request, by its id.
   Duration Since{0};   ///< Timeline of the last part.
   uint16_t PortOffset = 1;
-  std::vector<std::string> Words; ///< What follows the flags.
+  std::vector<std::string> Arguments; ///< What follows the flags.
 };
 
 /// Reads flags, environment and key file; nothing with the reason when they
--- a/tools/client/connection.cpp
+++ b/tools/client/connection.cpp
@@ -21,10 +21,10 @@
             "no entry is given; use --entries or DAISYTACK_ENTRIES",
             {}};
   for (size_t i = 0; i < Entries.size(); ++i) {
-    size_t index = (Preferred + i) % Entries.size();
+    size_t index = (PreferredIndex + i) % Entries.size();
     auto out = call(Entries[index], request, reason);
     if (out) {
-      Preferred = index;
+      PreferredIndex = index;
       return out;
     }
     bool wasSent = reason.Kind != ErrorKind::ServiceUnavailable;
--- a/tools/client/connection.h
+++ b/tools/client/connection.h
@@ -22,7 +22,7 @@
   std::optional<net::HttpResponse> get(const Endpoint &to,
                                        const std::string &path, Error &reason);
   /// Lengthens the timeout of later calls.
-  void allow(Duration more) { Timeout += more; }
+  void extendTimeout(Duration extension) { Timeout += extension; }
 
 private:
   std::optional<net::HttpResponse>
@@ -33,7 +33,7 @@
   std::vector<Endpoint> Entries;
   std::string Key;
   Duration Timeout;
-  size_t Preferred = 0; ///< Entry that answered last.
+  size_t PreferredIndex = 0; ///< Entry that answered last.
 };
 
 } // namespace daisytack::client
--- a/tools/client/line_editor.cpp
+++ b/tools/client/line_editor.cpp
@@ -20,26 +20,26 @@
 class RawTerminal {
 public:
   RawTerminal() {
-    tcgetattr(STDIN_FILENO, &Before);
-    termios raw = Before;
+    tcgetattr(STDIN_FILENO, &SavedAttributes);
+    termios raw = SavedAttributes;
     raw.c_lflag &= ~static_cast<tcflag_t>(ICANON | ECHO | ISIG);
     raw.c_cc[VMIN] = 1;
     raw.c_cc[VTIME] = 0;
     tcsetattr(STDIN_FILENO, TCSANOW, &raw);
   }
-  ~RawTerminal() { tcsetattr(STDIN_FILENO, TCSANOW, &Before); }
+  ~RawTerminal() { tcsetattr(STDIN_FILENO, TCSANOW, &SavedAttributes); }
   RawTerminal(const RawTerminal &) = delete;
   RawTerminal &operator=(const RawTerminal &) = delete;
 
 private:
-  termios Before{};
+  termios SavedAttributes{};
 };
 
 } // namespace
 
-KeyResult LineEditor::key(char c) {
-  if (Escape > 0) {
-    escapeKey(c);
+KeyResult LineEditor::handleKey(char c) {
+  if (EscapeBytes > 0) {
+    handleEscapeByte(c);
     return KeyResult::Editing;
   }
   switch (c) {
@@ -47,7 +47,7 @@
   case '\n':
     return KeyResult::Entered;
   case ControlD:
-    return Line.empty() ? KeyResult::Ended : KeyResult::Editing;
+    return Line.empty() ? KeyResult::EndOfInput : KeyResult::Editing;
   case ControlC:
   case ControlU:
     Line.clear();
@@ -58,7 +58,7 @@
       Line.pop_back();
     break;
   case EscapeKey:
-    Escape = 1;
+    EscapeBytes = 1;
     break;
   default:
     if (c >= ' ')
@@ -67,28 +67,28 @@
   return KeyResult::Editing;
 }
 
-void LineEditor::escapeKey(char c) {
-  bool isStart = Escape == 1 && c == '[';
-  Escape = isStart ? 2 : 0;
+void LineEditor::handleEscapeByte(char c) {
+  bool isStart = EscapeBytes == 1 && c == '[';
+  EscapeBytes = isStart ? 2 : 0;
   if (isStart)
     return;
-  if (c == 'A' && At > 0)
-    recall(At - 1);
-  if (c == 'B' && At < History.size())
-    recall(At + 1);
+  if (c == 'A' && HistoryIndex > 0)
+    recall(HistoryIndex - 1);
+  if (c == 'B' && HistoryIndex < History.size())
+    recall(HistoryIndex + 1);
 }
 
 void LineEditor::recall(size_t index) {
-  At = index;
-  Line = At < History.size() ? History[At] : "";
+  HistoryIndex = index;
+  Line = HistoryIndex < History.size() ? History[HistoryIndex] : "";
 }
 
-std::string LineEditor::take() {
+std::string LineEditor::takeLine() {
   std::string out;
   out.swap(Line);
   if (!out.empty())
     History.push_back(out);
-  At = History.size();
+  HistoryIndex = History.size();
   return out;
 }
 
@@ -100,14 +100,14 @@
     std::cout << EraseLine << prompt << editor.line() << std::flush;
     char c = 0;
     if (read(STDIN_FILENO, &c, 1) != 1)
-      result = KeyResult::Ended;
+      result = KeyResult::EndOfInput;
     else
-      result = editor.key(c);
+      result = editor.handleKey(c);
   }
   std::cout << std::endl;
-  if (result == KeyResult::Ended)
+  if (result == KeyResult::EndOfInput)
     return std::nullopt;
-  return editor.take();
+  return editor.takeLine();
 }
 
 } // namespace daisytack::client
--- a/tools/client/line_editor.h
+++ b/tools/client/line_editor.h
@@ -9,26 +9,26 @@
 namespace daisytack::client {
 
 /// What a key did to the line.
-enum class KeyResult { Editing, Entered, Ended };
+enum class KeyResult { Editing, Entered, EndOfInput };
 
 /// The state of a line while keys arrive; knows nothing of the terminal.
 class LineEditor {
 public:
   /// Takes one byte from the terminal.
-  KeyResult key(char c);
+  KeyResult handleKey(char c);
   /// The line as it stands; the cursor is at its end.
   const std::string &line() const { return Line; }
   /// Takes the entered line, keeps it in the history and begins anew.
-  std::string take();
+  std::string takeLine();
 
 private:
-  void escapeKey(char c);
+  void handleEscapeByte(char c);
   void recall(size_t index);
 
   std::string Line;
   std::vector<std::string> History;
-  size_t At = 0;  ///< Into History; its size for a new line.
-  int Escape = 0; ///< Bytes of an escape sequence read so far.
+  size_t HistoryIndex = 0; ///< Into History; its size for a new line.
+  int EscapeBytes = 0;     ///< Bytes of an escape sequence read so far.
 };
 
 /// Reads a line from the terminal; nothing at the end of input.
--- a/tools/client/main.cpp
+++ b/tools/client/main.cpp
@@ -31,7 +31,7 @@
          std::find(verbs.begin(), verbs.end(), word) != verbs.end();
 }
 
-ExitCode usage(const std::string &reason) {
+ExitCode reportUsageError(const std::string &reason) {
   std::cerr << reason << "; see --help\n";
   return ExitCode::Usage;
 }
@@ -40,7 +40,7 @@
 ExitCode printKeyHash() {
   std::string key;
   if (!std::getline(std::cin, key) || key.empty())
-    return usage("key-hash reads the key from standard input");
+    return reportUsageError("key-hash reads the key from standard input");
   std::cout << hexDigest(sha256(key)) << std::endl;
   return ExitCode::Done;
 }
@@ -48,10 +48,11 @@
 ExitCode dispatch(const Options &options) {
   Connection connection(options.Entries, options.Key,
                         options.Timeout + options.Wait);
-  if (options.Words.empty())
+  if (options.Arguments.empty())
     return runPrompt(options, connection);
-  std::string verb = options.Words.front();
-  std::vector<std::string> rest(options.Words.begin() + 1, options.Words.end());
+  std::string verb = options.Arguments.front();
+  std::vector<std::string> rest(options.Arguments.begin() + 1,
+                                options.Arguments.end());
   if (verb == "completion" && rest.empty()) {
     std::cout << completionScript();
     return ExitCode::Done;
@@ -65,8 +66,8 @@
   if (verb == "command")
     return runCommand(joinWords(rest), options, connection);
   if (isShortForm(verb))
-    return runStatement(joinWords(options.Words), options, connection);
-  return usage("unknown word '" + verb + "'");
+    return runStatement(joinWords(options.Arguments), options, connection);
+  return reportUsageError("unknown word '" + verb + "'");
 }
 
 ExitCode run(int argc, char **argv) {
@@ -83,7 +84,7 @@
   }
   std::string reason;
   auto options = readOptions(argc, argv, reason);
-  return options ? dispatch(*options) : usage(reason);
+  return options ? dispatch(*options) : reportUsageError(reason);
 }
 
 } // namespace
--- a/tools/client/prompt.cpp
+++ b/tools/client/prompt.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view PromptText = "daisytack> ";
 
-std::optional<std::string> plainLine() {
+std::optional<std::string> readPlainLine() {
   std::string out;
   if (!std::getline(std::cin, out))
     return std::nullopt;
@@ -30,8 +30,8 @@
   LineEditor editor;
   ExitCode out = ExitCode::Done;
   while (true) {
-    auto line =
-        isTerminal ? readLine(editor, std::string(PromptText)) : plainLine();
+    auto line = isTerminal ? readLine(editor, std::string(PromptText))
+                           : readPlainLine();
     if (!line || *line == "exit" || *line == "quit")
       return out;
     if (!isBlank(*line))
--- a/tools/client/statements.cpp
+++ b/tools/client/statements.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned HttpOk = 200;
 constexpr std::string_view ClearScreen = "\033[H\033[2J";
 
-std::string bodyOf(const std::string &text, Duration wait) {
+std::string requestBody(const std::string &text, Duration wait) {
   json::object out{{"text", text}};
   if (wait > Duration::zero())
     out["wait_ms"] =
@@ -34,7 +34,7 @@
                                : "";
 }
 
-json::object objectOf(const std::string &body) {
+json::object parseObject(const std::string &body) {
   boost::system::error_code ec;
   json::value parsed = json::parse(body, ec);
   return ec || !parsed.is_object() ? json::object{} : parsed.get_object();
@@ -49,14 +49,15 @@
             << "\n";
 }
 
-ExitCode unreachable(const Error &reason) {
+ExitCode reportUnreachable(const Error &reason) {
   std::cerr << "no entry answers: " << query::printable(reason.Detail) << "\n"
             << "remedy: check --entries and that one of them runs\n";
   return ExitCode::Unreachable;
 }
 
-ExitCode usage(const std::string &text, const query::ParseError &error) {
-  std::cerr << explainMistake(text, error.Column, query::toString(error));
+ExitCode reportSyntaxError(const std::string &text,
+                           const query::ParseError &error) {
+  std::cerr << formatSyntaxError(text, error.Column, query::toString(error));
   return ExitCode::Usage;
 }
 
@@ -79,13 +80,13 @@
 ExitCode queryOnce(const std::string &text, const Options &options,
                    Connection &connection) {
   Error reason;
-  auto response =
-      connection.post("/v1/query", bodyOf(text, Duration(0)), false, reason);
+  auto response = connection.post("/v1/query", requestBody(text, Duration(0)),
+                                  false, reason);
   if (!response)
-    return unreachable(reason);
+    return reportUnreachable(reason);
   if (response->Status == HttpOk)
     return printAnswer(*response, options);
-  printRefusal(objectOf(response->Body), options.Colours);
+  printRefusal(parseObject(response->Body), options.Colours);
   return ExitCode::Refused;
 }
 
@@ -104,21 +105,21 @@
   return ec ? 0 : out;
 }
 
-void printOther(const json::object &other) {
+void printConflictingChange(const json::object &otherChange) {
   std::cerr << "the other change: by "
-            << query::printable(memberText(other, "operator")) << ", revision "
-            << memberNumber(other, "revision") << ": "
-            << query::printable(memberText(other, "value")) << "\n";
+            << query::printable(memberText(otherChange, "operator"))
+            << ", revision " << memberNumber(otherChange, "revision") << ": "
+            << query::printable(memberText(otherChange, "value")) << "\n";
 }
 
 /// How far a change got; true when it is in force wherever that was asked.
-bool printForce(const json::object &force) {
-  uint64_t asked = memberNumber(force, "asked");
-  uint64_t inForce = memberNumber(force, "in_force");
+bool printInForce(const json::object &inForceStatus) {
+  uint64_t asked = memberNumber(inForceStatus, "asked");
+  uint64_t inForce = memberNumber(inForceStatus, "in_force");
   std::cout << "in force in " << inForce << " of " << asked
-            << " processes asked (" << memberNumber(force, "members")
+            << " processes asked (" << memberNumber(inForceStatus, "members")
             << " known)\n";
-  const json::value *missing = force.if_contains("missing");
+  const json::value *missing = inForceStatus.if_contains("missing");
   if (missing && missing->is_array())
     for (const json::value &it : missing->get_array())
       if (it.is_string())
@@ -136,7 +137,7 @@
 
 ExitCode printOutcome(const net::HttpResponse &response,
                       const Options &options) {
-  json::object body = objectOf(response.Body);
+  json::object body = parseObject(response.Body);
   std::string outcome = memberText(body, "outcome");
   ExitCode out = exitCodeOf(outcome);
   if (options.Output == Format::Json)
@@ -152,10 +153,11 @@
   }
   if (out != ExitCode::Done)
     printRefusal(body, options.Colours);
-  if (const json::object *other = memberObject(body, "other"))
-    printOther(*other);
-  const json::object *force = memberObject(body, "in_force");
-  if (force && options.Output != Format::Json && !printForce(*force))
+  if (const json::object *otherChange = memberObject(body, "other"))
+    printConflictingChange(*otherChange);
+  const json::object *inForceStatus = memberObject(body, "in_force");
+  if (inForceStatus && options.Output != Format::Json &&
+      !printInForce(*inForceStatus))
     return ExitCode::Incomplete;
   return out;
 }
@@ -170,9 +172,9 @@
 
 ExitCode runQuery(const std::string &text, const Options &options,
                   Connection &connection) {
-  query::ParseError wrong;
-  if (!query::parseQuery(text, wrong))
-    return usage(text, wrong);
+  query::ParseError parseError;
+  if (!query::parseQuery(text, parseError))
+    return reportSyntaxError(text, parseError);
   while (options.Watch > Duration::zero()) {
     if (options.Colours)
       std::cout << ClearScreen;
@@ -184,25 +186,25 @@
 
 ExitCode runCommand(const std::string &text, const Options &options,
                     Connection &connection) {
-  query::ParseError wrong;
-  if (!query::parseCommand(text, wrong))
-    return usage(text, wrong);
+  query::ParseError parseError;
+  if (!query::parseCommand(text, parseError))
+    return reportSyntaxError(text, parseError);
   Error reason;
-  auto response =
-      connection.post("/v1/command", bodyOf(text, options.Wait), true, reason);
+  auto response = connection.post(
+      "/v1/command", requestBody(text, options.Wait), true, reason);
   if (response)
     return printOutcome(*response, options);
   if (reason.Kind == ErrorKind::ServiceUnavailable)
-    return unreachable(reason);
+    return reportUnreachable(reason);
   std::cerr << "unknown: " << query::printable(reason.Detail) << "\n"
             << "remedy: " << errorRemedy(ErrorKind::ServiceUnknown) << "\n";
   return ExitCode::Unknown;
 }
 
-std::string explainMistake(const std::string &text, size_t column,
-                           const std::string &message) {
-  std::string mark(column - 1, ' ');
-  return query::printable(text) + "\n" + mark + "^\n" + message + "\n";
+std::string formatSyntaxError(const std::string &text, size_t column,
+                              const std::string &message) {
+  std::string indent(column - 1, ' ');
+  return query::printable(text) + "\n" + indent + "^\n" + message + "\n";
 }
 
 std::string joinWords(const std::vector<std::string> &words) {
--- a/tools/client/statements.h
+++ b/tools/client/statements.h
@@ -18,8 +18,8 @@
                     Connection &connection);
 
 /// The statement with a mark below the mistake.
-std::string explainMistake(const std::string &text, size_t column,
-                           const std::string &message);
+std::string formatSyntaxError(const std::string &text, size_t column,
+                              const std::string &message);
 
 /// Words of a command line as one statement.
 std::string joinWords(const std::vector<std::string> &words);
--- a/tools/client/timeline_command.cpp
+++ b/tools/client/timeline_command.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned HttpOk = 200;
 constexpr size_t MaxPages = 100;
 /// Processes whose metrics the page adds up.
-constexpr size_t MaxMeasured = 64;
+constexpr size_t MaxScrapedProcesses = 64;
 
 std::string queryText(const Options &options, WallTime since) {
   std::string out = "show events where ";
@@ -31,8 +31,8 @@
 }
 
 /// One page of a query; nothing with the reason when there is none.
-std::optional<query::Answer> ask(const std::string &text,
-                                 Connection &connection, Error &reason) {
+std::optional<query::Answer> queryPage(const std::string &text,
+                                       Connection &connection, Error &reason) {
   std::string body =
       boost::json::serialize(boost::json::object{{"text", text}});
   auto response = connection.post("/v1/query", body, false, reason);
@@ -46,11 +46,11 @@
 }
 
 std::optional<std::vector<query::Answer>>
-askAll(const std::string &text, Connection &connection, Error &reason) {
+queryAllPages(const std::string &text, Connection &connection, Error &reason) {
   std::vector<query::Answer> out;
   std::string after;
   while (out.size() < MaxPages) {
-    auto page = ask(text + after, connection, reason);
+    auto page = queryPage(text + after, connection, reason);
     if (!page)
       return std::nullopt;
     out.push_back(std::move(*page));
@@ -62,8 +62,8 @@
 }
 
 /// Operators' addresses of the members that the fleet knows.
-std::vector<Endpoint> addresses(const query::Answer &members,
-                                uint16_t portOffset) {
+std::vector<Endpoint> operatorAddresses(const query::Answer &members,
+                                        uint16_t portOffset) {
   std::vector<Endpoint> out;
   const auto &columns = members.Rows.Columns;
   for (const auto &row : members.Rows.Rows)
@@ -81,12 +81,12 @@
 query::Measures gatherMeasures(const Options &options, Connection &connection) {
   query::Measures out;
   Error reason;
-  auto members = ask("show members where state != gone limit " +
-                         std::to_string(MaxMeasured),
-                     connection, reason);
+  auto members = queryPage("show members where state != gone limit " +
+                               std::to_string(MaxScrapedProcesses),
+                           connection, reason);
   if (!members)
     return out;
-  for (const Endpoint &it : addresses(*members, options.PortOffset)) {
+  for (const Endpoint &it : operatorAddresses(*members, options.PortOffset)) {
     auto response = connection.get(it, "/metrics", reason);
     if (response && response->Status == HttpOk)
       out.add(response->Body);
@@ -125,7 +125,7 @@
   }
   WallTime since = options.Request.empty() ? now - options.Since : WallTime();
   Error reason;
-  auto pages = askAll(queryText(options, since), connection, reason);
+  auto pages = queryAllPages(queryText(options, since), connection, reason);
   if (!pages) {
     std::cerr << errorName(reason.Kind) << ": "
               << query::printable(reason.Detail)
--- a/tools/standin/engine.cpp
+++ b/tools/standin/engine.cpp
@@ -28,49 +28,50 @@
 namespace {
 
 constexpr Duration Tick{5'000};
-constexpr Duration LongestStep{200'000}; ///< After the process was stopped.
+constexpr Duration MaxStep{200'000}; ///< After the process was stopped.
 constexpr int64_t DefaultMaxTokens = 16;
-constexpr size_t WordDigits = 8;
+constexpr size_t AnswerTagDigits = 8;
 
 class Engine {
 public:
-  explicit Engine(Host &host)
-      : Shared(host), Cache(FLAGS_cache_pieces,
-                            std::chrono::milliseconds(FLAGS_event_lag_ms)),
-        Runs(host, Cache, {FLAGS_slots, FLAGS_prefill_rate, FLAGS_decode_rate}),
-        Started(wallNow().time_since_epoch().count()) {
+  explicit Engine(StandinServer &server)
+      : Server(server), Cache(FLAGS_cache_pieces,
+                              std::chrono::milliseconds(FLAGS_event_lag_ms)),
+        Runs(server, Cache,
+             {FLAGS_slots, FLAGS_prefill_rate, FLAGS_decode_rate}),
+        StartTime(wallNow().time_since_epoch().count()) {
     for (const char *flag : {"ignore_fencing", "duplicate_chunks",
                              "drop_cache_events", "clear_cache"})
-      Shared.Faults[flag] = false;
+      Server.Faults[flag] = false;
     for (const char *number :
          {"slow_factor", "cross_answers", "fail_after_chunks"})
-      Shared.Faults[number] = 0;
-    Cache.LosesEvent = [this] {
-      return Shared.isOn("drop_cache_events") ||
-             Shared.Random() % 1000 < FLAGS_event_loss;
+      Server.Faults[number] = 0;
+    Cache.ShouldDropEvent = [this] {
+      return Server.isFaultOn("drop_cache_events") ||
+             Server.Random() % 1000 < FLAGS_event_loss;
     };
-    Shared.OnRequest = [this](const auto &request, const auto &exchange) {
+    Server.OnRequest = [this](const auto &request, const auto &exchange) {
       onRequest(request, exchange);
     };
-    Shared.OnFault = [this] { onFault(); };
-    Shared.OnStats = [this](json::object &out) { describe(out); };
-    Last = monotonicNow();
-    Shared.every(Tick, [this] { tick(); });
+    Server.OnFault = [this] { onFault(); };
+    Server.OnStats = [this](json::object &out) { fillStatus(out); };
+    LastTick = monotonicNow();
+    Server.every(Tick, [this] { tick(); });
     refreshStatus();
   }
 
 private:
   void tick() {
     TimePoint now = monotonicNow();
-    Runs.step(std::min(now - Last, LongestStep));
-    Last = now;
+    Runs.step(std::min(now - LastTick, MaxStep));
+    LastTick = now;
   }
 
   void onFault() {
-    if (!Shared.isOn("clear_cache"))
+    if (!Server.isFaultOn("clear_cache"))
       return;
     Cache.clear(monotonicNow());
-    Shared.Faults["clear_cache"] = false;
+    Server.Faults["clear_cache"] = false;
   }
 
   void onRequest(const HttpRequest &request, const Exchange &exchange) {
@@ -78,15 +79,15 @@
     if (path == "/v1/completions" || path == "/v1/chat/completions")
       return complete(request, exchange);
     if (path == "/control/status")
-      return respondJson(exchange, 200, Status);
+      return respondJson(exchange, 200, PublishedStatus);
     if (path == "/control/cache_events")
       return respondEvents(request, exchange);
     if (path.starts_with("/control/pieces/"))
-      return movePiece(request, exchange);
-    auto body = bodyOf(request, exchange);
+      return transferPiece(request, exchange);
+    auto body = parseJsonBody(request, exchange);
     if (!body)
       return;
-    std::string id = textIn(*body, "request_id");
+    std::string id = stringField(*body, "request_id");
     if (path == "/control/cancel")
       return respondCount(exchange, Runs.cancel(id));
     if (path == "/control/suspend")
@@ -105,31 +106,31 @@
   static std::string promptOf(const json::object &body) {
     const json::value *messages = body.if_contains("messages");
     if (!messages || !messages->is_array())
-      return textIn(body, "prompt");
+      return stringField(body, "prompt");
     std::string out;
     for (const json::value &message : messages->get_array())
       if (message.is_object())
-        out += textIn(message.get_object(), "role") + "\n" +
-               textIn(message.get_object(), "content") + "\n";
+        out += stringField(message.get_object(), "role") + "\n" +
+               stringField(message.get_object(), "content") + "\n";
     return out;
   }
 
   void complete(const HttpRequest &request, const Exchange &exchange) {
-    auto body = bodyOf(request, exchange);
+    auto body = parseJsonBody(request, exchange);
     if (!body)
       return;
     std::string prompt = promptOf(*body);
     if (prompt.empty())
       return respondError(exchange, 400, "the prompt is missing");
     Run run;
-    run.Id = run.ShownId = textIn(*body, "request_id");
+    run.Id = run.ResponseId = stringField(*body, "request_id");
     run.Model = FLAGS_model;
     run.Version = Version;
-    run.Word = hexDigest(sha256(prompt)).substr(0, WordDigits);
-    run.Priority = numberIn(*body, "priority");
+    run.AnswerTag = hexDigest(sha256(prompt)).substr(0, AnswerTagDigits);
+    run.Priority = numberField(*body, "priority");
     run.PromptTokens = static_cast<int64_t>(
         (prompt.size() + BytesPerToken - 1) / BytesPerToken);
-    run.MaxTokens = numberIn(*body, "max_tokens");
+    run.MaxTokens = numberField(*body, "max_tokens");
     if (run.MaxTokens <= 0)
       run.MaxTokens = DefaultMaxTokens;
     run.Chat = request.Path != "/v1/completions";
@@ -140,21 +141,21 @@
       for (const json::value &key : pieces->get_array())
         if (key.is_string())
           run.Pieces.emplace_back(key.get_string());
-    if (!takeResumeText(run, textIn(*body, "resume_text")))
+    if (!parseResumeText(run, stringField(*body, "resume_text")))
       return respondError(exchange, 400, "resume_text is of another answer");
-    run.To = exchange;
-    exchange->onClosed([this, raw = exchange.get()] { Runs.forget(raw); });
-    Shared.count("runs");
+    run.ClientExchange = exchange;
+    exchange->onClosed([this, raw = exchange.get()] { Runs.abandon(raw); });
+    Server.count("runs");
     Runs.add(std::move(run));
   }
 
   /// Counts the tokens that the text holds; false when it is no start of this
   /// answer.
-  static bool takeResumeText(Run &run, const std::string &text) {
-    std::string own;
-    while (own.size() < text.size())
-      own += tokenText(run.Word, run.Resumed++);
-    return own == text;
+  static bool parseResumeText(Run &run, const std::string &text) {
+    std::string generated;
+    while (generated.size() < text.size())
+      generated += tokenText(run.AnswerTag, run.ResumedTokens++);
+    return generated == text;
   }
 
   void respondEvents(const HttpRequest &request, const Exchange &exchange) {
@@ -162,118 +163,120 @@
     respondJson(exchange, 200, Cache.events(first, monotonicNow()));
   }
 
-  void movePiece(const HttpRequest &request, const Exchange &exchange) {
-    std::string key = partsOf(request.Path).back();
+  void transferPiece(const HttpRequest &request, const Exchange &exchange) {
+    std::string key = pathSegments(request.Path).back();
     if (request.Method == "PUT") {
       if (Cache.capacity() == 0)
         return respondError(exchange, 507, "the cache can't take it");
-      bool good = request.Body == pieceBytes(key, Version, FLAGS_piece_bytes);
-      Shared.count(good ? "imported" : "imported_wrong");
-      Cache.store(key, good, monotonicNow());
+      bool intact = request.Body == pieceBytes(key, Version, FLAGS_piece_bytes);
+      Server.count(intact ? "imported" : "imported_wrong");
+      Cache.store(key, intact, monotonicNow());
       return exchange->respond({204, {}, ""});
     }
     if (!Cache.has(key))
       return respondError(exchange, 404, "not cached");
-    Shared.count("exported");
+    Server.count("exported");
     exchange->respond({200,
                        {{"Content-Type", "application/octet-stream"}},
                        pieceBytes(key, Version, FLAGS_piece_bytes)});
   }
 
   void order(const json::object &body, const Exchange &exchange) {
-    int64_t fence = numberIn(body, "fence");
-    bool checks = FLAGS_check_fencing && !Shared.isOn("ignore_fencing");
-    if (checks && fence < Fence) {
-      Shared.count("orders_refused");
-      return respondJson(exchange, 409, json::object{{"fence", Fence}});
+    int64_t fence = numberField(body, "fence");
+    bool checks = FLAGS_check_fencing && !Server.isFaultOn("ignore_fencing");
+    if (checks && fence < FencingToken) {
+      Server.count("orders_refused");
+      return respondJson(exchange, 409, json::object{{"fence", FencingToken}});
     }
-    Fence = fence;
-    Shared.count("orders");
-    std::string kind = textIn(body, "kind");
+    FencingToken = fence;
+    Server.count("orders");
+    std::string kind = stringField(body, "kind");
     if (kind == "load_weights")
-      loadWeights(textIn(body, "version"), textIn(body, "weights"));
+      loadWeights(stringField(body, "version"), stringField(body, "weights"));
     else if (kind == "load_adapter")
-      Adapter = textIn(body, "adapter");
+      Adapter = stringField(body, "adapter");
     else if (kind == "set_role")
-      Role = textIn(body, "role");
+      Role = stringField(body, "role");
     else
       return respondError(exchange, 400, "unknown kind of order");
-    respondJson(exchange, 202, json::object{{"fence", Fence}});
+    respondJson(exchange, 202, json::object{{"fence", FencingToken}});
   }
 
   /// The latest load wins; runs go on with the version they began with.
-  void loadWeights(const std::string &version, const std::string &from) {
-    int64_t load = ++LoadNumber;
-    Loading = version;
-    auto done = [this, load, version](bool good) {
-      if (load != LoadNumber)
+  void loadWeights(const std::string &version,
+                   const std::string &storeAddress) {
+    int64_t loadId = ++LatestLoadId;
+    LoadingVersion = version;
+    auto done = [this, loadId, version](bool succeeded) {
+      if (loadId != LatestLoadId)
         return;
-      Loading.clear();
-      Shared.count(good ? "loads" : "loads_failed");
-      if (!good || version == Version)
+      LoadingVersion.clear();
+      Server.count(succeeded ? "loads" : "loads_failed");
+      if (!succeeded || version == Version)
         return;
       Version = version;
       Cache.clear(monotonicNow());
     };
-    auto store = parseEndpoint(from);
+    auto store = parseEndpoint(storeAddress);
     if (!store)
-      return Shared.after(std::chrono::milliseconds(FLAGS_load_ms),
+      return Server.after(std::chrono::milliseconds(FLAGS_load_ms),
                           [done] { done(true); });
-    HttpRequest get{
+    HttpRequest request{
         "GET", "/weights/" + FLAGS_model + "/" + version, "", {}, ""};
-    Shared.Client.fetch(*store, get, Duration::zero(),
-                        [done](const Error &error, const HttpResponse &got) {
-                          done(!error && got.Status == 200);
-                        });
+    Server.Client.fetch(
+        *store, request, Duration::zero(),
+        [done](const Error &error, const HttpResponse &response) {
+          done(!error && response.Status == 200);
+        });
   }
 
   /// An unlimited rate shows as a high one.
-  static int64_t shownRate(double rate) {
-    constexpr int64_t High = 10'000'000;
-    return rate == 0 ? High : static_cast<int64_t>(rate);
+  static int64_t reportedRate(double rate) {
+    constexpr int64_t UnlimitedRate = 10'000'000;
+    return rate == 0 ? UnlimitedRate : static_cast<int64_t>(rate);
   }
 
-  void describe(json::object &out) const {
+  void fillStatus(json::object &out) const {
     out["model"] = FLAGS_model;
     out["version"] = Version;
     out["adapter"] = Adapter;
-    out["loading"] = Loading;
+    out["loading"] = LoadingVersion;
     out["role"] = Role;
-    out["fence"] = Fence;
+    out["fence"] = FencingToken;
     out["running"] = Runs.running();
     out["waiting"] = Runs.waiting();
     out["cached_pieces"] = Cache.size();
     out["cache_capacity"] = Cache.capacity();
-    out["prefill_tokens_per_second"] = shownRate(FLAGS_prefill_rate);
-    out["decode_tokens_per_second"] = shownRate(FLAGS_decode_rate);
-    out["started"] = Started;
+    out["prefill_tokens_per_second"] = reportedRate(FLAGS_prefill_rate);
+    out["decode_tokens_per_second"] = reportedRate(FLAGS_decode_rate);
+    out["started"] = StartTime;
   }
 
   void refreshStatus() {
-    describe(Status);
-    Shared.after(std::chrono::milliseconds(FLAGS_status_lag_ms),
+    fillStatus(PublishedStatus);
+    Server.after(std::chrono::milliseconds(FLAGS_status_lag_ms),
                  [this] { refreshStatus(); });
   }
 
-  Host &Shared;
+  StandinServer &Server;
   EngineCache Cache;
   EngineRuns Runs;
-  TimePoint Last;
-  int64_t Started;
+  TimePoint LastTick;
+  int64_t StartTime;
   std::string Version = FLAGS_weights_version;
   std::string Adapter;
-  std::string Loading; ///< Version under way; empty for none.
+  std::string LoadingVersion; ///< Version under way; empty for none.
   std::string Role = "serve";
-  int64_t Fence = 0;
-  int64_t LoadNumber = 0;
-  json::object Status;
+  int64_t FencingToken = 0;
+  int64_t LatestLoadId = 0;
+  json::object PublishedStatus;
 };
 
 } // namespace
 
-int runEngine(Host &host) {
-  Engine engine(host);
-  return host.run();
+int runEngine(StandinServer &server) {
+  Engine engine(server);
+  return server.run();
 }
 
 } // namespace daisytack::standin
--- a/tools/standin/engine_cache.cpp
+++ b/tools/standin/engine_cache.cpp
@@ -21,24 +21,25 @@
   return out;
 }
 
-bool EngineCache::isGood(const std::string &key) const {
+bool EngineCache::isIntact(const std::string &key) const {
   auto it = Pieces.find(key);
-  return it == Pieces.end() || it->second.Good;
+  return it == Pieces.end() || it->second.Intact;
 }
 
-size_t EngineCache::prefix(const std::vector<std::string> &keys) const {
+size_t
+EngineCache::cachedPrefixLength(const std::vector<std::string> &keys) const {
   size_t n = 0;
   while (n < keys.size() && has(keys[n]))
     ++n;
   return n;
 }
 
-void EngineCache::store(const std::string &key, bool good, TimePoint now) {
+void EngineCache::store(const std::string &key, bool intact, TimePoint now) {
   if (Capacity == 0)
     return;
   auto it = Pieces.find(key);
   if (it != Pieces.end()) {
-    it->second.Good = good;
+    it->second.Intact = intact;
     return;
   }
   while (Pieces.size() >= Capacity) {
@@ -47,7 +48,7 @@
     Recent.pop_back();
   }
   Recent.push_front(key);
-  Pieces[key] = {Recent.begin(), good};
+  Pieces[key] = {Recent.begin(), intact};
   publish("stored", key, now);
 }
 
@@ -55,7 +56,7 @@
   for (size_t i = std::min(n, keys.size()); i-- > 0;) {
     auto it = Pieces.find(keys[i]);
     if (it != Pieces.end())
-      Recent.splice(Recent.begin(), Recent, it->second.Place);
+      Recent.splice(Recent.begin(), Recent, it->second.RecentPosition);
   }
 }
 
@@ -67,26 +68,26 @@
 
 void EngineCache::publish(const char *kind, const std::string &key,
                           TimePoint now) {
-  Events.push_back({NextSequence++, now, kind, key, LosesEvent()});
-  if (Events.size() > KeptEvents)
+  Events.push_back({NextSequence++, now, kind, key, ShouldDropEvent()});
+  if (Events.size() > MaxEvents)
     Events.pop_front();
 }
 
 boost::json::object EngineCache::events(int64_t from, TimePoint now) const {
-  boost::json::array shown;
+  boost::json::array visible;
   int64_t next = std::max<int64_t>(from, 1);
   for (const CacheEvent &event : Events) {
-    if (event.At + EventLag > now)
+    if (event.PublishedAt + EventLag > now)
       break;
     if (event.Sequence < from)
       continue;
     next = event.Sequence + 1;
-    if (!event.Lost)
-      shown.push_back(boost::json::object{{"sequence", event.Sequence},
-                                          {"kind", event.Kind},
-                                          {"piece", event.Key}});
+    if (!event.Dropped)
+      visible.push_back(boost::json::object{{"sequence", event.Sequence},
+                                            {"kind", event.Kind},
+                                            {"piece", event.Key}});
   }
-  return {{"events", std::move(shown)}, {"next", next}};
+  return {{"events", std::move(visible)}, {"next", next}};
 }
 
 } // namespace daisytack::standin
--- a/tools/standin/engine_cache.h
+++ b/tools/standin/engine_cache.h
@@ -26,17 +26,17 @@
       : Capacity(capacity), EventLag(eventLag) {}
 
   /// Tells whether the event being made is lost on its way.
-  std::function<bool()> LosesEvent = [] { return false; };
+  std::function<bool()> ShouldDropEvent = [] { return false; };
 
   size_t size() const { return Pieces.size(); }
   size_t capacity() const { return Capacity; }
   bool has(const std::string &key) const { return Pieces.contains(key); }
   /// False for an imported piece whose bytes were not the expected ones.
-  bool isGood(const std::string &key) const;
+  bool isIntact(const std::string &key) const;
   /// Leading pieces that are cached.
-  size_t prefix(const std::vector<std::string> &keys) const;
+  size_t cachedPrefixLength(const std::vector<std::string> &keys) const;
 
-  void store(const std::string &key, bool good, TimePoint now);
+  void store(const std::string &key, bool intact, TimePoint now);
   /// Makes the pieces the last to be evicted, the first of them last of all.
   void touch(const std::vector<std::string> &keys, size_t n);
   void clear(TimePoint now);
@@ -46,17 +46,17 @@
 
 private:
   struct Piece {
-    std::list<std::string>::iterator Place;
-    bool Good = true;
+    std::list<std::string>::iterator RecentPosition;
+    bool Intact = true;
   };
   struct CacheEvent {
     int64_t Sequence = 0;
-    TimePoint At;
+    TimePoint PublishedAt;
     const char *Kind = "";
     std::string Key;
-    bool Lost = false;
+    bool Dropped = false;
   };
-  static constexpr size_t KeptEvents = 8192;
+  static constexpr size_t MaxEvents = 8192;
   void publish(const char *kind, const std::string &key, TimePoint now);
 
   size_t Capacity;
--- a/tools/standin/engine_runs.cpp
+++ b/tools/standin/engine_runs.cpp
@@ -14,43 +14,44 @@
 
 constexpr double Unlimited = std::numeric_limits<double>::infinity();
 
-double amount(double perSecond, Duration passed) {
+double tokenBudget(double perSecond, Duration elapsed) {
   constexpr double MicrosPerSecond = 1e6;
   if (perSecond == 0)
     return Unlimited;
-  return perSecond * static_cast<double>(passed.count()) / MicrosPerSecond;
+  return perSecond * static_cast<double>(elapsed.count()) / MicrosPerSecond;
 }
 
 } // namespace
 
-std::string tokenText(const std::string &word, int64_t index) {
-  return word + "." + std::to_string(index) + " ";
+std::string tokenText(const std::string &answerTag, int64_t index) {
+  return answerTag + "." + std::to_string(index) + " ";
 }
 
 void EngineRuns::add(Run run) {
-  auto place = std::find_if(Runs.begin(), Runs.end(), [&](const Run &other) {
+  auto position = std::find_if(Runs.begin(), Runs.end(), [&](const Run &other) {
     return other.Priority < run.Priority;
   });
-  Runs.insert(place, std::move(run));
+  Runs.insert(position, std::move(run));
   step(Duration::zero());
 }
 
 size_t EngineRuns::running() const {
   return static_cast<size_t>(
       std::count_if(Runs.begin(), Runs.end(), [](const Run &run) {
-        return run.Now != Run::Phase::Waiting;
+        return run.CurrentPhase != Run::Phase::Waiting;
       }));
 }
 
-void EngineRuns::step(Duration passed) {
-  double slow =
-      std::max<double>(1, static_cast<double>(Shared.number("slow_factor")));
+void EngineRuns::step(Duration elapsed) {
+  double slowFactor = std::max<double>(
+      1, static_cast<double>(Server.faultNumber("slow_factor")));
   admit();
-  prefill(amount(Rates.PrefillPerSecond, passed) / slow);
-  double tokens = amount(Rates.DecodePerSecond, passed) / slow;
+  prefill(tokenBudget(Rates.PrefillTokensPerSecond, elapsed) / slowFactor);
+  double tokens =
+      tokenBudget(Rates.DecodeTokensPerSecond, elapsed) / slowFactor;
   for (auto it = Runs.begin(); it != Runs.end();) {
-    bool decodes = it->Now == Run::Phase::Decode && !it->Suspended;
-    if (decodes && !decode(*it, tokens))
+    bool isDecoding = it->CurrentPhase == Run::Phase::Decode && !it->Suspended;
+    if (isDecoding && !decode(*it, tokens))
       it = Runs.erase(it);
     else
       ++it;
@@ -63,7 +64,7 @@
   for (Run &run : Runs) {
     if (used >= Rates.Slots)
       return;
-    if (run.Now != Run::Phase::Waiting || run.Suspended)
+    if (run.CurrentPhase != Run::Phase::Waiting || run.Suspended)
       continue;
     start(run);
     ++used;
@@ -71,25 +72,26 @@
 }
 
 void EngineRuns::start(Run &run) {
-  size_t cached = Cache.prefix(run.Pieces);
+  size_t cached = Cache.cachedPrefixLength(run.Pieces);
   run.CachedTokens = std::min<int64_t>(
       static_cast<int64_t>(cached * PieceTokens), run.PromptTokens);
   for (size_t i = 0; i < cached; ++i)
-    if (!Cache.isGood(run.Pieces[i]))
-      run.Word = "corrupt";
+    if (!Cache.isIntact(run.Pieces[i]))
+      run.AnswerTag = "corrupt";
   Cache.touch(run.Pieces, cached);
-  run.PrefillLeft = static_cast<double>(run.PromptTokens - run.CachedTokens);
-  run.Now = Run::Phase::Prefill;
+  run.RemainingPrefillTokens =
+      static_cast<double>(run.PromptTokens - run.CachedTokens);
+  run.CurrentPhase = Run::Phase::Prefill;
 }
 
 void EngineRuns::prefill(double budget) {
   for (Run &run : Runs) {
-    if (run.Now != Run::Phase::Prefill || run.Suspended)
+    if (run.CurrentPhase != Run::Phase::Prefill || run.Suspended)
       continue;
-    double part = std::min(budget, run.PrefillLeft);
-    run.PrefillLeft -= part;
-    budget -= part;
-    if (run.PrefillLeft <= 0)
+    double processed = std::min(budget, run.RemainingPrefillTokens);
+    run.RemainingPrefillTokens -= processed;
+    budget -= processed;
+    if (run.RemainingPrefillTokens <= 0)
       finishPrefill(run);
   }
 }
@@ -99,38 +101,40 @@
     if (!Cache.has(key))
       Cache.store(key, true, monotonicNow());
   Cache.touch(run.Pieces, run.Pieces.size());
-  run.Now = Run::Phase::Decode;
-  run.Credit = 1; // Prefill yields the first token.
-  Shared.count("prefilled_tokens", run.PromptTokens - run.CachedTokens);
-  if (Shared.takeOne("cross_answers"))
+  run.CurrentPhase = Run::Phase::Decode;
+  run.DecodeCredit = 1; // Prefill yields the first token.
+  Server.count("prefilled_tokens", run.PromptTokens - run.CachedTokens);
+  if (Server.consumeFault("cross_answers"))
     crossAnswer(run);
   if (run.Stream)
-    run.To->beginStream(200, {{"Content-Type", "text/event-stream"}});
+    run.ClientExchange->beginStream(200,
+                                    {{"Content-Type", "text/event-stream"}});
 }
 
 void EngineRuns::crossAnswer(Run &run) {
-  run.ShownId = "00000000000000000000000000000bad";
-  run.Word = "crossed";
+  run.ResponseId = "00000000000000000000000000000bad";
+  run.AnswerTag = "crossed";
   for (const Run &other : Runs)
     if (other.Id != run.Id) {
-      run.ShownId = other.Id;
-      run.Word = other.Word;
+      run.ResponseId = other.Id;
+      run.AnswerTag = other.AnswerTag;
       return;
     }
 }
 
 bool EngineRuns::decode(Run &run, double tokens) {
-  int64_t failAfter = Shared.number("fail_after_chunks");
-  for (run.Credit += tokens; run.Credit >= 1; run.Credit -= 1) {
-    if (run.Resumed + run.Made >= run.MaxTokens)
+  int64_t failAfter = Server.faultNumber("fail_after_chunks");
+  for (run.DecodeCredit += tokens; run.DecodeCredit >= 1;
+       run.DecodeCredit -= 1) {
+    if (run.ResumedTokens + run.GeneratedTokens >= run.MaxTokens)
       break;
     sendToken(run);
-    if (failAfter > 0 && run.Made >= failAfter) {
-      run.To->abort();
+    if (failAfter > 0 && run.GeneratedTokens >= failAfter) {
+      run.ClientExchange->abort();
       return false;
     }
   }
-  if (run.Resumed + run.Made < run.MaxTokens)
+  if (run.ResumedTokens + run.GeneratedTokens < run.MaxTokens)
     return true;
   sendEnd(run, "length");
   return false;
@@ -149,44 +153,46 @@
 }
 
 void EngineRuns::sendToken(Run &run) {
-  std::string text = tokenText(run.Word, run.Resumed + run.Made);
-  Shared.count("decoded_tokens");
-  int64_t sequence = run.Made++;
+  std::string text =
+      tokenText(run.AnswerTag, run.ResumedTokens + run.GeneratedTokens);
+  Server.count("decoded_tokens");
+  int64_t sequence = run.GeneratedTokens++;
   if (!run.Stream) {
-    run.Text += text;
+    run.BufferedText += text;
     return;
   }
   json::object event{
-      {"id", run.ShownId},
+      {"id", run.ResponseId},
       {"object", run.Chat ? "chat.completion.chunk" : "text_completion"},
       {"model", run.Model},
       {"system_fingerprint", run.Version},
       {"sequence", sequence},
       {"choices", json::array{choice(run, text, nullptr)}}};
   std::string data = "data: " + json::serialize(event) + "\n\n";
-  if (Shared.isOn("duplicate_chunks"))
-    run.To->write(data);
-  run.To->write(std::move(data));
+  if (Server.isFaultOn("duplicate_chunks"))
+    run.ClientExchange->write(data);
+  run.ClientExchange->write(std::move(data));
 }
 
 void EngineRuns::sendEnd(Run &run, const char *reason) {
   json::object event{
-      {"id", run.ShownId},
+      {"id", run.ResponseId},
       {"object", run.Chat ? "chat.completion" : "text_completion"},
       {"model", run.Model},
       {"system_fingerprint", run.Version},
-      {"choices", json::array{choice(run, run.Text, reason)}},
+      {"choices", json::array{choice(run, run.BufferedText, reason)}},
       {"usage", json::object{{"prompt_tokens", run.PromptTokens},
                              {"cached_tokens", run.CachedTokens},
-                             {"completion_tokens", run.Made}}}};
-  Shared.count("finished");
+                             {"completion_tokens", run.GeneratedTokens}}}};
+  Server.count("finished");
   if (!run.Stream)
-    return respondJson(run.To, 200, event);
+    return respondJson(run.ClientExchange, 200, event);
   if (run.Chat)
     event["object"] = "chat.completion.chunk";
-  event["sequence"] = run.Made;
-  run.To->write("data: " + json::serialize(event) + "\n\ndata: [DONE]\n\n");
-  run.To->endStream();
+  event["sequence"] = run.GeneratedTokens;
+  run.ClientExchange->write("data: " + json::serialize(event) +
+                            "\n\ndata: [DONE]\n\n");
+  run.ClientExchange->endStream();
 }
 
 size_t EngineRuns::cancel(const std::string &id) {
@@ -194,13 +200,13 @@
   Runs.remove_if([&](Run &run) {
     if (run.Id != id)
       return false;
-    if (run.Now == Run::Phase::Decode && run.Stream)
-      run.To->endStream();
+    if (run.CurrentPhase == Run::Phase::Decode && run.Stream)
+      run.ClientExchange->endStream();
     else
-      respondError(run.To, 499, "cancelled");
+      respondError(run.ClientExchange, 499, "cancelled");
     return true;
   });
-  Shared.count("cancelled", static_cast<int64_t>(before - Runs.size()));
+  Server.count("cancelled", static_cast<int64_t>(before - Runs.size()));
   return before - Runs.size();
 }
 
@@ -215,10 +221,12 @@
   return n;
 }
 
-void EngineRuns::forget(const net::HttpExchange *to) {
+void EngineRuns::abandon(const net::HttpExchange *exchange) {
   size_t before = Runs.size();
-  Runs.remove_if([to](const Run &run) { return run.To.get() == to; });
-  Shared.count("abandoned", static_cast<int64_t>(before - Runs.size()));
+  Runs.remove_if([exchange](const Run &run) {
+    return run.ClientExchange.get() == exchange;
+  });
+  Server.count("abandoned", static_cast<int64_t>(before - Runs.size()));
 }
 
 } // namespace daisytack::standin
--- a/tools/standin/engine_runs.h
+++ b/tools/standin/engine_runs.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "engine_cache.h"
-#include "host.h"
+#include "standin_server.h"
 
 #include <list>
 #include <string>
@@ -12,9 +12,9 @@
 namespace daisytack::standin {
 
 struct EngineRates {
-  size_t Slots = 16;           ///< Runs at a time.
-  double PrefillPerSecond = 0; ///< Tokens, over all runs; 0 for no limit.
-  double DecodePerSecond = 0;  ///< Tokens of each run; 0 for no limit.
+  size_t Slots = 16;                 ///< Runs at a time.
+  double PrefillTokensPerSecond = 0; ///< Tokens, over all runs; 0 for no limit.
+  double DecodeTokensPerSecond = 0;  ///< Tokens of each run; 0 for no limit.
 };
 
 /// One request inside the engine.
@@ -22,45 +22,45 @@
   enum class Phase : uint8_t { Waiting, Prefill, Decode };
 
   std::string Id; ///< request_id.
-  std::string ShownId;
+  std::string ResponseId;
   std::string Model;
   std::string Version;
-  std::string Word;       ///< Names the prompt in each token of the answer.
+  std::string AnswerTag;  ///< Names the prompt in each token of the answer.
   std::string ResumeText; ///< Answer so far, which is not sent again.
   std::vector<std::string> Pieces;
   int64_t Priority = 0;
   int64_t PromptTokens = 0;
   int64_t CachedTokens = 0;
   int64_t MaxTokens = 0;
-  int64_t Resumed = 0; ///< Tokens in ResumeText.
-  int64_t Made = 0;    ///< Tokens made by this run.
-  double PrefillLeft = 0;
-  double Credit = 0;
+  int64_t ResumedTokens = 0;   ///< Tokens in ResumeText.
+  int64_t GeneratedTokens = 0; ///< Tokens made by this run.
+  double RemainingPrefillTokens = 0;
+  double DecodeCredit = 0;
   bool Chat = false;
   bool Stream = false;
   bool Suspended = false;
-  Phase Now = Phase::Waiting;
-  std::string Text; ///< For a whole answer.
-  Exchange To;
+  Phase CurrentPhase = Phase::Waiting;
+  std::string BufferedText; ///< For a whole answer.
+  Exchange ClientExchange;
 };
 
 /// The answer's token: tells whose it is and its place.
-std::string tokenText(const std::string &word, int64_t index);
+std::string tokenText(const std::string &answerTag, int64_t index);
 
 class EngineRuns {
 public:
-  EngineRuns(Host &host, EngineCache &cache, EngineRates rates)
-      : Shared(host), Cache(cache), Rates(rates) {}
+  EngineRuns(StandinServer &server, EngineCache &cache, EngineRates rates)
+      : Server(server), Cache(cache), Rates(rates) {}
 
   void add(Run run);
   /// Advances all runs by the time that passed.
-  void step(Duration passed);
+  void step(Duration elapsed);
   /// Ends the runs of that request without finishing them; how many.
   size_t cancel(const std::string &id);
   /// How many runs it concerned.
   size_t suspend(const std::string &id, bool suspended);
   /// The caller has gone.
-  void forget(const net::HttpExchange *to);
+  void abandon(const net::HttpExchange *exchange);
   size_t running() const;
   size_t waiting() const { return Runs.size() - running(); }
   const EngineRates &rates() const { return Rates; }
@@ -78,7 +78,7 @@
                       const char *reason) const;
   void crossAnswer(Run &run);
 
-  Host &Shared;
+  StandinServer &Server;
   EngineCache &Cache;
   EngineRates Rates;
   std::list<Run> Runs; ///< By priority, then arrival.
--- a/tools/standin/kv.cpp
+++ b/tools/standin/kv.cpp
@@ -20,25 +20,25 @@
 
 class KeyValueService {
 public:
-  explicit KeyValueService(Host &host) : Shared(host) {
-    Shared.Faults["lose_answers"] = 0;
-    Shared.Faults["drop_watch"] = false;
-    Shared.Faults["compact"] = false;
-    Shared.OnRequest = [this](const auto &request, const auto &exchange) {
+  explicit KeyValueService(StandinServer &server) : Server(server) {
+    Server.Faults["lose_answers"] = 0;
+    Server.Faults["drop_watch"] = false;
+    Server.Faults["compact"] = false;
+    Server.OnRequest = [this](const auto &request, const auto &exchange) {
       onRequest(request, exchange);
     };
-    Shared.OnFault = [this] { onFault(); };
-    Shared.OnStats = [this](json::object &out) {
+    Server.OnFault = [this] { onFault(); };
+    Server.OnStats = [this](json::object &out) {
       out["revision"] = Data.revision();
       out["keys"] = Data.size();
       out["watches"] = Watches.size();
       out["leases"] = Data.leaseCount();
     };
-    Shared.every(LeaseTick, [this] {
+    Server.every(LeaseTick, [this] {
       Data.expireLeases(monotonicNow());
       pushEvents();
     });
-    Shared.every(ProgressPeriod, [this] { sendProgress(); });
+    Server.every(ProgressPeriod, [this] { sendProgress(); });
   }
 
   bool load(const std::string &path) {
@@ -53,16 +53,16 @@
 private:
   struct Watch {
     KeyRange Range;
-    int64_t Next = 1; ///< First revision not yet sent.
-    bool Progress = false;
-    Exchange To;
+    int64_t NextRevision = 1; ///< First revision not yet sent.
+    bool ProgressNotify = false;
+    Exchange ClientExchange;
   };
 
   void onRequest(const HttpRequest &request, const Exchange &exchange) {
-    auto body = bodyOf(request, exchange);
+    auto body = parseJsonBody(request, exchange);
     if (!body)
       return;
-    Shared.count("calls " + request.Path);
+    Server.count("calls " + request.Path);
     if (request.Path == "/v3/watch")
       return startWatch(*body, exchange);
     if (request.Path == "/v3/kv/range")
@@ -71,7 +71,7 @@
     if (!answer)
       return respondError(exchange, 404, "no such path");
     pushEvents();
-    if (Shared.takeOne("lose_answers"))
+    if (Server.consumeFault("lose_answers"))
       return exchange->abort();
     if (answer->contains("error"))
       return respondJson(exchange, 400, *answer);
@@ -99,12 +99,12 @@
     const json::value *create = body.if_contains("create_request");
     if (!create || !create->is_object())
       return respondError(exchange, 400, "create_request is missing");
-    if (Shared.isOn("drop_watch"))
+    if (Server.isFaultOn("drop_watch"))
       return exchange->abort();
     const json::object &request = create->get_object();
     exchange->beginStream(200, {{"Content-Type", "application/json"}});
     send(exchange, {{"header", Data.header()}, {"created", true}});
-    int64_t from = numberIn(request, "start_revision");
+    int64_t from = numberField(request, "start_revision");
     if (from == 0)
       from = Data.revision() + 1;
     if (from <= Data.compacted()) {
@@ -114,11 +114,12 @@
       return exchange->endStream();
     }
     const json::value *progress = request.if_contains("progress_notify");
-    bool wantsProgress =
+    bool progressNotify =
         progress && progress->is_bool() && progress->get_bool();
-    Watches.push_back({rangeOf(request), from, wantsProgress, exchange});
+    Watches.push_back({rangeOf(request), from, progressNotify, exchange});
     exchange->onClosed([this, raw = exchange.get()] {
-      Watches.remove_if([raw](const Watch &w) { return w.To.get() == raw; });
+      Watches.remove_if(
+          [raw](const Watch &w) { return w.ClientExchange.get() == raw; });
     });
     pushEvents();
   }
@@ -129,43 +130,44 @@
 
   void pushEvents() {
     for (Watch &watch : Watches) {
-      json::array events = Data.eventsSince(watch.Next, watch.Range);
-      watch.Next = std::max(watch.Next, Data.revision() + 1);
+      json::array events = Data.eventsSince(watch.NextRevision, watch.Range);
+      watch.NextRevision = std::max(watch.NextRevision, Data.revision() + 1);
       if (!events.empty())
-        send(watch.To, {{"header", Data.header()}, {"events", events}});
+        send(watch.ClientExchange,
+             {{"header", Data.header()}, {"events", events}});
     }
   }
 
   void sendProgress() {
     for (Watch &watch : Watches)
-      if (watch.Progress)
-        send(watch.To, {{"header", Data.header()}});
+      if (watch.ProgressNotify)
+        send(watch.ClientExchange, {{"header", Data.header()}});
   }
 
   void onFault() {
-    if (Shared.isOn("compact")) {
+    if (Server.isFaultOn("compact")) {
       Data.compact();
-      Shared.Faults["compact"] = false;
+      Server.Faults["compact"] = false;
     }
-    if (!Shared.isOn("drop_watch") && !Shared.isOn("down"))
+    if (!Server.isFaultOn("drop_watch") && !Server.isFaultOn("down"))
       return;
     for (Watch &watch : Watches)
-      watch.To->abort();
+      watch.ClientExchange->abort();
     Watches.clear();
   }
 
-  Host &Shared;
+  StandinServer &Server;
   KeyValueData Data;
   std::list<Watch> Watches;
 };
 
 } // namespace
 
-int runKv(Host &host) {
-  KeyValueService service(host);
-  if (!host.Init.File.empty() && !service.load(host.Init.File))
+int runKv(StandinServer &server) {
+  KeyValueService service(server);
+  if (!server.Init.File.empty() && !service.load(server.Init.File))
     return 1;
-  return host.run();
+  return server.run();
 }
 
 } // namespace daisytack::standin
--- a/tools/standin/kv_data.cpp
+++ b/tools/standin/kv_data.cpp
@@ -12,14 +12,14 @@
 
 constexpr std::string_view AllKeysEnd{"\0", 1};
 
-std::string base64(std::string_view bytes) {
+std::string encodeBase64(std::string_view bytes) {
   namespace codec = boost::beast::detail::base64;
   std::string out(codec::encoded_size(bytes.size()), '\0');
   out.resize(codec::encode(out.data(), bytes.data(), bytes.size()));
   return out;
 }
 
-std::string unbase64(std::string_view text) {
+std::string decodeBase64(std::string_view text) {
   namespace codec = boost::beast::detail::base64;
   std::string out(codec::decoded_size(text.size()), '\0');
   out.resize(codec::decode(out.data(), text.data(), text.size()).first);
@@ -27,8 +27,8 @@
 }
 
 /// Sub-message under either of the names that etcd's gateway accepts.
-const json::object *messageIn(const json::object &object, const char *camel,
-                              const char *snake) {
+const json::object *findMessage(const json::object &object, const char *camel,
+                                const char *snake) {
   for (const char *name : {camel, snake})
     if (const json::value *value = object.if_contains(name))
       if (value->is_object())
@@ -55,8 +55,8 @@
 }
 
 KeyRange rangeOf(const json::object &request) {
-  return {unbase64(textIn(request, "key")),
-          unbase64(textIn(request, "range_end"))};
+  return {decodeBase64(stringField(request, "key")),
+          decodeBase64(stringField(request, "range_end"))};
 }
 
 json::object KeyValueData::header() const {
@@ -65,11 +65,11 @@
 
 json::object KeyValueData::entryJson(const std::string &key,
                                      const Entry &entry) {
-  json::object out{{"key", base64(key)},
-                   {"create_revision", std::to_string(entry.Created)},
-                   {"mod_revision", std::to_string(entry.Modified)},
+  json::object out{{"key", encodeBase64(key)},
+                   {"create_revision", std::to_string(entry.CreateRevision)},
+                   {"mod_revision", std::to_string(entry.ModRevision)},
                    {"version", std::to_string(entry.Version)},
-                   {"value", base64(entry.Value)}};
+                   {"value", encodeBase64(entry.Value)}};
   if (entry.Lease != 0)
     out["lease"] = std::to_string(entry.Lease);
   return out;
@@ -77,7 +77,7 @@
 
 json::object KeyValueData::range(const json::object &request) const {
   KeyRange range = rangeOf(request);
-  int64_t limit = numberIn(request, "limit");
+  int64_t limit = numberField(request, "limit");
   int64_t found = 0;
   json::array kvs;
   for (auto it = Keys.lower_bound(range.First); it != Keys.end(); ++it) {
@@ -113,7 +113,7 @@
       out.push_back(
           json::object{{"type", "DELETE"},
                        {"kv",
-                        {{"key", base64(change.Key)},
+                        {{"key", encodeBase64(change.Key)},
                          {"mod_revision", std::to_string(change.Revision)}}}});
   }
   return out;
@@ -123,8 +123,8 @@
                          const std::string &value, int64_t lease) {
   Entry &entry = Keys[key];
   entry.Value = value;
-  entry.Created = entry.Version == 0 ? revision : entry.Created;
-  entry.Modified = revision;
+  entry.CreateRevision = entry.Version == 0 ? revision : entry.CreateRevision;
+  entry.ModRevision = revision;
   entry.Lease = lease;
   ++entry.Version;
   History.push_back({revision, key, entry});
@@ -136,11 +136,11 @@
 }
 
 json::object KeyValueData::put(const json::object &request) {
-  int64_t lease = numberIn(request, "lease");
+  int64_t lease = numberField(request, "lease");
   if (lease != 0 && !Leases.contains(lease))
     return {{"error", "etcdserver: requested lease not found"}, {"code", 5}};
-  put(unbase64(textIn(request, "key")), unbase64(textIn(request, "value")),
-      lease);
+  put(decodeBase64(stringField(request, "key")),
+      decodeBase64(stringField(request, "value")), lease);
   return {{"header", header()}};
 }
 
@@ -164,54 +164,57 @@
   return out;
 }
 
-bool KeyValueData::holds(const json::object &compare) const {
-  auto it = Keys.find(unbase64(textIn(compare, "key")));
+bool KeyValueData::compareSucceeds(const json::object &compare) const {
+  auto it = Keys.find(decodeBase64(stringField(compare, "key")));
   Entry entry = it == Keys.end() ? Entry{} : it->second;
-  std::string target = textIn(compare, "target");
-  int order = 0;
-  auto against = [&](int64_t value, const char *field) {
-    int64_t wanted = numberIn(compare, field);
-    order = value < wanted ? -1 : value > wanted ? 1 : 0;
+  std::string target = stringField(compare, "target");
+  int ordering = 0;
+  auto compareTo = [&](int64_t value, const char *field) {
+    int64_t wanted = numberField(compare, field);
+    ordering = value < wanted ? -1 : value > wanted ? 1 : 0;
   };
   if (target == "CREATE")
-    against(entry.Created, "create_revision");
+    compareTo(entry.CreateRevision, "create_revision");
   else if (target == "MOD")
-    against(entry.Modified, "mod_revision");
+    compareTo(entry.ModRevision, "mod_revision");
   else if (target == "LEASE")
-    against(entry.Lease, "lease");
+    compareTo(entry.Lease, "lease");
   else if (target == "VALUE")
-    order = it == Keys.end()
-                ? 2
-                : entry.Value.compare(unbase64(textIn(compare, "value")));
+    ordering =
+        it == Keys.end()
+            ? 2
+            : entry.Value.compare(decodeBase64(stringField(compare, "value")));
   else
-    against(entry.Version, "version");
-  std::string result = textIn(compare, "result");
+    compareTo(entry.Version, "version");
+  std::string result = stringField(compare, "result");
   if (target == "VALUE" && it == Keys.end())
     return false; // As etcd does: nothing compares with an absent value.
   if (result == "GREATER")
-    return order > 0;
+    return ordering > 0;
   if (result == "LESS")
-    return order < 0;
-  return result == "NOT_EQUAL" ? order != 0 : order == 0;
+    return ordering < 0;
+  return result == "NOT_EQUAL" ? ordering != 0 : ordering == 0;
 }
 
 json::object KeyValueData::apply(const json::object &operation,
                                  int64_t revision) {
-  if (const auto *request = messageIn(operation, "requestPut", "request_put")) {
-    putAt(revision, unbase64(textIn(*request, "key")),
-          unbase64(textIn(*request, "value")), numberIn(*request, "lease"));
+  if (const auto *request =
+          findMessage(operation, "requestPut", "request_put")) {
+    putAt(revision, decodeBase64(stringField(*request, "key")),
+          decodeBase64(stringField(*request, "value")),
+          numberField(*request, "lease"));
     Revision = revision;
     return {{"response_put", json::object{{"header", header()}}}};
   }
-  if (const auto *request =
-          messageIn(operation, "requestDeleteRange", "request_delete_range")) {
+  if (const auto *request = findMessage(operation, "requestDeleteRange",
+                                        "request_delete_range")) {
     int64_t deleted = eraseAt(revision, rangeOf(*request));
     return {{"response_delete_range",
              json::object{{"header", header()},
                           {"deleted", std::to_string(deleted)}}}};
   }
   if (const auto *request =
-          messageIn(operation, "requestRange", "request_range"))
+          findMessage(operation, "requestRange", "request_range"))
     return {{"response_range", range(*request)}};
   return {};
 }
@@ -219,13 +222,13 @@
 json::object KeyValueData::transact(const json::object &request) {
   bool succeeded = true;
   forEach(request, "compare", [&](const json::object &compare) {
-    succeeded = succeeded && holds(compare);
+    succeeded = succeeded && compareSucceeds(compare);
   });
   const char *branch = succeeded ? "success" : "failure";
   bool leaseMissing = false;
   forEach(request, branch, [&](const json::object &operation) {
-    const auto *put = messageIn(operation, "requestPut", "request_put");
-    int64_t lease = put ? numberIn(*put, "lease") : 0;
+    const auto *put = findMessage(operation, "requestPut", "request_put");
+    int64_t lease = put ? numberField(*put, "lease") : 0;
     leaseMissing |= lease != 0 && !Leases.contains(lease);
   });
   if (leaseMissing)
@@ -244,12 +247,12 @@
 }
 
 json::object KeyValueData::grant(const json::object &request, TimePoint now) {
-  int64_t id = numberIn(request, "ID");
+  int64_t id = numberField(request, "ID");
   if (id == 0)
     id = NextLease++;
   if (Leases.contains(id))
     return {{"error", "etcdserver: lease already exists"}, {"code", 9}};
-  int64_t seconds = std::max<int64_t>(1, numberIn(request, "TTL"));
+  int64_t seconds = std::max<int64_t>(1, numberField(request, "TTL"));
   Leases[id] = {seconds, now + std::chrono::seconds(seconds)};
   return {{"header", header()},
           {"ID", std::to_string(id)},
@@ -258,18 +261,18 @@
 
 json::object KeyValueData::keepAlive(const json::object &request,
                                      TimePoint now) {
-  int64_t id = numberIn(request, "ID");
+  int64_t id = numberField(request, "ID");
   json::object result{{"header", header()}, {"ID", std::to_string(id)}};
   auto it = Leases.find(id);
   if (it != Leases.end()) {
-    it->second.Expires = now + std::chrono::seconds(it->second.Seconds);
+    it->second.ExpiresAt = now + std::chrono::seconds(it->second.Seconds);
     result["TTL"] = std::to_string(it->second.Seconds);
   }
   return {{"result", result}};
 }
 
 json::object KeyValueData::revoke(const json::object &request) {
-  int64_t id = numberIn(request, "ID");
+  int64_t id = numberField(request, "ID");
   if (!Leases.contains(id))
     return {{"error", "etcdserver: requested lease not found"}, {"code", 5}};
   dropLease(id);
@@ -278,19 +281,19 @@
 
 void KeyValueData::dropLease(int64_t id) {
   Leases.erase(id);
-  std::vector<std::string> lost;
+  std::vector<std::string> attachedKeys;
   for (const auto &[key, entry] : Keys)
     if (entry.Lease == id)
-      lost.push_back(key);
+      attachedKeys.push_back(key);
   int64_t revision = Revision + 1;
-  for (const std::string &key : lost)
+  for (const std::string &key : attachedKeys)
     eraseAt(revision, {key, ""});
 }
 
 void KeyValueData::expireLeases(TimePoint now) {
   std::vector<int64_t> expired;
   for (const auto &[id, lease] : Leases)
-    if (lease.Expires <= now)
+    if (lease.ExpiresAt <= now)
       expired.push_back(id);
   for (int64_t id : expired)
     dropLease(id);
--- a/tools/standin/kv_data.h
+++ b/tools/standin/kv_data.h
@@ -3,7 +3,7 @@
 /// default value are left out.
 #pragma once
 
-#include "host.h"
+#include "standin_server.h"
 
 #include <map>
 #include <vector>
@@ -45,14 +45,14 @@
 private:
   struct Entry {
     std::string Value;
-    int64_t Created = 0;
-    int64_t Modified = 0;
+    int64_t CreateRevision = 0;
+    int64_t ModRevision = 0;
     int64_t Version = 0;
     int64_t Lease = 0;
   };
   struct Lease {
     int64_t Seconds = 0;
-    TimePoint Expires;
+    TimePoint ExpiresAt;
   };
   struct Change {
     int64_t Revision = 0;
@@ -61,7 +61,7 @@
   };
 
   static json::object entryJson(const std::string &key, const Entry &entry);
-  bool holds(const json::object &compare) const;
+  bool compareSucceeds(const json::object &compare) const;
   json::object apply(const json::object &operation, int64_t revision);
   void putAt(int64_t revision, const std::string &key, const std::string &value,
              int64_t lease);
--- a/tools/standin/list.cpp
+++ b/tools/standin/list.cpp
@@ -1,5 +1,5 @@
 /// Stand-in of the platform's instance list, which lags behind the truth.
-#include "host.h"
+#include "standin_server.h"
 
 #include "base/clock.h"
 
@@ -15,20 +15,20 @@
 
 class InstanceList {
 public:
-  explicit InstanceList(Host &host) : Shared(host) {
-    Shared.Faults["lag_ms"] = 0;
-    Shared.OnRequest = [this](const auto &request, const auto &exchange) {
+  explicit InstanceList(StandinServer &server) : Server(server) {
+    Server.Faults["lag_ms"] = 0;
+    Server.OnRequest = [this](const auto &request, const auto &exchange) {
       onRequest(request, exchange);
     };
-    Shared.OnStats = [this](json::object &out) { out["version"] = Version; };
-    if (!Shared.Init.File.empty())
-      change(readJsonFile(Shared.Init.File));
-    show();
+    Server.OnStats = [this](json::object &out) { out["version"] = Version; };
+    if (!Server.Init.File.empty())
+      queueChanges(readJsonFile(Server.Init.File));
+    publishDueChanges();
   }
 
 private:
   struct Change {
-    TimePoint At;
+    TimePoint ReceivedAt;
     json::object Instance;
   };
 
@@ -39,56 +39,57 @@
       return respondError(exchange, 404, "no such path");
     boost::system::error_code ec;
     json::value instances = json::parse(request.Body, ec);
-    if (ec || !change(instances))
+    if (ec || !queueChanges(instances))
       return respondError(exchange, 400, "give an array of named instances");
-    respondJson(exchange, 200, json::object{{"changes", Hidden.size()}});
+    respondJson(exchange, 200, json::object{{"changes", Pending.size()}});
   }
 
   /// Takes the new state of some instances, which shows after the lag.
-  bool change(const json::value &instances) {
+  bool queueChanges(const json::value &instances) {
     if (!instances.is_array())
       return false;
     for (const json::value &value : instances.get_array())
-      if (!value.is_object() || textIn(value.get_object(), "name").empty())
+      if (!value.is_object() || stringField(value.get_object(), "name").empty())
         return false;
     for (const json::value &value : instances.get_array())
-      Hidden.push_back({monotonicNow(), value.get_object()});
+      Pending.push_back({monotonicNow(), value.get_object()});
     return true;
   }
 
   /// Moves what is older than the lag into view.
-  void show() {
-    Duration lag = std::chrono::milliseconds(Shared.number("lag_ms"));
-    while (!Hidden.empty() && Hidden.front().At + lag <= monotonicNow()) {
-      json::object instance = std::move(Hidden.front().Instance);
-      Hidden.pop_front();
+  void publishDueChanges() {
+    Duration lag = std::chrono::milliseconds(Server.faultNumber("lag_ms"));
+    while (!Pending.empty() &&
+           Pending.front().ReceivedAt + lag <= monotonicNow()) {
+      json::object instance = std::move(Pending.front().Instance);
+      Pending.pop_front();
       instance["changed"] = ++Version;
-      Visible[textIn(instance, "name")] = instance;
+      Published[stringField(instance, "name")] = instance;
     }
   }
 
   json::object read(const HttpRequest &request) {
-    show();
-    int64_t from = queryNumber(request, "since");
+    publishDueChanges();
+    int64_t since = queryNumber(request, "since");
     json::array instances;
-    for (const auto &[name, instance] : Visible)
-      if (numberIn(instance, "changed") > from)
+    for (const auto &[name, instance] : Published)
+      if (numberField(instance, "changed") > since)
         instances.push_back(instance);
-    Shared.count(from > 0 ? "polls" : "full_reads");
+    Server.count(since > 0 ? "polls" : "full_reads");
     return {{"version", Version}, {"instances", instances}};
   }
 
-  Host &Shared;
+  StandinServer &Server;
   int64_t Version = 0;
-  std::deque<Change> Hidden;
-  std::map<std::string, json::object> Visible;
+  std::deque<Change> Pending;
+  std::map<std::string, json::object> Published;
 };
 
 } // namespace
 
-int runList(Host &host) {
-  InstanceList list(host);
-  return host.run();
+int runList(StandinServer &server) {
+  InstanceList list(server);
+  return server.run();
 }
 
 } // namespace daisytack::standin
--- a/tools/standin/main.cpp
+++ b/tools/standin/main.cpp
@@ -1,6 +1,6 @@
 /// daisytack-standin: small stand-ins of the platform's side, for
 /// demonstrations and tests.
-#include "host.h"
+#include "standin_server.h"
 
 #include <gflags/gflags.h>
 
@@ -14,9 +14,9 @@
 
 namespace {
 
-using daisytack::standin::Host;
+using daisytack::standin::StandinServer;
 
-const std::map<std::string, int (*)(Host &)> Modes{
+const std::map<std::string, int (*)(StandinServer &)> Modes{
     {"engine", daisytack::standin::runEngine},
     {"kv", daisytack::standin::runKv},
     {"list", daisytack::standin::runList},
@@ -48,7 +48,7 @@
     std::cerr << "--listen=" << FLAGS_listen << ": give ADDRESS:PORT\n";
     return 2;
   }
-  Host host({*listen, FLAGS_name.empty() ? mode->first : FLAGS_name, FLAGS_file,
-             FLAGS_seed});
-  return mode->second(host);
+  StandinServer server({*listen, FLAGS_name.empty() ? mode->first : FLAGS_name,
+                        FLAGS_file, FLAGS_seed});
+  return mode->second(server);
 }
--- a/tools/standin/service.cpp
+++ b/tools/standin/service.cpp
@@ -1,5 +1,5 @@
 /// Stand-in of a plain service: echoes each call and counts its runs by key.
-#include "host.h"
+#include "standin_server.h"
 
 #include <gflags/gflags.h>
 
@@ -11,51 +11,53 @@
 
 class PlainServiceStandin {
 public:
-  explicit PlainServiceStandin(Host &host) : Shared(host) {
-    Shared.Faults["lose_answers"] = 0;
-    Shared.Faults["work_ms"] = FLAGS_work_ms;
-    Shared.OnRequest = [this](const auto &request, const auto &exchange) {
+  explicit PlainServiceStandin(StandinServer &server) : Server(server) {
+    Server.Faults["lose_answers"] = 0;
+    Server.Faults["work_ms"] = FLAGS_work_ms;
+    Server.OnRequest = [this](const auto &request, const auto &exchange) {
       onRequest(request, exchange);
     };
-    Shared.OnStats = [this](json::object &out) { out["runs_by_key"] = Runs; };
+    Server.OnStats = [this](json::object &out) {
+      out["runs_by_key"] = RunCounts;
+    };
   }
 
 private:
   /// The call's key, or its body when it has none.
-  static std::string keyOf(const HttpRequest &request) {
+  static std::string idempotencyKey(const HttpRequest &request) {
     std::string_view key = request.header("Idempotency-Key");
     return key.empty() ? request.Body : std::string(key);
   }
 
   void onRequest(const HttpRequest &request, const Exchange &exchange) {
-    std::string key = keyOf(request);
-    int64_t run = numberIn(Runs, key) + 1;
-    Runs[key] = run;
-    Shared.count("runs");
-    json::object answer{{"service", Shared.Init.Name},
+    std::string key = idempotencyKey(request);
+    int64_t run = numberField(RunCounts, key) + 1;
+    RunCounts[key] = run;
+    Server.count("runs");
+    json::object answer{{"service", Server.Init.Name},
                         {"method", request.Method},
                         {"path", request.Path},
                         {"query", request.Query},
                         {"key", key},
                         {"run", run},
                         {"body", request.Body}};
-    Duration work = std::chrono::milliseconds(Shared.number("work_ms"));
-    Shared.after(work, [this, exchange, answer] {
-      if (Shared.takeOne("lose_answers"))
+    Duration work = std::chrono::milliseconds(Server.faultNumber("work_ms"));
+    Server.after(work, [this, exchange, answer] {
+      if (Server.consumeFault("lose_answers"))
         return exchange->abort();
       respondJson(exchange, 200, answer);
     });
   }
 
-  Host &Shared;
-  json::object Runs;
+  StandinServer &Server;
+  json::object RunCounts;
 };
 
 } // namespace
 
-int runService(Host &host) {
-  PlainServiceStandin service(host);
-  return host.run();
+int runService(StandinServer &server) {
+  PlainServiceStandin service(server);
+  return server.run();
 }
 
 } // namespace daisytack::standin
--- a/tools/standin/host.cpp
+++ b/tools/standin/standin_server.cpp
@@ -1,4 +1,4 @@
-#include "host.h"
+#include "standin_server.h"
 #include "net/timer.h"
 
 #include <boost/asio/signal_set.hpp>
@@ -14,15 +14,15 @@
 
 namespace daisytack::standin {
 
-Host::Host(HostInit init)
+StandinServer::StandinServer(StandinServerInit init)
     : Client(Io, {}), Random(init.Seed), Init(std::move(init)) {
   Faults["down"] = false;
   Faults["delay_ms"] = 0;
 }
 
-Host::~Host() = default;
+StandinServer::~StandinServer() = default;
 
-int Host::run() {
+int StandinServer::run() {
   net::HttpServerInit server;
   server.Listen = Init.Listen;
   server.MaxBodyBytes = 64U << 20;
@@ -44,57 +44,58 @@
   return 0;
 }
 
-bool Host::isOn(std::string_view fault) const {
+bool StandinServer::isFaultOn(std::string_view fault) const {
   const json::value *value = Faults.if_contains(fault);
   return value && value->is_bool() && value->get_bool();
 }
 
-int64_t Host::number(std::string_view fault) const {
-  return numberIn(Faults, fault);
+int64_t StandinServer::faultNumber(std::string_view fault) const {
+  return numberField(Faults, fault);
 }
 
-bool Host::takeOne(std::string_view fault) {
-  if (isOn(fault))
+bool StandinServer::consumeFault(std::string_view fault) {
+  if (isFaultOn(fault))
     return true;
-  int64_t left = number(fault);
+  int64_t left = faultNumber(fault);
   if (left <= 0)
     return false;
   Faults[fault] = left - 1;
   return true;
 }
 
-void Host::count(std::string_view counter, int64_t n) {
-  Counters[counter] = numberIn(Counters, counter) + n;
+void StandinServer::count(std::string_view counter, int64_t n) {
+  Counters[counter] = numberField(Counters, counter) + n;
 }
 
-void Host::after(Duration delay, std::function<void()> what) {
+void StandinServer::after(Duration delay, std::function<void()> callback) {
   auto timer = std::make_shared<net::Timer>(Io, delay);
-  timer->async_wait([timer, what = std::move(what)](auto ec) {
+  timer->async_wait([timer, callback = std::move(callback)](auto ec) {
     if (!ec)
-      what();
+      callback();
   });
 }
 
-void Host::every(Duration period, std::function<void()> what) {
-  after(period, [this, period, what] {
-    what();
-    every(period, what);
+void StandinServer::every(Duration period, std::function<void()> callback) {
+  after(period, [this, period, callback] {
+    callback();
+    every(period, callback);
   });
 }
 
-void Host::onRequest(HttpRequest request, Exchange exchange) {
+void StandinServer::onRequest(HttpRequest request, Exchange exchange) {
   if (request.Path.starts_with("/standin/") &&
       (request.Path == "/standin/faults" || request.Path == "/standin/stats"))
     return onControl(request, exchange);
   count("requests");
-  Duration delay = std::chrono::milliseconds(number("delay_ms"));
+  Duration delay = std::chrono::milliseconds(faultNumber("delay_ms"));
   if (delay == Duration::zero())
     return serve(request, exchange);
   after(delay, [this, request = std::move(request),
                 exchange = std::move(exchange)] { serve(request, exchange); });
 }
 
-void Host::onControl(const HttpRequest &request, const Exchange &exchange) {
+void StandinServer::onControl(const HttpRequest &request,
+                              const Exchange &exchange) {
   if (request.Path == "/standin/stats") {
     json::object out = Counters;
     out["name"] = Init.Name;
@@ -102,7 +103,7 @@
       OnStats(out);
     return respondJson(exchange, 200, out);
   }
-  auto body = bodyOf(request, exchange);
+  auto body = parseJsonBody(request, exchange);
   if (!body)
     return;
   for (const auto &[name, value] : *body) {
@@ -116,8 +117,9 @@
   respondJson(exchange, 200, Faults);
 }
 
-void Host::serve(const HttpRequest &request, const Exchange &exchange) {
-  if (isOn("down") && !request.Path.starts_with("/standin/"))
+void StandinServer::serve(const HttpRequest &request,
+                          const Exchange &exchange) {
+  if (isFaultOn("down") && !request.Path.starts_with("/standin/"))
     return exchange->abort();
   OnRequest(request, exchange);
 }
@@ -133,8 +135,8 @@
   respondJson(exchange, status, json::object{{"error", text}});
 }
 
-std::optional<json::object> bodyOf(const HttpRequest &request,
-                                   const Exchange &exchange) {
+std::optional<json::object> parseJsonBody(const HttpRequest &request,
+                                          const Exchange &exchange) {
   boost::system::error_code ec;
   json::value value = json::parse(request.Body, ec);
   if (ec || !value.is_object()) {
@@ -175,10 +177,10 @@
 }
 
 int64_t queryNumber(const HttpRequest &request, std::string_view name) {
-  return numberIn(json::object{{name, queryValue(request, name)}}, name);
+  return numberField(json::object{{name, queryValue(request, name)}}, name);
 }
 
-int64_t numberIn(const json::object &object, std::string_view key) {
+int64_t numberField(const json::object &object, std::string_view key) {
   const json::value *value = object.if_contains(key);
   if (!value)
     return 0;
@@ -193,18 +195,18 @@
   return ec ? 0 : out;
 }
 
-std::string textIn(const json::object &object, std::string_view key) {
+std::string stringField(const json::object &object, std::string_view key) {
   const json::value *value = object.if_contains(key);
   return value && value->is_string() ? std::string(value->get_string())
                                      : std::string();
 }
 
-std::vector<std::string> partsOf(std::string_view path) {
+std::vector<std::string> pathSegments(std::string_view path) {
   std::vector<std::string> out;
   std::istringstream stream{std::string(path)};
-  for (std::string part; std::getline(stream, part, '/');)
-    if (!part.empty())
-      out.push_back(part);
+  for (std::string segment; std::getline(stream, segment, '/');)
+    if (!segment.empty())
+      out.push_back(segment);
   return out;
 }
 
--- a/tools/standin/host.h
+++ b/tools/standin/standin_server.h
@@ -24,17 +24,17 @@
 using net::HttpResponse;
 using Exchange = std::shared_ptr<net::HttpExchange>;
 
-struct HostInit {
+struct StandinServerInit {
   Endpoint Listen;
   std::string Name;
   std::string File; ///< Initial content; empty for none.
   uint64_t Seed = 1;
 };
 
-class Host {
+class StandinServer {
 public:
-  explicit Host(HostInit init);
-  ~Host();
+  explicit StandinServer(StandinServerInit init);
+  ~StandinServer();
 
   // What a stand-in fills in before run().
   std::function<void(const HttpRequest &, const Exchange &)> OnRequest;
@@ -46,19 +46,19 @@
   /// Serves until SIGTERM or SIGINT; the exit code.
   int run();
 
-  bool isOn(std::string_view fault) const;
-  int64_t number(std::string_view fault) const;
+  bool isFaultOn(std::string_view fault) const;
+  int64_t faultNumber(std::string_view fault) const;
   /// True as long as a counted switch is above zero, which each call lowers by
   /// one; true always when it is the Boolean true.
-  bool takeOne(std::string_view fault);
+  bool consumeFault(std::string_view fault);
   void count(std::string_view counter, int64_t n = 1);
-  void after(Duration delay, std::function<void()> what);
-  void every(Duration period, std::function<void()> what);
+  void after(Duration delay, std::function<void()> callback);
+  void every(Duration period, std::function<void()> callback);
 
   asio::io_context Io;
   net::HttpClient Client;
   std::mt19937_64 Random;
-  const HostInit Init;
+  const StandinServerInit Init;
 
 private:
   void onRequest(HttpRequest request, Exchange exchange);
@@ -73,26 +73,26 @@
 void respondError(const Exchange &exchange, unsigned status,
                   std::string_view text);
 /// The body as a JSON object; answers 400 itself when it is none.
-std::optional<json::object> bodyOf(const HttpRequest &request,
-                                   const Exchange &exchange);
+std::optional<json::object> parseJsonBody(const HttpRequest &request,
+                                          const Exchange &exchange);
 /// The parameter's value in the query; empty when absent.
 std::string queryValue(const HttpRequest &request, std::string_view name);
 /// The same as a number; 0 when absent.
 int64_t queryNumber(const HttpRequest &request, std::string_view name);
 /// A number that may be given as JSON number or string; 0 when absent.
-int64_t numberIn(const json::object &object, std::string_view key);
-std::string textIn(const json::object &object, std::string_view key);
+int64_t numberField(const json::object &object, std::string_view key);
+std::string stringField(const json::object &object, std::string_view key);
 /// The path's parts between slashes.
-std::vector<std::string> partsOf(std::string_view path);
+std::vector<std::string> pathSegments(std::string_view path);
 /// Reads a file of JSON; null and a message on standard error when it can't.
 json::value readJsonFile(const std::string &path);
 
 // The stand-ins; each takes the host, serves, and returns the exit code.
-int runKv(Host &host);
-int runList(Host &host);
-int runEngine(Host &host);
-int runStore(Host &host);
-int runWeights(Host &host);
-int runService(Host &host);
+int runKv(StandinServer &server);
+int runList(StandinServer &server);
+int runEngine(StandinServer &server);
+int runStore(StandinServer &server);
+int runWeights(StandinServer &server);
+int runService(StandinServer &server);
 
 } // namespace daisytack::standin
--- a/tools/standin/store.cpp
+++ b/tools/standin/store.cpp
@@ -1,6 +1,6 @@
 /// Stand-in of a store of kept context: memory over disk, limited capacity and
 /// a limited link; pieces have generations and show only once committed.
-#include "host.h"
+#include "standin_server.h"
 
 #include "base/clock.h"
 #include "base/digest.h"
@@ -23,14 +23,14 @@
 
 class Store {
 public:
-  explicit Store(Host &host) : Shared(host) {
+  explicit Store(StandinServer &server) : Server(server) {
     for (const char *flag : {"torn", "full", "free_while_reading"})
-      Shared.Faults[flag] = false;
-    Shared.Faults["link_bytes_per_second"] = FLAGS_link_rate;
-    Shared.OnRequest = [this](const auto &request, const auto &exchange) {
+      Server.Faults[flag] = false;
+    Server.Faults["link_bytes_per_second"] = FLAGS_link_rate;
+    Server.OnRequest = [this](const auto &request, const auto &exchange) {
       onRequest(request, exchange);
     };
-    Shared.OnStats = [this](json::object &out) { describe(out); };
+    Server.OnStats = [this](json::object &out) { fillStatus(out); };
   }
 
 private:
@@ -42,7 +42,7 @@
   };
 
   void onRequest(const HttpRequest &request, const Exchange &exchange) {
-    auto parts = partsOf(request.Path);
+    auto segments = pathSegments(request.Path);
     if (request.Path == "/lookup")
       return lookup(request, exchange);
     if (request.Path == "/sample")
@@ -51,27 +51,28 @@
       return usage(request, exchange);
     if (request.Path == "/status") {
       json::object out;
-      describe(out);
+      fillStatus(out);
       return respondJson(exchange, 200, out);
     }
-    if (parts.size() < 2 || parts[0] != "pieces")
+    if (segments.size() < 2 || segments[0] != "pieces")
       return respondError(exchange, 404, "no such path");
-    if (parts.size() == 2 && request.Method == "GET")
-      return read(parts[1], exchange);
-    if (parts.size() == 2 && request.Method == "POST")
-      return create(parts[1], exchange);
-    if (parts.size() == 3 && parts[2] == "generation")
+    if (segments.size() == 2 && request.Method == "GET")
+      return read(segments[1], exchange);
+    if (segments.size() == 2 && request.Method == "POST")
+      return create(segments[1], exchange);
+    if (segments.size() == 3 && segments[2] == "generation")
       return respondJson(exchange, 200,
-                         json::object{{"generation", generation(parts[1])}});
-    if (parts.size() < 3)
+                         json::object{{"generation", generation(segments[1])}});
+    if (segments.size() < 3)
       return respondError(exchange, 405, "no such method");
-    int64_t number = numberIn(json::object{{"n", parts[2]}}, "n");
+    int64_t generationNumber =
+        numberField(json::object{{"n", segments[2]}}, "n");
     if (request.Method == "PUT")
-      return fill(parts[1], number, request, exchange);
+      return upload(segments[1], generationNumber, request, exchange);
     if (request.Method == "DELETE")
-      return erase(parts[1], number, exchange);
-    if (parts.size() == 4 && parts[3] == "commit")
-      return commit(parts[1], number, request, exchange);
+      return erase(segments[1], generationNumber, exchange);
+    if (segments.size() == 4 && segments[3] == "commit")
+      return commit(segments[1], generationNumber, request, exchange);
     respondError(exchange, 404, "no such path");
   }
 
@@ -91,7 +92,7 @@
   }
 
   void lookup(const HttpRequest &request, const Exchange &exchange) {
-    auto body = bodyOf(request, exchange);
+    auto body = parseJsonBody(request, exchange);
     if (!body)
       return;
     json::array found;
@@ -121,27 +122,28 @@
                       {"X-Checksum", piece.Checksum},
                       {"X-Meta", piece.Meta}},
                      piece.Bytes};
-    if (Shared.isOn("torn"))
+    if (Server.isFaultOn("torn"))
       out.Body.resize(out.Body.size() / 2);
-    Duration wait = linkTime(out.Body.size());
+    Duration delay = reserveLink(out.Body.size());
     if (!inMemory(key))
-      wait += std::chrono::milliseconds(FLAGS_disk_ms);
+      delay += std::chrono::milliseconds(FLAGS_disk_ms);
     Recent.remove(key);
     Recent.push_front(key);
-    Shared.count("reads");
-    if (Shared.isOn("free_while_reading"))
-      free(key);
-    Shared.after(wait, [exchange, out] { exchange->respond(out); });
+    Server.count("reads");
+    if (Server.isFaultOn("free_while_reading"))
+      removePiece(key);
+    Server.after(delay, [exchange, out] { exchange->respond(out); });
   }
 
   /// Bytes go over the link one after another.
-  Duration linkTime(size_t bytes) {
-    int64_t rate = std::max<int64_t>(1, Shared.number("link_bytes_per_second"));
+  Duration reserveLink(size_t bytes) {
+    int64_t rate =
+        std::max<int64_t>(1, Server.faultNumber("link_bytes_per_second"));
     TimePoint now = monotonicNow();
-    LinkFree = std::max(LinkFree, now) +
-               Duration(static_cast<int64_t>(bytes) * 1'000'000 / rate);
-    Shared.count("link_bytes", static_cast<int64_t>(bytes));
-    return LinkFree - now;
+    LinkFreeAt = std::max(LinkFreeAt, now) +
+                 Duration(static_cast<int64_t>(bytes) * 1'000'000 / rate);
+    Server.count("link_bytes", static_cast<int64_t>(bytes));
+    return LinkFreeAt - now;
   }
 
   void create(const std::string &key, const Exchange &exchange) {
@@ -150,45 +152,46 @@
     respondJson(exchange, 200, json::object{{"generation", next}});
   }
 
-  void fill(const std::string &key, int64_t number, const HttpRequest &request,
-            const Exchange &exchange) {
-    auto it = Uncommitted.find({key, number});
+  void upload(const std::string &key, int64_t generationNumber,
+              const HttpRequest &request, const Exchange &exchange) {
+    auto it = Uncommitted.find({key, generationNumber});
     if (it == Uncommitted.end())
       return respondError(exchange, 404, "no such generation");
     uint64_t total = FLAGS_memory_bytes + FLAGS_disk_bytes;
-    if (Shared.isOn("full") || Used + request.Body.size() > total)
+    if (Server.isFaultOn("full") || Used + request.Body.size() > total)
       return respondError(exchange, 507, "full");
     Used += request.Body.size() - it->second.size();
     it->second = request.Body;
-    Shared.after(linkTime(request.Body.size()), [exchange] {
+    Server.after(reserveLink(request.Body.size()), [exchange] {
       exchange->respond({204, {}, ""});
     });
   }
 
-  void commit(const std::string &key, int64_t number,
+  void commit(const std::string &key, int64_t generationNumber,
               const HttpRequest &request, const Exchange &exchange) {
-    auto body = bodyOf(request, exchange);
+    auto body = parseJsonBody(request, exchange);
     if (!body)
       return;
-    auto it = Uncommitted.find({key, number});
+    auto it = Uncommitted.find({key, generationNumber});
     if (it == Uncommitted.end())
       return respondError(exchange, 404, "no such generation");
-    std::string checksum = textIn(*body, "checksum");
-    bool whole =
-        numberIn(*body, "length") == static_cast<int64_t>(it->second.size()) &&
-        checksum == hexDigest(sha256(it->second));
-    if (!whole)
+    std::string checksum = stringField(*body, "checksum");
+    bool isComplete = numberField(*body, "length") ==
+                          static_cast<int64_t>(it->second.size()) &&
+                      checksum == hexDigest(sha256(it->second));
+    if (!isComplete)
       return respondError(exchange, 409, "length or checksum differ");
     std::string bytes = std::move(it->second);
     Uncommitted.erase(it);
-    free(key);
-    Pieces[key] = {number, std::move(bytes), checksum, textIn(*body, "meta")};
+    removePiece(key);
+    Pieces[key] = {generationNumber, std::move(bytes), checksum,
+                   stringField(*body, "meta")};
     Recent.push_front(key);
-    Shared.count("commits");
-    respondJson(exchange, 200, json::object{{"generation", number}});
+    Server.count("commits");
+    respondJson(exchange, 200, json::object{{"generation", generationNumber}});
   }
 
-  void free(const std::string &key) {
+  void removePiece(const std::string &key) {
     auto it = Pieces.find(key);
     if (it == Pieces.end())
       return;
@@ -197,14 +200,15 @@
     Recent.remove(key);
   }
 
-  void erase(const std::string &key, int64_t number, const Exchange &exchange) {
-    auto it = Uncommitted.find({key, number});
+  void erase(const std::string &key, int64_t generationNumber,
+             const Exchange &exchange) {
+    auto it = Uncommitted.find({key, generationNumber});
     if (it != Uncommitted.end()) {
       Used -= it->second.size();
       Uncommitted.erase(it);
-    } else if (generation(key) == number && number != 0) {
-      free(key);
-      Shared.count("freed");
+    } else if (generation(key) == generationNumber && generationNumber != 0) {
+      removePiece(key);
+      Server.count("freed");
     } else {
       return respondError(exchange, 404, "no such generation");
     }
@@ -212,11 +216,11 @@
   }
 
   void sample(const HttpRequest &request, const Exchange &exchange) {
-    int64_t wanted = queryNumber(request, "count");
+    int64_t count = queryNumber(request, "count");
     json::array pieces;
-    for (int64_t i = 0; i < wanted && !Pieces.empty(); ++i) {
+    for (int64_t i = 0; i < count && !Pieces.empty(); ++i) {
       auto it = Pieces.begin();
-      std::advance(it, Shared.Random() % Pieces.size());
+      std::advance(it, Server.Random() % Pieces.size());
       pieces.push_back(json::object{{"key", it->first},
                                     {"generation", it->second.Generation},
                                     {"length", it->second.Bytes.size()},
@@ -238,29 +242,29 @@
                 json::object{{"bytes", bytes}, {"pieces", pieces}});
   }
 
-  void describe(json::object &out) const {
+  void fillStatus(json::object &out) const {
     uint64_t memory = std::min<uint64_t>(Used, FLAGS_memory_bytes);
     out["memory_used"] = memory;
     out["memory_total"] = FLAGS_memory_bytes;
     out["disk_used"] = Used - memory;
     out["disk_total"] = FLAGS_disk_bytes;
-    out["link_bytes_per_second"] = Shared.number("link_bytes_per_second");
+    out["link_bytes_per_second"] = Server.faultNumber("link_bytes_per_second");
   }
 
-  Host &Shared;
+  StandinServer &Server;
   std::map<std::string, Piece> Pieces;
   std::map<std::pair<std::string, int64_t>, std::string> Uncommitted;
   std::list<std::string> Recent; ///< Most recently used first.
   uint64_t Used = 0;
   int64_t LastGeneration = 0;
-  TimePoint LinkFree;
+  TimePoint LinkFreeAt;
 };
 
 } // namespace
 
-int runStore(Host &host) {
-  Store store(host);
-  return host.run();
+int runStore(StandinServer &server) {
+  Store store(server);
+  return server.run();
 }
 
 } // namespace daisytack::standin
--- a/tools/standin/weights.cpp
+++ b/tools/standin/weights.cpp
@@ -1,5 +1,5 @@
 /// Stand-in of the weight store: any bytes, at a limited rate in all.
-#include "host.h"
+#include "standin_server.h"
 
 #include <gflags/gflags.h>
 
@@ -18,18 +18,18 @@
 
 class WeightStore {
 public:
-  explicit WeightStore(Host &host) : Shared(host) {
-    Shared.OnRequest = [this](const auto &request, const auto &exchange) {
+  explicit WeightStore(StandinServer &server) : Server(server) {
+    Server.OnRequest = [this](const auto &request, const auto &exchange) {
       onRequest(request, exchange);
     };
-    Shared.OnStats = [this](json::object &out) { out["loads"] = Loads.size(); };
-    Shared.every(Tick, [this] { send(); });
+    Server.OnStats = [this](json::object &out) { out["loads"] = Loads.size(); };
+    Server.every(Tick, [this] { sendChunks(); });
   }
 
 private:
   struct Load {
-    Exchange To;
-    uint64_t Left = 0;
+    Exchange ClientExchange;
+    uint64_t BytesLeft = 0;
   };
 
   static bool isKnown(const std::string &version) {
@@ -38,44 +38,47 @@
   }
 
   void onRequest(const HttpRequest &request, const Exchange &exchange) {
-    auto parts = partsOf(request.Path);
-    if (parts.size() != 3 || parts[0] != "weights" || !isKnown(parts[2]))
+    auto segments = pathSegments(request.Path);
+    if (segments.size() != 3 || segments[0] != "weights" ||
+        !isKnown(segments[2]))
       return respondError(exchange, 404, "unknown version");
     exchange->beginStream(200,
                           {{"X-Length", std::to_string(FLAGS_weights_bytes)}});
     exchange->onClosed([this, raw = exchange.get()] {
-      Loads.remove_if([raw](const Load &l) { return l.To.get() == raw; });
+      Loads.remove_if(
+          [raw](const Load &l) { return l.ClientExchange.get() == raw; });
     });
     Loads.push_back({exchange, FLAGS_weights_bytes});
-    Shared.count("started");
+    Server.count("started");
   }
 
-  void send() {
+  void sendChunks() {
     if (Loads.empty())
       return;
     double perTick =
         FLAGS_weights_rate * static_cast<double>(Tick.count()) / 1e6;
-    auto share =
+    auto bytesPerLoad =
         static_cast<uint64_t>(perTick / static_cast<double>(Loads.size()));
     for (Load &load : Loads) {
-      uint64_t n = std::min<uint64_t>(load.Left, std::max<uint64_t>(share, 1));
-      load.To->write(std::string(n, 'w'));
-      load.Left -= n;
-      if (load.Left == 0)
-        load.To->endStream();
+      uint64_t n = std::min<uint64_t>(load.BytesLeft,
+                                      std::max<uint64_t>(bytesPerLoad, 1));
+      load.ClientExchange->write(std::string(n, 'w'));
+      load.BytesLeft -= n;
+      if (load.BytesLeft == 0)
+        load.ClientExchange->endStream();
     }
-    Loads.remove_if([](const Load &load) { return load.Left == 0; });
+    Loads.remove_if([](const Load &load) { return load.BytesLeft == 0; });
   }
 
-  Host &Shared;
+  StandinServer &Server;
   std::list<Load> Loads;
 };
 
 } // namespace
 
-int runWeights(Host &host) {
-  WeightStore store(host);
-  return host.run();
+int runWeights(StandinServer &server) {
+  WeightStore store(server);
+  return server.run();
 }
 
 } // namespace daisytack::standin
