--- a/tests/fakes/fake_kv.h
+++ b/tests/fakes/fake_kv.h
@@ -1,5 +1,5 @@
-/// The key-value service in one process: revisions, compares, leases and time
-/// as an argument. Faults are chosen per call by the test.
+/// In-process fake of the key-value service with revisions, compares and
+/// leases. Callers pass the time; the tests inject faults around the calls.
 #pragma once
 
 #include "edge/kv.h"
@@ -78,7 +78,7 @@
     return {header(edge::KvStatus::Ok), lease, Duration(0)};
   }
 
-  /// Drops what has lapsed.
+  /// Removes expired leases and the keys attached to them.
   void expire(TimePoint now) {
     for (auto it = Leases.begin(); it != Leases.end();) {
       if (now < it->second.ExpiresAt) {
@@ -103,7 +103,7 @@
     return Entries;
   }
 
-  /// A seeded defect: writes whatever the compares say.
+  /// Deliberate defect for tests: commits also when the compares fail.
   bool IgnoreCompares = false;
 
 private:
--- a/tools/standin/engine.cpp
+++ b/tools/standin/engine.cpp
@@ -1,5 +1,5 @@
-/// Stand-in of a model engine: OpenAI-shaped completions and the small control
-/// surface of docs/PROTOCOL.md.
+/// Stand-in for a model engine: completions in the OpenAI format and the
+/// control interface of docs/PROTOCOL.md.
 #include "engine_runs.h"
 
 #include "base/clock.h"
@@ -28,7 +28,8 @@
 namespace {
 
 constexpr Duration Tick{5'000};
-constexpr Duration MaxStep{200'000}; ///< After the process was stopped.
+/// Limits the catch-up of one tick after the process was suspended.
+constexpr Duration MaxStep{200'000};
 constexpr int64_t DefaultMaxTokens = 16;
 constexpr size_t AnswerTagDigits = 8;
 
@@ -149,8 +150,8 @@
     Runs.add(std::move(run));
   }
 
-  /// Counts the tokens that the text holds; false when it is no start of this
-  /// answer.
+  /// Sets ResumedTokens to the number of tokens in the text; false when the
+  /// text is not a prefix of this run's answer.
   static bool parseResumeText(Run &run, const std::string &text) {
     std::string generated;
     while (generated.size() < text.size())
@@ -202,7 +203,8 @@
     respondJson(exchange, 202, json::object{{"fence", FencingToken}});
   }
 
-  /// The latest load wins; runs go on with the version they began with.
+  /// A later load supersedes one in progress. Runs in progress continue with
+  /// the version that they started with.
   void loadWeights(const std::string &version,
                    const std::string &storeAddress) {
     int64_t loadId = ++LatestLoadId;
@@ -230,7 +232,8 @@
         });
   }
 
-  /// An unlimited rate shows as a high one.
+  /// Tokens per second for the status; an unlimited rate is reported as a high
+  /// number.
   static int64_t reportedRate(double rate) {
     constexpr int64_t UnlimitedRate = 10'000'000;
     return rate == 0 ? UnlimitedRate : static_cast<int64_t>(rate);
@@ -265,7 +268,7 @@
   int64_t StartTime;
   std::string Version = FLAGS_weights_version;
   std::string Adapter;
-  std::string LoadingVersion; ///< Version under way; empty for none.
+  std::string LoadingVersion; ///< Empty when no load is in progress.
   std::string Role = "serve";
   int64_t FencingToken = 0;
   int64_t LatestLoadId = 0;
--- a/tools/standin/engine_cache.h
+++ b/tools/standin/engine_cache.h
@@ -1,5 +1,5 @@
-/// Prefix cache of the engine stand-in, with the events it publishes late and
-/// with gaps.
+/// LRU prefix cache of the engine stand-in. Its events become visible after a
+/// lag, and some can be dropped.
 #pragma once
 
 #include "daisytack/types.h"
@@ -15,8 +15,8 @@
 
 namespace daisytack::standin {
 
-/// Bytes of a cached piece: a function of its key and the weight version, so
-/// that a wrong one is noticed.
+/// Content of a cached piece, derived from its key and the weight version, so
+/// that an import of wrong bytes is detected.
 std::string pieceBytes(const std::string &key, const std::string &version,
                        size_t size);
 
@@ -25,23 +25,24 @@
   EngineCache(size_t capacity, Duration eventLag)
       : Capacity(capacity), EventLag(eventLag) {}
 
-  /// Tells whether the event being made is lost on its way.
+  /// Decides for each new event whether it is never delivered.
   std::function<bool()> ShouldDropEvent = [] { return false; };
 
   size_t size() const { return Pieces.size(); }
   size_t capacity() const { return Capacity; }
   bool has(const std::string &key) const { return Pieces.contains(key); }
-  /// False for an imported piece whose bytes were not the expected ones.
+  /// False when the piece was imported with wrong bytes.
   bool isIntact(const std::string &key) const;
-  /// Leading pieces that are cached.
+  /// Number of leading keys that are cached.
   size_t cachedPrefixLength(const std::vector<std::string> &keys) const;
 
   void store(const std::string &key, bool intact, TimePoint now);
-  /// Makes the pieces the last to be evicted, the first of them last of all.
+  /// Marks the first n pieces as most recently used, the first of them most
+  /// recently.
   void touch(const std::vector<std::string> &keys, size_t n);
   void clear(TimePoint now);
-  /// {"events", "next"} of those from that sequence number on that show by
-  /// now.
+  /// {"events", "next"}: the events from sequence number "from" on that are
+  /// visible now, and the sequence number to continue with.
   boost::json::object events(int64_t from, TimePoint now) const;
 
 private:
--- a/tools/standin/engine_runs.cpp
+++ b/tools/standin/engine_runs.cpp
@@ -102,7 +102,7 @@
       Cache.store(key, true, monotonicNow());
   Cache.touch(run.Pieces, run.Pieces.size());
   run.CurrentPhase = Run::Phase::Decode;
-  run.DecodeCredit = 1; // Prefill yields the first token.
+  run.DecodeCredit = 1; // Prefill generates the first token.
   Server.count("prefilled_tokens", run.PromptTokens - run.CachedTokens);
   if (Server.consumeFault("cross_answers"))
     crossAnswer(run);
--- a/tools/standin/kv.cpp
+++ b/tools/standin/kv.cpp
@@ -1,5 +1,6 @@
-/// Stand-in of the key-value service: the JSON surface of etcd v3 that
-/// daisytack uses. Counts calls; can lose an answer after applying a write.
+/// Stand-in for the key-value service: the part of etcd v3's JSON interface
+/// that daisytack uses. Counts calls; can drop the response after applying a
+/// write.
 #include "kv_data.h"
 
 #include "base/clock.h"
--- a/tools/standin/kv_data.cpp
+++ b/tools/standin/kv_data.cpp
@@ -26,7 +26,8 @@
   return out;
 }
 
-/// Sub-message under either of the names that etcd's gateway accepts.
+/// The nested object under either of the names that etcd's gateway accepts;
+/// nullptr when absent.
 const json::object *findMessage(const json::object &object, const char *camel,
                                 const char *snake) {
   for (const char *name : {camel, snake})
@@ -188,7 +189,7 @@
     compareTo(entry.Version, "version");
   std::string result = stringField(compare, "result");
   if (target == "VALUE" && it == Keys.end())
-    return false; // As etcd does: nothing compares with an absent value.
+    return false; // In etcd, a value comparison fails for a missing key.
   if (result == "GREATER")
     return ordering > 0;
   if (result == "LESS")
--- a/tools/standin/kv_data.h
+++ b/tools/standin/kv_data.h
@@ -1,6 +1,6 @@
-/// The stored state of the key-value stand-in, in etcd's JSON terms: 64-bit
-/// integers are strings, keys and values are base64, and fields with their
-/// default value are left out.
+/// Stored state of the key-value stand-in. Requests and responses are etcd's
+/// JSON: 64-bit integers are strings, keys and values are base64, and fields
+/// with their default value are omitted.
 #pragma once
 
 #include "standin_server.h"
@@ -10,14 +10,15 @@
 
 namespace daisytack::standin {
 
-/// Keys from First up to but without End; a single key when End is empty.
+/// Keys in [First, End), or the one key First when End is empty. An End of one
+/// zero byte means all keys from First on.
 struct KeyRange {
   std::string First;
   std::string End;
   bool contains(std::string_view key) const;
 };
 
-/// Decodes "key" and "range_end".
+/// The range given by "key" and "range_end" of a request.
 KeyRange rangeOf(const json::object &request);
 
 class KeyValueData {
@@ -29,7 +30,8 @@
   size_t leaseCount() const { return Leases.size(); }
 
   json::object range(const json::object &request) const;
-  /// Events of that revision and later that touch the range.
+  /// Changes to keys in the range at the given revision and later, as etcd's
+  /// watch events.
   json::array eventsSince(int64_t revision, const KeyRange &range) const;
 
   json::object put(const json::object &request);
@@ -57,7 +59,7 @@
   struct Change {
     int64_t Revision = 0;
     std::string Key;
-    std::optional<Entry> After; ///< Nothing for a deletion.
+    std::optional<Entry> After; ///< std::nullopt for a deletion.
   };
 
   static json::object entryJson(const std::string &key, const Entry &entry);
--- a/tools/standin/list.cpp
+++ b/tools/standin/list.cpp
@@ -1,4 +1,4 @@
-/// Stand-in of the platform's instance list, which lags behind the truth.
+/// Stand-in for the platform's instance list; changes appear in it after a lag.
 #include "standin_server.h"
 
 #include "base/clock.h"
@@ -44,7 +44,8 @@
     respondJson(exchange, 200, json::object{{"changes", Pending.size()}});
   }
 
-  /// Takes the new state of some instances, which shows after the lag.
+  /// Queues the new state of some instances; false when it is not an array of
+  /// objects with names.
   bool queueChanges(const json::value &instances) {
     if (!instances.is_array())
       return false;
@@ -56,7 +57,7 @@
     return true;
   }
 
-  /// Moves what is older than the lag into view.
+  /// Publishes queued changes that are older than the lag.
   void publishDueChanges() {
     Duration lag = std::chrono::milliseconds(Server.faultNumber("lag_ms"));
     while (!Pending.empty() &&
--- a/tools/standin/main.cpp
+++ b/tools/standin/main.cpp
@@ -1,4 +1,4 @@
-/// daisytack-standin: small stand-ins of the platform's side, for
+/// daisytack-standin: small stand-ins for the platform's services, for
 /// demonstrations and tests.
 #include "standin_server.h"
 
@@ -24,7 +24,7 @@
     {"store", daisytack::standin::runStore},
     {"weights", daisytack::standin::runWeights}};
 
-/// Accepts port 0, unlike an Endpoint of the settings.
+/// Accepts port 0, which parseEndpoint() refuses.
 std::optional<daisytack::Endpoint> listenAddress(const std::string &text) {
   if (text.ends_with(":0"))
     return daisytack::Endpoint{text.substr(0, text.size() - 2), 0};
--- a/tools/standin/service.cpp
+++ b/tools/standin/service.cpp
@@ -1,4 +1,5 @@
-/// Stand-in of a plain service: echoes each call and counts its runs by key.
+/// Stand-in for a plain service: echoes each call and counts the runs per
+/// idempotency key.
 #include "standin_server.h"
 
 #include <gflags/gflags.h>
@@ -23,7 +24,7 @@
   }
 
 private:
-  /// The call's key, or its body when it has none.
+  /// The Idempotency-Key header, or the body when there is none.
   static std::string idempotencyKey(const HttpRequest &request) {
     std::string_view key = request.header("Idempotency-Key");
     return key.empty() ? request.Body : std::string(key);
@@ -50,7 +51,7 @@
   }
 
   StandinServer &Server;
-  json::object RunCounts;
+  json::object RunCounts; ///< By idempotency key.
 };
 
 } // namespace
--- a/tools/standin/standin_server.cpp
+++ b/tools/standin/standin_server.cpp
@@ -148,7 +148,7 @@
 
 namespace {
 
-/// Undoes percent-encoding; what isn't well-formed is left as it is.
+/// Decodes percent-encoding; malformed sequences stay as they are.
 std::string unescape(std::string_view text) {
   std::string out;
   for (size_t i = 0; i < text.size(); ++i) {
--- a/tools/standin/standin_server.h
+++ b/tools/standin/standin_server.h
@@ -1,4 +1,4 @@
-/// What the stand-ins share: one HTTP address, fault switches, counters and
+/// Common part of the stand-ins: HTTP server, fault switches, counters and
 /// timers. A stand-in runs on one thread and needs no locks.
 #pragma once
 
@@ -27,7 +27,7 @@
 struct StandinServerInit {
   Endpoint Listen;
   std::string Name;
-  std::string File; ///< Initial content; empty for none.
+  std::string File; ///< JSON file with the initial content; empty: none.
   uint64_t Seed = 1;
 };
 
@@ -36,20 +36,25 @@
   explicit StandinServer(StandinServerInit init);
   ~StandinServer();
 
-  // What a stand-in fills in before run().
+  // Set by the stand-in before run().
   std::function<void(const HttpRequest &, const Exchange &)> OnRequest;
+  /// Called after fault switches were set; optional.
   std::function<void()> OnFault;
+  /// Adds the stand-in's own values to /standin/stats; optional.
   std::function<void(json::object &)> OnStats;
-  /// Switches in force, with their defaults.
+  /// Current value of each fault switch; a stand-in adds its own with their
+  /// defaults.
   json::object Faults;
 
-  /// Serves until SIGTERM or SIGINT; the exit code.
+  /// Serves until SIGTERM or SIGINT; returns the exit code.
   int run();
 
+  /// True when the switch is the Boolean true.
   bool isFaultOn(std::string_view fault) const;
+  /// Value of a numeric switch; 0 when it is unknown or not a number.
   int64_t faultNumber(std::string_view fault) const;
-  /// True as long as a counted switch is above zero, which each call lowers by
-  /// one; true always when it is the Boolean true.
+  /// Decrements a numeric switch and returns true while it is above zero;
+  /// always true when the switch is the Boolean true.
   bool consumeFault(std::string_view fault);
   void count(std::string_view counter, int64_t n = 1);
   void after(Duration delay, std::function<void()> callback);
@@ -72,22 +77,27 @@
                  const json::value &value);
 void respondError(const Exchange &exchange, unsigned status,
                   std::string_view text);
-/// The body as a JSON object; answers 400 itself when it is none.
+/// The body as a JSON object; otherwise responds with 400 and returns
+/// std::nullopt.
 std::optional<json::object> parseJsonBody(const HttpRequest &request,
                                           const Exchange &exchange);
-/// The parameter's value in the query; empty when absent.
+/// Value of a parameter in the query string; empty when absent.
 std::string queryValue(const HttpRequest &request, std::string_view name);
-/// The same as a number; 0 when absent.
+/// A query parameter as a number; 0 when absent or not a number.
 int64_t queryNumber(const HttpRequest &request, std::string_view name);
-/// A number that may be given as JSON number or string; 0 when absent.
+/// A member that may be a JSON number or a decimal string; 0 when absent or
+/// invalid.
 int64_t numberField(const json::object &object, std::string_view key);
+/// A string member; empty when absent or of another type.
 std::string stringField(const json::object &object, std::string_view key);
-/// The path's parts between slashes.
+/// The non-empty parts of the path between slashes.
 std::vector<std::string> pathSegments(std::string_view path);
-/// Reads a file of JSON; null and a message on standard error when it can't.
+/// Parses a JSON file; on failure prints a message to standard error and
+/// returns null.
 json::value readJsonFile(const std::string &path);
 
-// The stand-ins; each takes the host, serves, and returns the exit code.
+// The modes; each serves until the process is told to stop and returns the exit
+// code.
 int runKv(StandinServer &server);
 int runList(StandinServer &server);
 int runEngine(StandinServer &server);
--- a/tools/standin/store.cpp
+++ b/tools/standin/store.cpp
@@ -1,5 +1,6 @@
-/// Stand-in of a store of kept context: memory over disk, limited capacity and
-/// a limited link; pieces have generations and show only once committed.
+/// Stand-in for a context store: a memory and a disk tier of limited capacity
+/// behind a link of limited bandwidth. Pieces have generations and become
+/// visible when they are committed.
 #include "standin_server.h"
 
 #include "base/clock.h"
@@ -135,7 +136,8 @@
     Server.after(delay, [exchange, out] { exchange->respond(out); });
   }
 
-  /// Bytes go over the link one after another.
+  /// Queues a transfer on the link, which carries one at a time; returns the
+  /// time until it is complete.
   Duration reserveLink(size_t bytes) {
     int64_t rate =
         std::max<int64_t>(1, Server.faultNumber("link_bytes_per_second"));
--- a/tools/standin/weights.cpp
+++ b/tools/standin/weights.cpp
@@ -1,4 +1,5 @@
-/// Stand-in of the weight store: any bytes, at a limited rate in all.
+/// Stand-in for the weight store: serves filler bytes at a rate that all loads
+/// share.
 #include "standin_server.h"
 
 #include <gflags/gflags.h>
