--- a/tools/client/client_options.cpp
+++ b/tools/client/client_options.cpp
@@ -32,7 +32,7 @@
   return value ? value : "";
 }
 
-/// The file's first line.
+/// The first line of a file; std::nullopt when it can't be read or is empty.
 std::optional<std::string> firstLine(const std::string &path) {
   std::ifstream file(path);
   std::string out;
--- a/tools/client/client_options.h
+++ b/tools/client/client_options.h
@@ -1,4 +1,4 @@
-/// Command line and environment of the operators' client.
+/// Command line and environment variables of the operators' client.
 #pragma once
 
 #include "daisytack/types.h"
@@ -14,31 +14,35 @@
   Done = 0,
   Usage = 1,       ///< The command line or the statement is wrong.
   Refused = 2,     ///< Nothing was changed; the reason and remedy are printed.
-  Conflict = 3,    ///< Another operator's change came first.
-  Unknown = 4,     ///< The change may or may not be in force.
-  Unreachable = 5, ///< No entry answered; nothing was sent that changes.
-  Incomplete = 6, ///< Done, but some instances didn't answer, or don't have the
-                  ///< change in force yet.
+  Conflict = 3,    ///< Another operator's change was applied first.
+  Unknown = 4,     ///< The change may or may not have been applied.
+  Unreachable = 5, ///< No entry answered; no command was sent.
+  Incomplete = 6, ///< Done, but some instances didn't answer or haven't applied
+                  ///< the change yet.
 };
 
 enum class Format : uint8_t { Text, Json, Chrome, Html };
 
 struct Options {
-  std::vector<Endpoint> Entries; ///< Operators' addresses, tried in turn.
-  std::string Key;               ///< Bearer key.
+  std::vector<Endpoint> Entries; ///< Operators' addresses, tried in order.
+  std::string Key;               ///< Bearer token; empty: none configured.
   Format Output = Format::Text;
-  Duration Timeout{5'000'000}; ///< For one call.
-  Duration Wait{0};            ///< For a change to be in force everywhere.
-  Duration Watch{0};           ///< Between repeats of a query; zero: once.
+  Duration Timeout{5'000'000}; ///< Of one call to one entry.
+  /// Maximum time that a command waits until its change is in force on all
+  /// processes; zero: it doesn't wait.
+  Duration Wait{0};
+  Duration Watch{0}; ///< Interval between repeats of a query; zero: once.
   bool Colours = false;
-  std::string Request; ///< Timeline of one request, by its id.
-  Duration Since{0};   ///< Timeline of the last part.
+  /// Request id whose timeline is shown; empty: all events of the last Since.
+  std::string Request;
+  Duration Since{0}; ///< Period up to now that the timeline covers.
+  /// Added to a member's port for peers to get its port for operators.
   uint16_t PortOffset = 1;
-  std::vector<std::string> Arguments; ///< What follows the flags.
+  std::vector<std::string> Arguments; ///< Positional arguments.
 };
 
-/// Reads flags, environment and key file; nothing with the reason when they
-/// don't make sense.
+/// Reads flags, environment and key file; std::nullopt and the reason when one
+/// of them is invalid.
 std::optional<Options> readOptions(int argc, char **argv, std::string &reason);
 
 /// The text of --help.
--- a/tools/client/completion.cpp
+++ b/tools/client/completion.cpp
@@ -33,7 +33,8 @@
   return out;
 }
 
-/// One case per table: its fields after "where", "by".
+/// Shell cases, one per table, with the fields that may follow "where", "and"
+/// and "by".
 std::string fieldCases() {
   std::string out;
   for (size_t i = 0; i < query::TableNameCount; ++i) {
--- a/tools/client/completion.h
+++ b/tools/client/completion.h
@@ -1,4 +1,5 @@
-/// Completion script for bash, made from the language's own words.
+/// Completion script for bash, generated from the language's verbs, tables and
+/// fields.
 #pragma once
 
 #include <string>
--- a/tools/client/connection.h
+++ b/tools/client/connection.h
@@ -1,4 +1,4 @@
-/// Calls to the operators' HTTP of the entries, one after the other.
+/// Calls the operators' HTTP interface of the entries, one call at a time.
 #pragma once
 
 #include "client_options.h"
@@ -8,17 +8,21 @@
 
 namespace daisytack::client {
 
-/// Not thread-safe: each call runs the context until it is answered.
+/// Not thread-safe: each call runs the I/O context until it has its response or
+/// fails.
 class Connection {
 public:
   Connection(std::vector<Endpoint> entries, std::string key, Duration timeout);
 
-  /// Tries the entries in turn until one answers. A call that may change
-  /// something goes on to the next entry only when nothing was sent.
+  /// Sends the request to the entries in order, starting with the one that
+  /// answered last, until one answers; otherwise std::nullopt and the reason. A
+  /// call that may change state is not retried once it may have been sent, so
+  /// that it is not applied twice.
   std::optional<net::HttpResponse> post(const std::string &path,
                                         const std::string &body, bool mayChange,
                                         Error &reason);
-  /// One call to one address.
+  /// Sends one request to one address, without the key; std::nullopt and the
+  /// reason when there is no answer.
   std::optional<net::HttpResponse> get(const Endpoint &to,
                                        const std::string &path, Error &reason);
   /// Lengthens the timeout of later calls.
@@ -33,7 +37,7 @@
   std::vector<Endpoint> Entries;
   std::string Key;
   Duration Timeout;
-  size_t PreferredIndex = 0; ///< Entry that answered last.
+  size_t PreferredIndex = 0; ///< Index of the entry that answered last.
 };
 
 } // namespace daisytack::client
--- a/tools/client/line_editor.cpp
+++ b/tools/client/line_editor.cpp
@@ -16,7 +16,8 @@
 constexpr char Delete = 127;
 constexpr std::string_view EraseLine = "\r\033[K";
 
-/// Unbuffered input without echo, for as long as it lives.
+/// Switches the terminal to unbuffered input without echo and signals; the
+/// destructor restores its attributes.
 class RawTerminal {
 public:
   RawTerminal() {
--- a/tools/client/line_editor.h
+++ b/tools/client/line_editor.h
@@ -8,17 +8,18 @@
 
 namespace daisytack::client {
 
-/// What a key did to the line.
+/// State of the line after a key.
 enum class KeyResult { Editing, Entered, EndOfInput };
 
-/// The state of a line while keys arrive; knows nothing of the terminal.
+/// Line buffer and history; independent of the terminal.
 class LineEditor {
 public:
-  /// Takes one byte from the terminal.
+  /// Applies one byte of terminal input.
   KeyResult handleKey(char c);
-  /// The line as it stands; the cursor is at its end.
+  /// The current text; the cursor is always at its end.
   const std::string &line() const { return Line; }
-  /// Takes the entered line, keeps it in the history and begins anew.
+  /// Returns the line, adds it to the history unless it is empty, and starts an
+  /// empty one.
   std::string takeLine();
 
 private:
@@ -27,11 +28,11 @@
 
   std::string Line;
   std::vector<std::string> History;
-  size_t HistoryIndex = 0; ///< Into History; its size for a new line.
+  size_t HistoryIndex = 0; ///< History.size() for a new line.
   int EscapeBytes = 0;     ///< Bytes of an escape sequence read so far.
 };
 
-/// Reads a line from the terminal; nothing at the end of input.
+/// Reads a line from the terminal; std::nullopt at the end of input.
 std::optional<std::string> readLine(LineEditor &editor,
                                     const std::string &prompt);
 
--- a/tools/client/main.cpp
+++ b/tools/client/main.cpp
@@ -1,5 +1,5 @@
-/// daisytack: the operators' client. Statements of the language, the time line,
-/// an interactive prompt.
+/// daisytack: the operators' client. Runs queries and commands, shows timelines
+/// and offers an interactive prompt.
 
 #include "base/clock.h"
 #include "base/digest.h"
@@ -36,7 +36,7 @@
   return ExitCode::Usage;
 }
 
-/// Hash of the key on the first line of standard input.
+/// Prints the SHA-256 of the key on the first line of standard input.
 ExitCode printKeyHash() {
   std::string key;
   if (!std::getline(std::cin, key) || key.empty())
--- a/tools/client/prompt.h
+++ b/tools/client/prompt.h
@@ -1,5 +1,5 @@
-/// Interactive prompt: reads statements until the end of input. On a terminal,
-/// lines can be edited and earlier ones come back with the arrow keys.
+/// Interactive prompt: runs statements until the end of input. On a terminal,
+/// lines can be edited and the arrow keys recall earlier ones.
 #pragma once
 
 #include "client_options.h"
@@ -7,7 +7,7 @@
 
 namespace daisytack::client {
 
-/// The exit code of the last statement.
+/// Returns the exit code of the last statement.
 ExitCode runPrompt(const Options &options, Connection &connection);
 
 } // namespace daisytack::client
--- a/tools/client/statements.cpp
+++ b/tools/client/statements.cpp
@@ -40,7 +40,7 @@
   return ec || !parsed.is_object() ? json::object{} : parsed.get_object();
 }
 
-/// Kind, detail and remedy of a refusal, on standard error.
+/// Prints kind, detail and remedy of a refusal to standard error.
 void printRefusal(const json::object &problem, bool colours) {
   std::string kind = memberText(problem, "kind");
   std::cerr << query::coloured(kind, query::Colour::Red, colours) << ": "
@@ -112,7 +112,8 @@
             << query::printable(memberText(otherChange, "value")) << "\n";
 }
 
-/// How far a change got; true when it is in force wherever that was asked.
+/// Prints how many processes have the change in force and which don't; true
+/// when all that were asked do.
 bool printInForce(const json::object &inForceStatus) {
   uint64_t asked = memberNumber(inForceStatus, "asked");
   uint64_t inForce = memberNumber(inForceStatus, "in_force");
--- a/tools/client/statements.h
+++ b/tools/client/statements.h
@@ -1,5 +1,5 @@
-/// Runs one statement of the language: parses it here, so that a mistake shows
-/// its column, sends it and prints the answer.
+/// Runs one statement of the language: parses it locally, so that a syntax
+/// error is shown with its column, sends it to an entry and prints the answer.
 #pragma once
 
 #include "client_options.h"
@@ -7,21 +7,21 @@
 
 namespace daisytack::client {
 
-/// Query or command, told apart by the first word.
+/// Runs a query or a command; the first word decides which.
 ExitCode runStatement(const std::string &text, const Options &options,
                       Connection &connection);
 
-/// A query, printed as options say.
+/// Runs a query, once or at the interval options.Watch without end.
 ExitCode runQuery(const std::string &text, const Options &options,
                   Connection &connection);
 ExitCode runCommand(const std::string &text, const Options &options,
                     Connection &connection);
 
-/// The statement with a mark below the mistake.
+/// The statement, a caret below the 1-based column, and the message.
 std::string formatSyntaxError(const std::string &text, size_t column,
                               const std::string &message);
 
-/// Words of a command line as one statement.
+/// Joins the words of a command line, separated by spaces.
 std::string joinWords(const std::vector<std::string> &words);
 
 } // namespace daisytack::client
--- a/tools/client/timeline_command.cpp
+++ b/tools/client/timeline_command.cpp
@@ -19,7 +19,7 @@
 
 constexpr unsigned HttpOk = 200;
 constexpr size_t MaxPages = 100;
-/// Processes whose metrics the page adds up.
+/// Maximum number of processes whose metrics the HTML page sums.
 constexpr size_t MaxScrapedProcesses = 64;
 
 std::string queryText(const Options &options, WallTime since) {
@@ -30,7 +30,7 @@
   return out + " limit " + std::to_string(query::MaxLimit);
 }
 
-/// One page of a query; nothing with the reason when there is none.
+/// Fetches one page of a query; std::nullopt and the reason on failure.
 std::optional<query::Answer> queryPage(const std::string &text,
                                        Connection &connection, Error &reason) {
   std::string body =
@@ -61,7 +61,8 @@
   return out;
 }
 
-/// Operators' addresses of the members that the fleet knows.
+/// Operators' addresses of the listed members: their peer addresses with the
+/// port offset added.
 std::vector<Endpoint> operatorAddresses(const query::Answer &members,
                                         uint16_t portOffset) {
   std::vector<Endpoint> out;
--- a/tools/client/timeline_command.h
+++ b/tools/client/timeline_command.h
@@ -1,4 +1,5 @@
-/// The client's timeline command: gathers events, and metrics for the page.
+/// The timeline command: fetches events, and for HTML the metrics of the
+/// processes, and prints them.
 #pragma once
 
 #include "client_options.h"
