--- a/bench/agent.cpp
+++ b/bench/agent.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 uint64_t Allocations = 0;
-size_t Held = 0;
+size_t HeapBytes = 0;
 
 } // namespace
 
@@ -25,11 +25,11 @@
   void *out = std::malloc(n);
   if (!out)
     throw std::bad_alloc();
-  Held += malloc_usable_size(out);
+  HeapBytes += malloc_usable_size(out);
   return out;
 }
 void operator delete(void *p) noexcept {
-  Held -= malloc_usable_size(p);
+  HeapBytes -= malloc_usable_size(p);
   std::free(p);
 }
 void operator delete(void *p, size_t /*n*/) noexcept { operator delete(p); }
@@ -38,12 +38,12 @@
 
 namespace {
 
-constexpr uint32_t ChunksEach = 64;
+constexpr uint32_t ChunksPerRun = 64;
 constexpr size_t PromptBytes = 2048;
 constexpr LinkHandle Link{1};
-constexpr TimePoint Epoch{Duration{1'000'000'000}};
+constexpr TimePoint StartTime{Duration{1'000'000'000}};
 
-AgentSettings settingsFor(uint32_t runs) {
+AgentSettings makeSettings(uint32_t runs) {
   AgentSettings out;
   out.Instance = "agent-1";
   out.Serves = "m";
@@ -51,14 +51,14 @@
   return out;
 }
 
-EngineStatus engineStatus() {
+EngineStatus makeEngineStatus() {
   EngineStatus out;
   out.Model = "m";
   out.Version = "v1";
   return out;
 }
 
-wire::Offer offerOf(uint64_t n) {
+wire::Offer makeOffer(uint64_t n) {
   wire::Offer out;
   out.Id = {1, n + 1};
   out.AttemptNumber = 1;
@@ -69,22 +69,22 @@
   out.Priority = 5;
   out.RemainingMicros = 3'600'000'000;
   out.PromptTokens = PromptBytes / BytesPerToken;
-  out.MaxTokens = ChunksEach;
+  out.MaxTokens = ChunksPerRun;
   out.Body = std::string(PromptBytes, 'x');
   return out;
 }
 
 struct Cost {
-  double Nanos = 0;
+  double Nanoseconds = 0;
   double Allocations = 0;
 };
 
 /// Applies every input at the same time; starts are noted.
 class Bench {
 public:
-  explicit Bench(uint32_t runs) : Core(settingsFor(runs), [] { return 7; }) {
-    Core.apply(engineStatus(), Epoch, Actions);
-    Core.apply(LinkOpened{Link}, Epoch, Actions);
+  explicit Bench(uint32_t runs) : Core(makeSettings(runs), [] { return 7; }) {
+    Core.apply(makeEngineStatus(), StartTime, Actions);
+    Core.apply(LinkOpened{Link}, StartTime, Actions);
     Actions.clear();
   }
 
@@ -93,10 +93,10 @@
     uint64_t before = Allocations;
     auto from = Clock::now();
     for (AgentInput &it : inputs) {
-      Core.apply(std::move(it), Epoch, Actions);
+      Core.apply(std::move(it), StartTime, Actions);
       for (const AgentAction &action : Actions)
         if (const auto *start = std::get_if<StartRun>(&action))
-          Started.push_back(start->Run);
+          StartedRuns.push_back(start->Run);
       Actions.clear();
     }
     std::chrono::duration<double, std::nano> took = Clock::now() - from;
@@ -106,30 +106,30 @@
 
   AgentCore Core;
   AgentActions Actions;
-  std::vector<RunToken> Started;
+  std::vector<RunToken> StartedRuns;
 };
 
 void measure(uint32_t runs) {
   Bench bench(runs);
-  size_t before = Held;
+  size_t before = HeapBytes;
   std::vector<AgentInput> offers;
   for (uint32_t i = 0; i < runs; ++i)
-    offers.push_back(LinkMessage{Link, offerOf(i)});
+    offers.push_back(LinkMessage{Link, makeOffer(i)});
   Cost offer = bench.apply(std::move(offers));
   std::vector<AgentInput> chunks;
-  for (uint32_t n = 0; n < ChunksEach; ++n)
-    for (const RunToken &run : bench.Started)
+  for (uint32_t n = 0; n < ChunksPerRun; ++n)
+    for (const RunToken &run : bench.StartedRuns)
       chunks.push_back(RunText{run, run, n, 1, "a word or two"});
   Cost chunk = bench.apply(std::move(chunks));
-  auto memory = static_cast<double>(Held - before) / runs;
+  auto memory = static_cast<double>(HeapBytes - before) / runs;
   std::vector<AgentInput> ends;
-  for (const RunToken &run : bench.Started)
-    ends.push_back(RunDone{run, run, "stop", 512, 0, ChunksEach, 0, {}});
+  for (const RunToken &run : bench.StartedRuns)
+    ends.push_back(RunDone{run, run, "stop", 512, 0, ChunksPerRun, 0, {}});
   Cost end = bench.apply(std::move(ends));
   std::printf("| %6u | %8.0f | %6.1f | %8.0f | %6.2f | %8.0f | %6.1f | %8.0f "
               "|\n",
-              runs, offer.Nanos, offer.Allocations, chunk.Nanos,
-              chunk.Allocations, end.Nanos, end.Allocations, memory);
+              runs, offer.Nanoseconds, offer.Allocations, chunk.Nanoseconds,
+              chunk.Allocations, end.Nanoseconds, end.Allocations, memory);
 }
 
 } // namespace
--- a/bench/decide.cpp
+++ b/bench/decide.cpp
@@ -34,16 +34,16 @@
 
 namespace {
 
-constexpr uint64_t Warmup = 2'000;
+constexpr uint64_t WarmupCalls = 2'000;
 constexpr uint64_t Rounds = 5;
-constexpr TimePoint Epoch{Duration{1'000'000'000}};
+constexpr TimePoint StartTime{Duration{1'000'000'000}};
 
 /// Nanoseconds and allocations of one call: the best of some rounds, since the
 /// machine is shared.
 void measure(const char *name, const char *size, uint64_t calls,
              const std::function<void(uint64_t)> &run) {
   using Clock = std::chrono::steady_clock;
-  for (uint64_t i = 0; i < std::min(Warmup, calls); ++i)
+  for (uint64_t i = 0; i < std::min(WarmupCalls, calls); ++i)
     run(i);
   double best = 1e18;
   uint64_t before = Allocations;
@@ -89,7 +89,7 @@
   report.PrefillTokensPerSecond = 8'000;
   for (const Server &server : snapshot->Servers) {
     report.WaitMicros = server.NameHash % 1'000'000;
-    loads.observe(server.NameHash, report, Epoch);
+    loads.observe(server.NameHash, report, StartTime);
   }
   std::vector<PieceKey> pieces(2);
   uint64_t sink = 0;
@@ -104,9 +104,9 @@
   measure("route: whole decision", size.c_str(), 20'000, [&](uint64_t i) {
     RouteKey key = keyOf(i);
     CandidateList list = table.candidates("model", false, key, "region0");
-    sink +=
-        rankCandidates(list, *snapshot, loads, {}, 9'000, key, "region0", Epoch)
-            .Count;
+    sink += rankCandidates(list, *snapshot, loads, {}, 9'000, key, "region0",
+                           StartTime)
+                .Count;
   });
   measure("route: build the table", size.c_str(), 20, [&](uint64_t) {
     sink += RoutingTable(snapshot).snapshot().Servers.size();
@@ -130,8 +130,8 @@
   out.AttemptNumber = 1;
   out.Organisation = mix64(i % organisations);
   out.Priority = static_cast<uint8_t>(4 + i % 3);
-  out.Deadline = Epoch + Duration(60'000'000 + mix64(i) % 60'000'000);
-  out.ContextReady = Epoch;
+  out.Deadline = StartTime + Duration(60'000'000 + mix64(i) % 60'000'000);
+  out.ContextReady = StartTime;
   out.Prefill = Duration(100'000);
   out.Decode = Duration(500'000);
   return out;
@@ -143,28 +143,29 @@
   RunQueue queue(settings);
   uint64_t n = 0;
   for (; n < settings.Slots; ++n) {
-    queue.push(makeRun(n, 10), Epoch);
-    queue.start(Epoch);
+    queue.push(makeRun(n, 10), StartTime);
+    queue.start(StartTime);
   }
   for (uint64_t i = 0; i < waiting; ++i)
-    queue.push(makeRun(n++, 10), Epoch);
+    queue.push(makeRun(n++, 10), StartTime);
   uint64_t sink = 0;
   AcceptanceSettings acceptance;
   measure("accept: decision", size.c_str(), 5'000, [&](uint64_t i) {
-    sink += decideAcceptance(queue, settings, acceptance, makeRun(i, 10), Epoch)
-                .accepted();
+    sink +=
+        decideAcceptance(queue, settings, acceptance, makeRun(i, 10), StartTime)
+            .accepted();
   });
   measure("queue: push and cancel", size.c_str(), 5'000, [&](uint64_t i) {
     RunRequest run = makeRun(1'000'000 + i, 10);
-    queue.push(run, Epoch);
+    queue.push(run, StartTime);
     sink += queue.cancel(run.Id, run.AttemptNumber);
   });
   uint64_t oldest = 0;
   measure("queue: finish, start, push", size.c_str(), 5'000, [&](uint64_t) {
     queue.finish({1, oldest}, 1);
-    if (auto run = queue.start(Epoch))
+    if (auto run = queue.start(StartTime))
       oldest = run->Id.Lo;
-    queue.push(makeRun(n++, 10), Epoch);
+    queue.push(makeRun(n++, 10), StartTime);
     sink += queue.waiting();
   });
   if (sink == 0)
@@ -185,14 +186,14 @@
   uint64_t sink = 0;
   measure("limit: admit and finish", size.c_str(), 20'000, [&](uint64_t i) {
     const Organisation &organisation = all[mix64(i) % organisations];
-    TimePoint now = Epoch + Duration(static_cast<int64_t>(i) * 7'000);
+    TimePoint now = StartTime + Duration(static_cast<int64_t>(i) * 7'000);
     LimitDecision out = limits.admit(organisation, Entries, now);
     sink += out.Verdict == LimitVerdict::Admitted;
     limits.releaseSlot(hashName(organisation.Name));
   });
   measure("limit: owner's grant", size.c_str(), 20'000, [&](uint64_t i) {
     const Organisation &organisation = all[mix64(i) % organisations];
-    TimePoint now = Epoch + Duration(static_cast<int64_t>(i) * 7'000);
+    TimePoint now = StartTime + Duration(static_cast<int64_t>(i) * 7'000);
     QuotaRequest request;
     request.Organisation = hashName(organisation.Name);
     request.Entry = mix64(i % Entries);
--- a/bench/ejection.cpp
+++ b/bench/ejection.cpp
@@ -17,24 +17,24 @@
 
 constexpr uint32_t Servers = 12;
 constexpr uint32_t Domains = 3;
-constexpr uint32_t Capacity = 10;  // requests a second
-constexpr uint32_t UsualLoad = 96; // requests a second, four fifths
-constexpr int64_t Seconds = 600;
-constexpr int64_t FaultFrom = 60;
-constexpr int64_t FaultTo = 180;
-constexpr size_t Offers = 4;
-constexpr Duration Predicted{100'000};
-constexpr Duration Slow{1'000'000};
+constexpr uint32_t ServerCapacity = 10; // requests a second
+constexpr uint32_t UsualLoad = 96;      // requests a second, four fifths
+constexpr int64_t RunSeconds = 600;
+constexpr int64_t FaultStartSecond = 60;
+constexpr int64_t FaultEndSecond = 180;
+constexpr size_t CandidateCount = 4;
+constexpr Duration PredictedTime{100'000};
+constexpr Duration SlowTime{1'000'000};
 constexpr uint64_t PoolHash = 7;
 
 enum class Fault : uint8_t { OneDead, DomainDead, OneSlow, Surge, FaultyProbe };
 
 struct Outcome {
   uint64_t Requests = 0;
-  uint64_t InTime = 0;
+  uint64_t OnTime = 0;
   uint64_t Attempts = 0;
   uint64_t Ejections = 0;
-  uint64_t HeldBack = 0;
+  uint64_t CapReached = 0;
 };
 
 bool isDead(Fault fault, uint32_t server) {
@@ -44,83 +44,88 @@
 
 class Run {
 public:
-  Run(Fault fault, bool ejects, const EjectionSettings &settings)
-      : What(fault), Ejects(ejects), Health(settings) {}
+  Run(Fault fault, bool hasEjection, const EjectionSettings &settings)
+      : InjectedFault(fault), HasEjection(hasEjection),
+        ServerEjector(settings) {}
 
   Outcome run() {
-    for (int64_t t = 0; t < Seconds; ++t) {
+    for (int64_t t = 0; t < RunSeconds; ++t) {
       Now = TimePoint(Duration((1'000 + t) * 1'000'000));
-      Faulty = t >= FaultFrom && t < FaultTo;
+      IsFaultActive = t >= FaultStartSecond && t < FaultEndSecond;
       Load.fill(0);
       uint32_t load = UsualLoad;
-      if (Faulty && What == Fault::Surge)
+      if (IsFaultActive && InjectedFault == Fault::Surge)
         load += load / 2;
       for (uint32_t i = 0; i < load; ++i)
         request();
     }
-    return Out;
+    return Result;
   }
 
 private:
   void request() {
-    ++Out.Requests;
-    std::array<uint32_t, Offers> order = candidates();
+    ++Result.Requests;
+    std::array<uint32_t, CandidateCount> order = candidates();
     for (uint32_t server : order) {
-      ++Out.Attempts;
-      if (Faulty && isDead(What, server)) {
-        note(Health.onFailure(PoolHash, Servers, server, Now));
+      ++Result.Attempts;
+      if (IsFaultActive && isDead(InjectedFault, server)) {
+        countVerdict(ServerEjector.onFailure(PoolHash, Servers, server, Now));
         continue;
       }
-      uint32_t most = Faulty && What == Fault::OneSlow && server == 0
-                          ? Capacity / 10
-                          : Capacity;
-      bool inTime = ++Load[server] <= most;
-      Out.InTime += inTime ? 1 : 0;
+      uint32_t capacity =
+          IsFaultActive && InjectedFault == Fault::OneSlow && server == 0
+              ? ServerCapacity / 10
+              : ServerCapacity;
+      bool isOnTime = ++Load[server] <= capacity;
+      Result.OnTime += isOnTime ? 1 : 0;
       // A faulty probe takes two of five good answers for slow ones.
       bool looksSlow =
-          !inTime || (Faulty && What == Fault::FaultyProbe && draw() % 5 < 2);
-      note(Health.onAnswer(PoolHash, Servers, server, Predicted,
-                           looksSlow ? Slow : Predicted, Now));
+          !isOnTime || (IsFaultActive && InjectedFault == Fault::FaultyProbe &&
+                        nextRandom() % 5 < 2);
+      countVerdict(
+          ServerEjector.onAnswer(PoolHash, Servers, server, PredictedTime,
+                                 looksSlow ? SlowTime : PredictedTime, Now));
       return;
     }
   }
-  std::array<uint32_t, Offers> candidates() {
-    std::array<uint32_t, Offers> out{};
-    auto first = static_cast<uint32_t>(draw() % Servers);
-    for (uint32_t i = 0; i < Offers; ++i)
+  std::array<uint32_t, CandidateCount> candidates() {
+    std::array<uint32_t, CandidateCount> out{};
+    auto first = static_cast<uint32_t>(nextRandom() % Servers);
+    for (uint32_t i = 0; i < CandidateCount; ++i)
       out[i] = (first + i * 5) % Servers; // 5 and 12 have no common divisor.
     std::stable_sort(out.begin(), out.end(), [&](uint32_t a, uint32_t b) {
-      return std::pair(isOut(a), Load[a]) < std::pair(isOut(b), Load[b]);
+      return std::pair(isEjected(a), Load[a]) <
+             std::pair(isEjected(b), Load[b]);
     });
     return out;
   }
-  bool isOut(uint32_t server) const {
-    return Ejects && Health.isEjected(server, Now);
+  bool isEjected(uint32_t server) const {
+    return HasEjection && ServerEjector.isEjected(server, Now);
   }
-  void note(EjectionVerdict verdict) {
-    Out.Ejections += verdict == EjectionVerdict::Ejected ? 1 : 0;
-    Out.HeldBack += verdict == EjectionVerdict::CapReached ? 1 : 0;
+  void countVerdict(EjectionVerdict verdict) {
+    Result.Ejections += verdict == EjectionVerdict::Ejected ? 1 : 0;
+    Result.CapReached += verdict == EjectionVerdict::CapReached ? 1 : 0;
   }
-  uint64_t draw() { return mix64(++Draws); }
+  uint64_t nextRandom() { return mix64(++RandomCalls); }
 
-  Fault What;
-  bool Ejects;
-  Ejector Health;
+  Fault InjectedFault;
+  bool HasEjection;
+  Ejector ServerEjector;
   TimePoint Now;
-  bool Faulty = false;
+  bool IsFaultActive = false;
   std::array<uint32_t, Servers> Load{};
-  uint64_t Draws = 0;
-  Outcome Out;
+  uint64_t RandomCalls = 0;
+  Outcome Result;
 };
 
-void printRow(const char *fault, const char *way, const Outcome &out,
-              bool ejects) {
-  std::printf("| %-13s | %-9s | %9.3f | %9.3f | %9lu | %9lu |\n", fault, way,
-              100.0 * static_cast<double>(out.InTime) /
-                  static_cast<double>(out.Requests),
-              static_cast<double>(out.Attempts) /
-                  static_cast<double>(out.Requests),
-              ejects ? out.Ejections : 0UL, ejects ? out.HeldBack : 0UL);
+void printRow(const char *fault, const char *mode, const Outcome &out,
+              bool hasEjection) {
+  std::printf(
+      "| %-13s | %-9s | %9.3f | %9.3f | %9lu | %9lu |\n", fault, mode,
+      100.0 * static_cast<double>(out.OnTime) /
+          static_cast<double>(out.Requests),
+      static_cast<double>(out.Attempts) / static_cast<double>(out.Requests),
+      hasEjection ? out.Ejections : 0UL, hasEjection ? out.CapReached : 0UL);
 }
 
 void measure(const char *name, Fault fault) {
--- a/bench/hash.cpp
+++ b/bench/hash.cpp
@@ -35,7 +35,7 @@
 const std::string Secret(MinPieceSecretBytes, 's');
 
 /// An OpenSSL MAC whose context is reused: the key is prepared once.
-HashPiece macOf(const char *name, const char *digest) {
+HashPiece makeMac(const char *name, const char *digest) {
   std::unique_ptr<EVP_MAC, FreeMac> mac(EVP_MAC_fetch(nullptr, name, nullptr));
   std::shared_ptr<EVP_MAC_CTX> context(EVP_MAC_CTX_new(mac.get()), FreeMac());
   std::array<OSSL_PARAM, 2> params = {OSSL_PARAM_construct_end(),
@@ -58,7 +58,7 @@
 }
 
 /// A plain digest with the key as prefix, padded to a block.
-HashPiece prefixOf(const char *name) {
+HashPiece makePrefixedDigest(const char *name) {
   std::shared_ptr<EVP_MD> digest(EVP_MD_fetch(nullptr, name, nullptr),
                                  EVP_MD_free);
   std::shared_ptr<EVP_MD_CTX> context(EVP_MD_CTX_new(), FreeMac());
@@ -105,12 +105,13 @@
   std::string text(megabytes << 20U, 'x');
   for (size_t i = 0; i < text.size(); i += 61)
     text[i] = static_cast<char>(i);
-  measureHash("HMAC-SHA-256 (EVP_MAC)", text, macOf("HMAC", "SHA256"));
-  measureHash("HMAC-SHA-512 (EVP_MAC)", text, macOf("HMAC", "SHA512"));
-  measureHash("BLAKE2b keyed (EVP_MAC)", text, macOf("BLAKE2BMAC", nullptr));
-  measureHash("SHA-256 keyed prefix", text, prefixOf("SHA256"));
-  measureHash("SHA-512/256 keyed prefix", text, prefixOf("SHA512-256"));
-  measureHash("SHA3-256 keyed prefix", text, prefixOf("SHA3-256"));
+  measureHash("HMAC-SHA-256 (EVP_MAC)", text, makeMac("HMAC", "SHA256"));
+  measureHash("HMAC-SHA-512 (EVP_MAC)", text, makeMac("HMAC", "SHA512"));
+  measureHash("BLAKE2b keyed (EVP_MAC)", text, makeMac("BLAKE2BMAC", nullptr));
+  measureHash("SHA-256 keyed prefix", text, makePrefixedDigest("SHA256"));
+  measureHash("SHA-512/256 keyed prefix", text,
+              makePrefixedDigest("SHA512-256"));
+  measureHash("SHA3-256 keyed prefix", text, makePrefixedDigest("SHA3-256"));
   PieceKeyer keyer(Secret);
   PieceScope scope{"acme", "*", 1, "m", "v1", ""};
   report("piece keys (HMAC-SHA-256)",
--- a/bench/limits.cpp
+++ b/bench/limits.cpp
@@ -18,62 +18,65 @@
 constexpr size_t Entries = 1'300;
 constexpr size_t OrganisationCount = 7'900;
 constexpr double RequestsPerSecond = 138; // of one entry
-constexpr double SizePower = 1.0; // sizes fall with the rank to this power
-constexpr double LimitOverUsual = 2;
-constexpr double Seconds = 600;
+constexpr double SizeExponent = 1.0; // sizes fall with the rank to this power
+constexpr double LimitFactor = 2;
+constexpr double RunSeconds = 600;
 
-struct Row {
+struct Counts {
   uint64_t Requests = 0;
-  uint64_t Asks = 0;
+  uint64_t OwnerRequests = 0;
   uint64_t Refused = 0;
 };
 
-class Stream {
+class RequestStream {
 public:
-  Stream() {
+  RequestStream() {
     double sum = 0;
     for (size_t i = 1; i <= OrganisationCount; ++i)
-      Upper.push_back(sum += std::pow(i, -SizePower));
-    for (double &it : Upper)
+      CumulativeShares.push_back(sum += std::pow(i, -SizeExponent));
+    for (double &it : CumulativeShares)
       it /= sum;
   }
   double share(size_t organisation) const {
-    return Upper[organisation] - (organisation ? Upper[organisation - 1] : 0);
+    return CumulativeShares[organisation] -
+           (organisation ? CumulativeShares[organisation - 1] : 0);
   }
-  double gap() { return -std::log(uniform()) / RequestsPerSecond; }
-  size_t organisation() {
-    auto it = std::lower_bound(Upper.begin(), Upper.end(), uniform());
-    return std::min<size_t>(it - Upper.begin(), OrganisationCount - 1);
+  double nextGap() { return -std::log(uniform()) / RequestsPerSecond; }
+  size_t nextOrganisation() {
+    auto it = std::lower_bound(CumulativeShares.begin(), CumulativeShares.end(),
+                               uniform());
+    return std::min<size_t>(it - CumulativeShares.begin(),
+                            OrganisationCount - 1);
   }
 
 private:
   double uniform() {
-    return (static_cast<double>(mix64(++Draws) >> 11U) + 1) * 0x1p-53;
+    return (static_cast<double>(mix64(++RandomCalls) >> 11U) + 1) * 0x1p-53;
   }
-  std::vector<double> Upper;
-  uint64_t Draws = 0;
+  std::vector<double> CumulativeShares;
+  uint64_t RandomCalls = 0;
 };
 
 /// The owner has tokens for whoever stays below the limit, so asks are granted.
-Row run(const LimitSettings &settings) {
-  Stream stream;
+Counts run(const LimitSettings &settings) {
+  RequestStream stream;
   std::vector<Organisation> all(OrganisationCount);
   for (size_t i = 0; i < all.size(); ++i) {
     all[i].Name = "organisation" + std::to_string(i);
     all[i].RequestsPerSecond =
-        RequestsPerSecond * Entries * stream.share(i) * LimitOverUsual;
+        RequestsPerSecond * Entries * stream.share(i) * LimitFactor;
     all[i].Burst =
         static_cast<uint32_t>(std::ceil(all[i].RequestsPerSecond * 10));
   }
   OrganisationLimits limits(1, settings);
-  Row out;
-  for (double t = stream.gap(); t < Seconds; t += stream.gap()) {
-    const Organisation &organisation = all[stream.organisation()];
+  Counts out;
+  for (double t = stream.nextGap(); t < RunSeconds; t += stream.nextGap()) {
+    const Organisation &organisation = all[stream.nextOrganisation()];
     TimePoint now(Duration(static_cast<int64_t>((1'000 + t) * 1e6)));
     LimitDecision decision = limits.admit(organisation, Entries, now);
     ++out.Requests;
     if (decision.OwnerRequest) {
-      ++out.Asks;
+      ++out.OwnerRequests;
       QuotaGrant grant;
       grant.Organisation = decision.OwnerRequest->Organisation;
       grant.Sequence = decision.OwnerRequest->Sequence;
@@ -97,18 +100,19 @@
   LimitSettings settings;
   settings.StaticShare = staticShare;
   settings.MinDepth = depth;
-  Row row = run(settings);
+  Counts counts = run(settings);
   size_t bytes = wire::encode(std::variant<QuotaRequest>()).size() +
                  wire::encode(std::variant<QuotaGrant>()).size();
-  Organisation usual;
-  usual.RequestsPerSecond = 46;
-  usual.Burst = 460;
-  double excess = admissionBound(usual, Entries, Duration{0}, settings);
+  Organisation organisation;
+  organisation.RequestsPerSecond = 46;
+  organisation.Burst = 460;
+  double excess = admissionBound(organisation, Entries, Duration{0}, settings);
   std::printf("| %6.2f | %5.0f | %8.2f | %8.0f | %8.3f | %10.0f |\n",
-              staticShare, depth, static_cast<double>(row.Asks) / Seconds,
-              static_cast<double>(row.Asks * bytes) / Seconds,
-              100.0 * static_cast<double>(row.Refused) /
-                  static_cast<double>(row.Requests),
+              staticShare, depth,
+              static_cast<double>(counts.OwnerRequests) / RunSeconds,
+              static_cast<double>(counts.OwnerRequests * bytes) / RunSeconds,
+              100.0 * static_cast<double>(counts.Refused) /
+                  static_cast<double>(counts.Requests),
               excess);
 }
 
--- a/bench/loopback.cpp
+++ b/bench/loopback.cpp
@@ -39,7 +39,7 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-std::string promptOf(uint64_t n) { return "prompt " + std::to_string(n); }
+std::string makePrompt(uint64_t n) { return "prompt " + std::to_string(n); }
 
 std::string expectedText(const std::string &prompt) {
   std::string word = hexDigest(sha256(prompt)).substr(0, 8);
@@ -49,7 +49,7 @@
   return out;
 }
 
-net::HttpRequest requestFor(const std::string &prompt, bool stream) {
+net::HttpRequest makeRequest(const std::string &prompt, bool stream) {
   json::object body{{"model", FLAGS_model},
                     {"prompt", prompt},
                     {"max_tokens", FLAGS_tokens},
@@ -63,7 +63,7 @@
 }
 
 /// Kilobytes from a line of /proc/PID/status; 0 when there is none.
-uint64_t memoryOf(const std::string &field) {
+uint64_t processMemoryKib(const std::string &field) {
   std::ifstream file("/proc/" + std::to_string(FLAGS_pid) + "/status");
   for (std::string line; std::getline(file, line);)
     if (line.starts_with(field + ":"))
@@ -78,39 +78,40 @@
 }
 
 /// What all modes count.
-struct Tally {
+struct Totals {
   std::atomic<uint64_t> Good{0};
   std::atomic<uint64_t> Failed{0};
-  std::atomic<uint64_t> Mixed{0}; ///< Whole, but another text than expected.
-  std::mutex Lock;
-  std::vector<double> Micros;
+  std::atomic<uint64_t> WrongText{
+      0}; ///< Whole, but another text than expected.
+  std::mutex Mutex;
+  std::vector<double> LatenciesMicros;
   std::string FirstFailure;
 
-  void fail(const std::string &why) {
+  void fail(const std::string &reason) {
     ++Failed;
-    std::lock_guard guard(Lock);
+    std::lock_guard guard(Mutex);
     if (FirstFailure.empty())
-      FirstFailure = why;
+      FirstFailure = reason;
   }
   double quantile(double q) {
-    std::lock_guard guard(Lock);
-    if (Micros.empty())
+    std::lock_guard guard(Mutex);
+    if (LatenciesMicros.empty())
       return 0;
-    std::sort(Micros.begin(), Micros.end());
-    auto last = static_cast<double>(Micros.size() - 1);
-    return Micros[static_cast<size_t>(q * last)];
+    std::sort(LatenciesMicros.begin(), LatenciesMicros.end());
+    auto last = static_cast<double>(LatenciesMicros.size() - 1);
+    return LatenciesMicros[static_cast<size_t>(q * last)];
   }
 };
 
-class Load {
+class LoadGenerator {
 public:
-  explicit Load(Endpoint target)
-      : Target(std::move(target)), Work(Io.get_executor()),
+  explicit LoadGenerator(Endpoint target)
+      : Target(std::move(target)), WorkGuard(Io.get_executor()),
         Client(Io, {FLAGS_at_once, Duration(20'000'000)}) {
     for (uint64_t i = 0; i < FLAGS_threads; ++i)
       Threads.emplace_back([this] { Io.run(); });
   }
-  ~Load() {
+  ~LoadGenerator() {
     Io.stop();
     for (auto &t : Threads)
       t.join();
@@ -125,19 +126,19 @@
                             std::chrono::duration<double>(
                                 static_cast<double>(i) / FLAGS_rate));
       std::this_thread::sleep_until(at);
-      one(i, [this] { countDown(); });
+      sendRequest(i, [this] { onRequestDone(); });
     }
     Done.get_future().wait();
-    return figures();
+    return resultsJson();
   }
 
   json::object throughput() {
     warmUp();
     TimePoint begin = monotonicNow();
     for (uint64_t i = 0; i < std::min(FLAGS_at_once, FLAGS_requests); ++i)
-      chain();
+      sendNext();
     Done.get_future().wait();
-    json::object out = figures();
+    json::object out = resultsJson();
     double seconds =
         std::chrono::duration<double>(monotonicNow() - begin).count();
     out["requests_per_second"] = static_cast<double>(FLAGS_requests) / seconds;
@@ -145,21 +146,21 @@
   }
 
   json::object streams() {
-    uint64_t before = memoryOf("VmRSS");
-    Left = FLAGS_at_once;
+    uint64_t before = processMemoryKib("VmRSS");
+    RemainingRequests = FLAGS_at_once;
     for (uint64_t i = 0; i < FLAGS_at_once; ++i)
       stream(i);
     Done.get_future().wait();
-    json::object out = figures();
+    json::object out = resultsJson();
     out["rss_before_kib"] = before;
-    out["peak_kib"] = memoryOf("VmHWM");
-    out["most_at_once"] = MostOpen.load();
+    out["peak_kib"] = processMemoryKib("VmHWM");
+    out["most_at_once"] = MaxOpenStreams.load();
     return out;
   }
 
   json::object idle() {
     using Socket = asio::ip::tcp::socket;
-    uint64_t before = memoryOf("VmRSS");
+    uint64_t before = processMemoryKib("VmRSS");
     asio::io_context io;
     std::vector<Socket> sockets;
     asio::ip::tcp::endpoint to(asio::ip::make_address(Target.Address),
@@ -169,7 +170,7 @@
       sockets.back().connect(to);
     }
     std::this_thread::sleep_for(std::chrono::seconds(1));
-    uint64_t after = memoryOf("VmRSS");
+    uint64_t after = processMemoryKib("VmRSS");
     return {
         {"connections", FLAGS_at_once},
         {"rss_before_kib", before},
@@ -184,26 +185,27 @@
     constexpr uint64_t FirstWarmUp = 1'000'000'000;
     for (uint64_t i = 0; i < WarmUps; ++i) {
       std::promise<void> done;
-      one(FirstWarmUp + i, [&done] { done.set_value(); });
+      sendRequest(FirstWarmUp + i, [&done] { done.set_value(); });
       done.get_future().wait();
     }
-    Sum.Good = 0;
-    std::lock_guard guard(Sum.Lock);
-    Sum.Micros.clear();
-    Left = FLAGS_requests;
+    Results.Good = 0;
+    std::lock_guard guard(Results.Mutex);
+    Results.LatenciesMicros.clear();
+    RemainingRequests = FLAGS_requests;
   }
 
-  void one(uint64_t n, std::function<void()> then) {
-    std::string prompt = promptOf(n);
+  void sendRequest(uint64_t n, std::function<void()> then) {
+    std::string prompt = makePrompt(n);
     TimePoint begin = monotonicNow();
-    Client.fetch(Target, requestFor(prompt, false), Duration::zero(),
+    Client.fetch(Target, makeRequest(prompt, false), Duration::zero(),
                  [this, prompt, begin, then = std::move(then)](
                      const Error &error, const net::HttpResponse &response) {
                    Duration took = monotonicNow() - begin;
                    check(prompt, error, response);
                    {
-                     std::lock_guard guard(Sum.Lock);
-                     Sum.Micros.push_back(static_cast<double>(took.count()));
+                     std::lock_guard guard(Results.Mutex);
+                     Results.LatenciesMicros.push_back(
+                         static_cast<double>(took.count()));
                    }
                    then();
                  });
@@ -214,36 +216,36 @@
     boost::system::error_code ec;
     json::value answer = json::parse(response.Body, ec);
     if (error || response.Status != 200 || ec)
-      return Sum.fail(error.Detail + " " + std::to_string(response.Status) +
-                      " " + response.Body);
+      return Results.fail(error.Detail + " " + std::to_string(response.Status) +
+                          " " + response.Body);
     if (textOf(answer) == expectedText(prompt))
-      ++Sum.Good;
+      ++Results.Good;
     else
-      ++Sum.Mixed;
+      ++Results.WrongText;
   }
 
-  void chain() {
-    uint64_t n = Started++;
+  void sendNext() {
+    uint64_t n = StartedRequests++;
     if (n >= FLAGS_requests)
       return;
-    one(n, [this] {
-      countDown();
-      chain();
+    sendRequest(n, [this] {
+      onRequestDone();
+      sendNext();
     });
   }
 
-  void countDown() {
-    if (--Left == 0)
+  void onRequestDone() {
+    if (--RemainingRequests == 0)
       Done.set_value();
   }
 
   struct StreamState {
     net::SseParser Parser;
     unsigned Status = 0;
-    std::string Begin; ///< Of the body, to tell why it failed.
+    std::string BodyStart; ///< Of the body, to tell why it failed.
     std::string Text;
-    bool Whole = false;
-    bool Opened = false;
+    bool IsComplete = false;
+    bool HasData = false;
   };
 
   void stream(uint64_t n) {
@@ -255,12 +257,12 @@
     };
     hooks.Data = [this, state](std::string_view data) {
       constexpr size_t ShownBytes = 300;
-      if (state->Begin.size() < ShownBytes)
-        state->Begin.append(data.substr(0, ShownBytes));
-      if (!std::exchange(state->Opened, true))
-        opened();
+      if (state->BodyStart.size() < ShownBytes)
+        state->BodyStart.append(data.substr(0, ShownBytes));
+      if (!std::exchange(state->HasData, true))
+        onStreamOpened();
       state->Parser.feed(data, [state](const net::SseEvent &event) {
-        state->Whole |= event.Data == "[DONE]";
+        state->IsComplete |= event.Data == "[DONE]";
         boost::system::error_code ec;
         json::value value = json::parse(event.Data, ec);
         if (!ec)
@@ -268,45 +270,47 @@
       });
     };
     hooks.Done = [this, state, n](const Error &error) {
-      if (state->Opened)
-        --Open;
-      if (error || !state->Whole)
-        Sum.fail(error.Detail + " " + std::to_string(state->Status) + " " +
-                 state->Begin);
-      else if (state->Text == expectedText(promptOf(n)))
-        ++Sum.Good;
+      if (state->HasData)
+        --OpenStreams;
+      if (error || !state->IsComplete)
+        Results.fail(error.Detail + " " + std::to_string(state->Status) + " " +
+                     state->BodyStart);
+      else if (state->Text == expectedText(makePrompt(n)))
+        ++Results.Good;
       else
-        ++Sum.Mixed;
-      countDown();
+        ++Results.WrongText;
+      onRequestDone();
     };
-    Client.call(Target, requestFor(promptOf(n), true), Duration::zero(),
+    Client.call(Target, makeRequest(makePrompt(n), true), Duration::zero(),
                 std::move(hooks));
   }
 
-  void opened() {
-    uint64_t now = ++Open;
-    uint64_t most = MostOpen;
-    while (now > most && !MostOpen.compare_exchange_weak(most, now))
+  void onStreamOpened() {
+    uint64_t now = ++OpenStreams;
+    uint64_t maximum = MaxOpenStreams;
+    while (now > maximum && !MaxOpenStreams.compare_exchange_weak(maximum, now))
       continue;
   }
 
-  json::object figures() {
-    return {
-        {"good", Sum.Good.load()},      {"failed", Sum.Failed.load()},
-        {"mixed", Sum.Mixed.load()},    {"p50_us", Sum.quantile(0.5)},
-        {"p99_us", Sum.quantile(0.99)}, {"first_failure", Sum.FirstFailure}};
+  json::object resultsJson() {
+    return {{"good", Results.Good.load()},
+            {"failed", Results.Failed.load()},
+            {"mixed", Results.WrongText.load()},
+            {"p50_us", Results.quantile(0.5)},
+            {"p99_us", Results.quantile(0.99)},
+            {"first_failure", Results.FirstFailure}};
   }
 
   Endpoint Target;
   asio::io_context Io;
-  asio::executor_work_guard<asio::io_context::executor_type> Work;
+  asio::executor_work_guard<asio::io_context::executor_type> WorkGuard;
   net::HttpClient Client;
   std::vector<std::thread> Threads;
-  Tally Sum;
-  std::atomic<uint64_t> Started{0};
-  std::atomic<uint64_t> Left{0};
-  std::atomic<uint64_t> Open{0};
-  std::atomic<uint64_t> MostOpen{0};
+  Totals Results;
+  std::atomic<uint64_t> StartedRequests{0};
+  std::atomic<uint64_t> RemainingRequests{0};
+  std::atomic<uint64_t> OpenStreams{0};
+  std::atomic<uint64_t> MaxOpenStreams{0};
   std::promise<void> Done;
 };
 
@@ -320,7 +324,7 @@
     std::cout << "loopback: a part of scripts/bench-loopback; give --target\n";
     return 0;
   }
-  daisytack::Load load(*target);
+  daisytack::LoadGenerator load(*target);
   boost::json::object out;
   if (FLAGS_mode == "latency")
     out = load.latency();
--- a/bench/once.cpp
+++ b/bench/once.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Duration Life{600'000'000};
+constexpr Duration TicketLifetime{600'000'000};
 constexpr size_t AnswerBytes = 200;
 
 size_t heapBytes() { return mallinfo2().uordblks; }
@@ -22,13 +22,13 @@
   out.Instance = "kengarags-portal-1";
   out.Process = {7, 7};
   out.Secret = std::string(32, 's');
-  out.TicketLife = Life;
+  out.TicketLife = TicketLifetime;
   out.MaxRecords = records;
   out.MaxAnswerBytes = 1ULL << 30;
   return out;
 }
 
-double nanosecondsEach(TimePoint start, size_t n) {
+double nanosecondsPerCall(TimePoint start, size_t n) {
   std::chrono::duration<double, std::nano> passed = monotonicNow() - start;
   return passed.count() / static_cast<double>(n);
 }
@@ -37,9 +37,9 @@
   TicketLedger Ledger;
   std::vector<std::string> Tickets;
   std::vector<TicketKey> Keys;
-  double Issue = 0;
-  double Present = 0;
-  double Finish = 0;
+  double IssueNanoseconds = 0;
+  double PresentNanoseconds = 0;
+  double FinishNanoseconds = 0;
 };
 
 void issueAll(Run &run, size_t n, TimePoint now) {
@@ -48,19 +48,19 @@
   TimePoint start = monotonicNow();
   for (size_t i = 0; i < n; ++i)
     run.Tickets.push_back(*run.Ledger.issue("rimi-growers", now, reason));
-  run.Issue = nanosecondsEach(start, n);
+  run.IssueNanoseconds = nanosecondsPerCall(start, n);
 }
 
 void presentAll(Run &run, TimePoint now) {
   run.Keys.reserve(run.Tickets.size());
-  Presentation what{{1, 0}, 1, "rimi-growers", "", {2, 2}, {}, 0};
+  Presentation presentation{{1, 0}, 1, "rimi-growers", "", {2, 2}, {}, 0};
   TimePoint start = monotonicNow();
   for (const std::string &it : run.Tickets) {
-    what.Ticket = it;
-    ++what.Id.Lo;
-    run.Keys.push_back(run.Ledger.present(what, now).Key);
+    presentation.Ticket = it;
+    ++presentation.Id.Lo;
+    run.Keys.push_back(run.Ledger.present(presentation, now).Key);
   }
-  run.Present = nanosecondsEach(start, run.Tickets.size());
+  run.PresentNanoseconds = nanosecondsPerCall(start, run.Tickets.size());
 }
 
 void finishAll(Run &run, size_t answerBytes, TimePoint now) {
@@ -69,7 +69,7 @@
   TimePoint start = monotonicNow();
   for (const TicketKey &it : run.Keys)
     run.Ledger.finish(it, answer, now);
-  run.Finish = nanosecondsEach(start, run.Keys.size());
+  run.FinishNanoseconds = nanosecondsPerCall(start, run.Keys.size());
 }
 
 void measure(size_t n) {
@@ -87,8 +87,9 @@
   };
   std::printf("%8zu tickets  issue %5.0f ns  present %5.0f ns  finish %5.0f ns"
               "  record %4.0f B  kept answer of %zu B %4.0f B\n",
-              n, run.Issue, run.Present, run.Finish, each(recorded - before),
-              AnswerBytes, each(answered - recorded));
+              n, run.IssueNanoseconds, run.PresentNanoseconds,
+              run.FinishNanoseconds, each(recorded - before), AnswerBytes,
+              each(answered - recorded));
 }
 
 } // namespace
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -15,11 +15,11 @@
 using namespace std::chrono_literals;
 
 constexpr int Rounds = 5;
-constexpr int Calls = 2'000;
+constexpr int CallsPerRound = 2'000;
 constexpr int Sessions = 500;
 const TimePoint Start{Duration(1'000'000'000)};
 
-ServingConfig config() {
+ServingConfig makeConfig() {
   Service engines;
   engines.Name = "engines";
   engines.Engine = EngineTraits{};
@@ -36,9 +36,9 @@
   return out;
 }
 
-Catalog catalogOf(int servers) {
+Catalog makeCatalog(int servers) {
   Catalog out;
-  out.Config = std::make_shared<const ConfigIndex>(config());
+  out.Config = std::make_shared<const ConfigIndex>(makeConfig());
   for (int i = 0; i < servers; ++i) {
     BackendServer server;
     server.Id = "i-" + std::to_string(100'000 + i);
@@ -53,7 +53,7 @@
   return out;
 }
 
-ForwardRequest request(int number, bool hasPrompt) {
+ForwardRequest makeRequest(int number, bool hasPrompt) {
   ForwardRequest out;
   out.Head.RequestId = "r" + std::to_string(number);
   out.Service = hasPrompt ? "engines" : "plain";
@@ -71,44 +71,47 @@
   return out;
 }
 
-struct World {
-  explicit World(int servers) : Known(catalogOf(servers)) {}
+struct Fixture {
+  explicit Fixture(int servers) : CurrentCatalog(makeCatalog(servers)) {}
 
   ServerLoads Loads{{}};
   StoreLinks Links{{}};
   PrefillRate Rates{{}};
-  Ejector Ejected{{1, 4, 5s, 300s, 60s, 600s, true}};
-  KeptContext Kept{{}};
-  Catalog Known;
+  Ejector ServerEjector{{1, 4, 5s, 300s, 60s, 600s, true}};
+  KeptContext StoredContext{{}};
+  Catalog CurrentCatalog;
   SlowStart ColdServers{{}, {"10.0.0.1", 7000}, TimePoint()};
   RequestLimits Limits{{}, {"10.0.0.1", 7000}, TimePoint()};
-  Placement Place{
-      {}, {"d0"}, {Loads, Links, Ejected, Rates, Kept, ColdServers, Limits}};
+  Placement Placer{
+      {},
+      {"d0"},
+      {Loads, Links, ServerEjector, Rates, StoredContext, ColdServers, Limits}};
 };
 
 void measure(int servers, int entries, bool hasPrompt) {
-  World world(servers);
+  Fixture fixture(servers);
   for (int i = 0; i < entries; ++i) {
     std::vector<LoadShare> shares;
     for (int n = 0; n < 40; ++n) {
-      size_t at =
-          static_cast<size_t>(i * 40 + n) % world.Known.AllServers.size();
-      shares.push_back({world.Known.AllServers[at].ref().key(), 1, 100, 100});
+      size_t at = static_cast<size_t>(i * 40 + n) %
+                  fixture.CurrentCatalog.AllServers.size();
+      shares.push_back(
+          {fixture.CurrentCatalog.AllServers[at].ref().key(), 1, 100, 100});
     }
-    world.Loads.onPeerReport("e" + std::to_string(i), shares, 10s, Start);
+    fixture.Loads.onPeerReport("e" + std::to_string(i), shares, 10s, Start);
   }
   std::vector<ForwardRequest> requests;
-  for (int i = 0; i < Calls; ++i)
-    requests.push_back(request(i, hasPrompt));
+  for (int i = 0; i < CallsPerRound; ++i)
+    requests.push_back(makeRequest(i, hasPrompt));
   double best = 1e18;
   for (int round = 0; round < Rounds; ++round) {
     using Clock = std::chrono::steady_clock;
     auto from = Clock::now();
     Error reason;
-    int calls = servers > 1000 ? Calls / 20 : Calls;
+    int calls = servers > 1000 ? CallsPerRound / 20 : CallsPerRound;
     for (int i = 0; i < calls; ++i)
-      world.Place.choose(requests[static_cast<size_t>(i)], world.Known, {},
-                         1000, Start, reason);
+      fixture.Placer.choose(requests[static_cast<size_t>(i)],
+                            fixture.CurrentCatalog, {}, 1000, Start, reason);
     std::chrono::duration<double, std::micro> took = Clock::now() - from;
     best = std::min(best, took.count() / calls);
   }
--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 const std::vector<Policy> Policies = {
-    {"round robin", Routing::RoundRobin, Context::EngineOnly, false},
-    {"least loaded", Routing::LeastLoaded, Context::EngineOnly, false},
-    {"always recompute", Routing::Ours, Context::EngineOnly, true},
-    {"always fetch", Routing::Ours, Context::FetchAll, true},
-    {"ours", Routing::Ours, Context::Planned, true},
-    {"oracle", Routing::Ours, Context::Oracle, true},
+    {"round robin", Routing::RoundRobin, ContextReuse::EngineOnly, false},
+    {"least loaded", Routing::LeastLoaded, ContextReuse::EngineOnly, false},
+    {"always recompute", Routing::Daisytack, ContextReuse::EngineOnly, true},
+    {"always fetch", Routing::Daisytack, ContextReuse::FetchAll, true},
+    {"ours", Routing::Daisytack, ContextReuse::Planned, true},
+    {"oracle", Routing::Daisytack, ContextReuse::Oracle, true},
 };
 
 const std::vector<Scenario> Scenarios = {
@@ -29,16 +29,17 @@
 };
 
 // Organisations of this rank and below count as small.
-constexpr uint32_t SmallFrom = 3;
+constexpr uint32_t FirstSmallRank = 3;
 
 struct Summary {
-  double P50 = 0, P95 = 0, P99 = 0; ///< First token, seconds.
-  double SmallP95 = 0;              ///< Of small organisations.
-  double Recomputed = 0;            ///< Share of prompt tokens.
-  double Refused = 0;               ///< Share, those over the limit left out.
-  uint64_t Missed = 0;              ///< Accepted, and late or never answered.
-  double InTime = 0;                ///< Share of those within the limit.
-  double WorstInTime = 1;           ///< Of the organisation worst off.
+  double FirstTokenP50 = 0, FirstTokenP95 = 0,
+         FirstTokenP99 = 0;      ///< First token, seconds.
+  double SmallFirstTokenP95 = 0; ///< Of small organisations.
+  double RecomputedShare = 0;    ///< Share of prompt tokens.
+  double RefusedShare = 0;       ///< Share, those over the limit left out.
+  uint64_t MissedDeadlines = 0;  ///< Accepted, and late or never answered.
+  double OnTimeShare = 0;        ///< Share of those within the limit.
+  double MinOnTimeShare = 1;     ///< Of the organisation worst off.
 };
 
 double percentile(std::vector<double> &values, double share) {
@@ -49,61 +50,61 @@
   return values[n];
 }
 
-Summary summarise(const Deployment &what, const std::vector<Request> &stream,
+Summary summarise(const Deployment &setup, const std::vector<Request> &stream,
                   const RunResult &result) {
   struct Tally {
-    uint64_t Asked = 0;
-    uint64_t InTime = 0;
+    uint64_t Requests = 0;
+    uint64_t OnTime = 0;
   };
   Summary out;
   std::vector<double> first;
   std::vector<double> small;
-  std::vector<Tally> tallies(Organisations);
-  double prompt = 0;
+  std::vector<Tally> tallies(OrganisationCount);
+  double promptTokens = 0;
   double recomputed = 0;
-  uint64_t asked = 0;
+  uint64_t requests = 0;
   uint64_t refused = 0;
-  uint64_t inTime = 0;
+  uint64_t onTime = 0;
   for (size_t i = 0; i < stream.size(); ++i) {
-    const Record &it = result.Records[i];
+    const RequestOutcome &it = result.Outcomes[i];
     if (!it.Counted || it.Limited)
       continue;
     const Request &request = stream[i];
     Tally &tally = tallies[request.Organisation];
-    ++asked;
-    ++tally.Asked;
+    ++requests;
+    ++tally.Requests;
     if (it.Refused) {
       ++refused;
       continue;
     }
-    bool late = it.Lost || it.Took > what.Classes[request.Class].Deadline;
-    out.Missed += late ? 1 : 0;
-    inTime += late ? 0 : 1;
-    tally.InTime += late ? 0 : 1;
-    first.push_back(seconds(it.FirstToken));
-    if (request.Organisation >= SmallFrom)
-      small.push_back(seconds(it.FirstToken));
-    prompt += request.PromptTokens;
-    recomputed += it.Recomputed;
+    bool late = it.Lost || it.TotalTime > setup.Classes[request.Class].Deadline;
+    out.MissedDeadlines += late ? 1 : 0;
+    onTime += late ? 0 : 1;
+    tally.OnTime += late ? 0 : 1;
+    first.push_back(seconds(it.FirstTokenTime));
+    if (request.Organisation >= FirstSmallRank)
+      small.push_back(seconds(it.FirstTokenTime));
+    promptTokens += request.PromptTokens;
+    recomputed += it.RecomputedTokens;
   }
-  out.P50 = percentile(first, 0.5);
-  out.P95 = percentile(first, 0.95);
-  out.P99 = percentile(first, 0.99);
-  out.SmallP95 = percentile(small, 0.95);
-  out.Recomputed = recomputed / std::max(prompt, 1.0);
-  auto all = static_cast<double>(std::max<uint64_t>(asked, 1));
-  out.Refused = static_cast<double>(refused) / all;
-  out.InTime = static_cast<double>(inTime) / all;
+  out.FirstTokenP50 = percentile(first, 0.5);
+  out.FirstTokenP95 = percentile(first, 0.95);
+  out.FirstTokenP99 = percentile(first, 0.99);
+  out.SmallFirstTokenP95 = percentile(small, 0.95);
+  out.RecomputedShare = recomputed / std::max(promptTokens, 1.0);
+  auto all = static_cast<double>(std::max<uint64_t>(requests, 1));
+  out.RefusedShare = static_cast<double>(refused) / all;
+  out.OnTimeShare = static_cast<double>(onTime) / all;
   for (const Tally &it : tallies)
-    if (it.Asked > 0)
-      out.WorstInTime =
-          std::min(out.WorstInTime, static_cast<double>(it.InTime) /
-                                        static_cast<double>(it.Asked));
+    if (it.Requests > 0)
+      out.MinOnTimeShare =
+          std::min(out.MinOnTimeShare, static_cast<double>(it.OnTime) /
+                                           static_cast<double>(it.Requests));
   return out;
 }
 
-void printHead(const Deployment &what, const Scenario &scenario, size_t n) {
-  std::printf("\n%s, %s (%zu requests)\n", what.Name.c_str(),
+void printHead(const Deployment &setup, const Scenario &scenario, size_t n) {
+  std::printf("\n%s, %s (%zu requests)\n", setup.Name.c_str(),
               scenario.Name.c_str(), n);
   std::printf("%-17s %7s %7s %7s %8s %8s %8s %7s %6s %7s %8s %7s %7s %6s\n",
               "policy", "p50 s", "p95 s", "p99 s", "small95", "recomp%",
@@ -115,10 +116,12 @@
   std::printf(
       "%-17s %7.3f %7.3f %7.3f %8.3f %8.2f %8.0f %7.0f %6.1f %7lu %8.2f "
       "%7.2f %7.2f %6lu\n",
-      policy.Name.c_str(), it.P50, it.P95, it.P99, it.SmallP95,
-      it.Recomputed * 100, static_cast<double>(run.Fetched) / 1e9,
-      static_cast<double>(run.Exported) / 1e9, run.LinkUse * 100, it.Missed,
-      it.Refused * 100, it.InTime * 100, it.WorstInTime * 100, run.Moves);
+      policy.Name.c_str(), it.FirstTokenP50, it.FirstTokenP95, it.FirstTokenP99,
+      it.SmallFirstTokenP95, it.RecomputedShare * 100,
+      static_cast<double>(run.FetchedBytes) / 1e9,
+      static_cast<double>(run.ExportedBytes) / 1e9, run.LinkUtilisation * 100,
+      it.MissedDeadlines, it.RefusedShare * 100, it.OnTimeShare * 100,
+      it.MinOnTimeShare * 100, run.Moves);
   std::fflush(stdout);
 }
 
@@ -127,22 +130,22 @@
   options.Length = fromSeconds(hours * 3600);
   options.WarmUp = options.Length / 3;
   options.Seed = seed;
-  for (const Deployment &what : {riga(), dakar()})
+  for (const Deployment &setup : {riga(), dakar()})
     for (const Scenario &scenario : Scenarios) {
       if (!only.empty() && scenario.Name != only)
         continue;
-      StreamOptions shape;
-      shape.Length = options.Length;
-      shape.Bursts = scenario.Bursts;
-      shape.Seed = seed;
-      if (scenario.Misbehaviour)
-        shape.MisbehavesFrom = TimePoint(options.WarmUp);
-      auto stream = StreamGenerator(what, shape).run();
-      printHead(what, scenario, stream.size());
+      StreamOptions streamOptions;
+      streamOptions.Length = options.Length;
+      streamOptions.HasBursts = scenario.HasBursts;
+      streamOptions.Seed = seed;
+      if (scenario.HasMisbehaviour)
+        streamOptions.MisbehaviourStart = TimePoint(options.WarmUp);
+      auto stream = StreamGenerator(setup, streamOptions).run();
+      printHead(setup, scenario, stream.size());
       for (const Policy &policy : Policies) {
         RunResult result =
-            PolicyRun(what, policy, scenario, stream, options).run();
-        printRow(policy, summarise(what, stream, result), result);
+            PolicyRun(setup, policy, scenario, stream, options).run();
+        printRow(policy, summarise(setup, stream, result), result);
       }
     }
 }
--- a/bench/policy_model.h
+++ b/bench/policy_model.h
@@ -21,34 +21,34 @@
 
 // An 8-billion-parameter model with grouped-query attention keeps 64 KB a
 // token at 8 bits: 32 layers x 2 x 8 heads x 128.
-constexpr uint64_t PieceSize = 64ULL * 1024 * PieceTokens;
+constexpr uint64_t KeptPieceBytes = 64ULL * 1024 * PieceTokens;
 // A middling accelerator prefills such a model at this rate.
-constexpr double PrefillRate = 8'000; // tokens a second
+constexpr double EnginePrefillTokensPerSecond = 8'000; // tokens a second
 // A prefill costs a step of the engine however short it is.
-constexpr Duration PrefillStep{25'000};
+constexpr Duration PrefillOverhead{25'000};
 // Time between tokens of one run, alone, and the share that each other run
 // adds: decoding is bound by memory bandwidth, so a batch slows it little.
-constexpr Duration TokenTime{20'000};
+constexpr Duration DecodeTimePerToken{20'000};
 constexpr double BatchSlowdown = 0.02;
 // Runs that an agent hands to its engine at once.
 constexpr uint32_t EngineSlots = 16;
 // 19 GB of accelerator memory left for kept prefixes.
-constexpr size_t EnginePieces = 300;
+constexpr size_t EngineCachePieces = 300;
 // A store instance: 10 Gbit/s of link, 128 GB of memory, 384 GB of solid-state
 // disk that reads faster than the link carries.
-constexpr double LinkRate = 1.25e9; // bytes a second
-constexpr double DiskRate = 2e9;    // bytes a second
+constexpr double LinkBytesPerSecond = 1.25e9; // bytes a second
+constexpr double DiskBytesPerSecond = 2e9;    // bytes a second
 constexpr size_t StoreMemoryPieces = 2'000;
 constexpr size_t StorePieces = 8'000;
 // A fetch asks, reads and asks again: three trips.
 constexpr Duration FetchRoundTrip{9'000};
 // Caller to entry and entry to agent, there and back.
-constexpr Duration NetworkTime{9'000};
+constexpr Duration CallerNetworkTime{9'000};
 // Engines publish cache events late, and lose some.
-constexpr Duration CacheEventPeriod{200'000};
-constexpr double CacheEventLoss = 0.001;
+constexpr Duration CacheEventInterval{200'000};
+constexpr double CacheEventLossProbability = 0.001;
 // Pieces that a full store samples for eviction.
-constexpr size_t SampleSize = 16;
+constexpr size_t EvictionSampleSize = 16;
 
 using Random = std::mt19937_64;
 
@@ -65,15 +65,15 @@
 }
 
 /// Least recently used set of pieces.
-class LruPieces {
+class LruPieceSet {
 public:
-  explicit LruPieces(size_t capacity) : Capacity(capacity) {}
-  bool contains(const PieceKey &key) const { return Where.contains(key); }
+  explicit LruPieceSet(size_t capacity) : Capacity(capacity) {}
+  bool contains(const PieceKey &key) const { return Positions.contains(key); }
   /// Inserts or refreshes; returns what had to go.
   std::optional<PieceKey> touch(const PieceKey &key) {
     erase(key);
     Order.push_front(key);
-    Where[key] = Order.begin();
+    Positions[key] = Order.begin();
     if (Order.size() <= Capacity)
       return std::nullopt;
     PieceKey last = Order.back();
@@ -81,75 +81,76 @@
     return last;
   }
   void erase(const PieceKey &key) {
-    auto it = Where.find(key);
-    if (it == Where.end())
+    auto it = Positions.find(key);
+    if (it == Positions.end())
       return;
     Order.erase(it->second);
-    Where.erase(it);
+    Positions.erase(it);
   }
 
 private:
   size_t Capacity;
   std::list<PieceKey> Order;
-  std::unordered_map<PieceKey, std::list<PieceKey>::iterator> Where;
+  std::unordered_map<PieceKey, std::list<PieceKey>::iterator> Positions;
 };
 
 /// One engine: prefills one after another, decodes side by side, and keeps the
 /// prefixes used last.
 class EngineModel {
 public:
-  explicit EngineModel(uint64_t seed) : Cache(EnginePieces), Chance(seed) {}
+  explicit EngineModel(uint64_t seed) : Cache(EngineCachePieces), Rng(seed) {}
 
   double Speed = 1;
   uint32_t Running = 0;
 
   /// Leading pieces that need no prefill.
-  uint32_t cached(std::span<const PieceKey> pieces) const {
+  uint32_t cachedPieces(std::span<const PieceKey> pieces) const {
     uint32_t n = 0;
     while (n < pieces.size() && Cache.contains(pieces[n]))
       ++n;
     return n;
   }
   /// When the first token is there.
-  TimePoint prefill(uint32_t tokens, TimePoint now) {
-    Duration work = PrefillStep + fromSeconds(tokens / PrefillRate);
-    FreeAt = std::max(FreeAt, now) + fromSeconds(seconds(work) / Speed);
-    return FreeAt;
+  TimePoint startPrefill(uint32_t tokens, TimePoint now) {
+    Duration work =
+        PrefillOverhead + fromSeconds(tokens / EnginePrefillTokensPerSecond);
+    BusyUntil = std::max(BusyUntil, now) + fromSeconds(seconds(work) / Speed);
+    return BusyUntil;
   }
-  Duration decode(uint32_t tokens) const {
+  Duration decodeTime(uint32_t tokens) const {
     double batch = 1 + BatchSlowdown * Running;
-    return fromSeconds(seconds(TokenTime) * tokens * batch / Speed);
+    return fromSeconds(seconds(DecodeTimePerToken) * tokens * batch / Speed);
   }
   /// Pieces that were imported or computed; later ones are kept less long.
-  void keep(std::span<const PieceKey> pieces) {
+  void cachePieces(std::span<const PieceKey> pieces) {
     for (size_t i = pieces.size(); i-- > 0;) {
-      bool known = Cache.contains(pieces[i]);
-      auto gone = Cache.touch(pieces[i]);
-      if (!known)
-        publish(CacheEventKind::Stored, pieces[i]);
-      if (gone)
-        publish(CacheEventKind::Evicted, *gone);
+      bool wasCached = Cache.contains(pieces[i]);
+      auto evicted = Cache.touch(pieces[i]);
+      if (!wasCached)
+        recordEvent(CacheEventKind::Stored, pieces[i]);
+      if (evicted)
+        recordEvent(CacheEventKind::Evicted, *evicted);
     }
   }
-  bool holds(const PieceKey &piece) const { return Cache.contains(piece); }
+  bool isCached(const PieceKey &piece) const { return Cache.contains(piece); }
   /// Hands the events since the last poll to the view.
-  void poll(EngineView &view) {
-    view.apply(Events, Sequence);
-    Events.clear();
+  void deliverEvents(EngineView &view) {
+    view.apply(PendingEvents, NextSequence);
+    PendingEvents.clear();
   }
 
 private:
-  void publish(CacheEventKind kind, const PieceKey &piece) {
-    CacheEvent event{Sequence++, kind, piece};
-    if (uniform(Chance) >= CacheEventLoss)
-      Events.push_back(event);
+  void recordEvent(CacheEventKind kind, const PieceKey &piece) {
+    CacheEvent event{NextSequence++, kind, piece};
+    if (uniform(Rng) >= CacheEventLossProbability)
+      PendingEvents.push_back(event);
   }
 
-  LruPieces Cache;
-  Random Chance;
-  TimePoint FreeAt{};
-  std::vector<CacheEvent> Events;
-  uint64_t Sequence = 0;
+  LruPieceSet Cache;
+  Random Rng;
+  TimePoint BusyUntil{};
+  std::vector<CacheEvent> PendingEvents;
+  uint64_t NextSequence = 0;
 };
 
 /// One store instance behind its link: transfers one after another.
@@ -157,68 +158,73 @@
 public:
   StoreModel() : Memory(StoreMemoryPieces) {}
 
-  double Rate = LinkRate;
+  double LinkRate = LinkBytesPerSecond;
   bool Up = true;
-  uint64_t Fetched = 0;  ///< Bytes.
-  uint64_t Exported = 0; ///< Bytes.
-  Duration Busy{0};
+  uint64_t FetchedBytes = 0;  ///< Bytes.
+  uint64_t ExportedBytes = 0; ///< Bytes.
+  Duration LinkBusy{0};
 
   std::optional<StoredPiece> lookup(const PieceKey &key, uint32_t link) const {
-    auto it = Kept.find(key);
-    if (!Up || it == Kept.end())
+    auto it = Entries.find(key);
+    if (!Up || it == Entries.end())
       return std::nullopt;
     StoreTier tier = Memory.contains(key) ? StoreTier::Memory : StoreTier::Disk;
-    return StoredPiece{1, PieceSize, tier, link};
+    return StoredPiece{1, KeptPieceBytes, tier, link};
+  }
+  bool contains(const PieceKey &key) const {
+    return Up && Entries.contains(key);
   }
-  bool contains(const PieceKey &key) const { return Up && Kept.contains(key); }
   /// When a transfer that starts now has ended.
-  TimePoint transfer(const PieceKey &key, bool fetch, TimePoint now) {
-    bool fromDisk = fetch && Kept.contains(key) && !Memory.contains(key);
+  TimePoint startTransfer(const PieceKey &key, bool fetch, TimePoint now) {
+    bool fromDisk = fetch && Entries.contains(key) && !Memory.contains(key);
     TimePoint ready = now + FetchRoundTrip;
     if (fromDisk) {
-      DiskFree = std::max(DiskFree, now) + fromSeconds(PieceSize / DiskRate);
-      ready = std::max(ready, DiskFree);
+      DiskBusyUntil = std::max(DiskBusyUntil, now) +
+                      fromSeconds(KeptPieceBytes / DiskBytesPerSecond);
+      ready = std::max(ready, DiskBusyUntil);
     }
-    Duration work = fromSeconds(PieceSize / Rate);
-    LinkFree = std::max(LinkFree, now) + work;
-    Busy += work;
-    (fetch ? Fetched : Exported) += PieceSize;
-    if (fetch && Kept.contains(key))
+    Duration work = fromSeconds(KeptPieceBytes / LinkRate);
+    LinkBusyUntil = std::max(LinkBusyUntil, now) + work;
+    LinkBusy += work;
+    (fetch ? FetchedBytes : ExportedBytes) += KeptPieceBytes;
+    if (fetch && Entries.contains(key))
       Memory.touch(key);
-    return std::max(ready, LinkFree);
+    return std::max(ready, LinkBusyUntil);
+  }
+  bool isFull() const { return Entries.size() >= StorePieces; }
+  double usedShare() const {
+    return static_cast<double>(Entries.size()) / StorePieces;
   }
-  bool isFull() const { return Kept.size() >= StorePieces; }
-  double used() const { return static_cast<double>(Kept.size()) / StorePieces; }
   void insert(const PieceKey &key, std::string meta) {
-    if (!Up || Kept.contains(key))
+    if (!Up || Entries.contains(key))
       return;
-    Kept[key] = {Keys.size(), std::move(meta)};
+    Entries[key] = {Keys.size(), std::move(meta)};
     Keys.push_back(key);
     Memory.touch(key);
   }
   void erase(const PieceKey &key) {
-    auto it = Kept.find(key);
-    if (it == Kept.end())
+    auto it = Entries.find(key);
+    if (it == Entries.end())
       return;
     size_t slot = it->second.Slot;
     Keys[slot] = Keys.back();
-    Kept[Keys[slot]].Slot = slot;
+    Entries[Keys[slot]].Slot = slot;
     Keys.pop_back();
-    Kept.erase(key);
+    Entries.erase(key);
     Memory.erase(key);
   }
   std::vector<SampledPiece> sample(Random &random) const {
     std::vector<SampledPiece> out;
     std::set<size_t> taken;
-    while (taken.size() < std::min(SampleSize, Keys.size()))
+    while (taken.size() < std::min(EvictionSampleSize, Keys.size()))
       taken.insert(random() % Keys.size());
     for (size_t it : taken)
-      out.push_back({Keys[it], 1, PieceSize, Kept.at(Keys[it]).Meta});
+      out.push_back({Keys[it], 1, KeptPieceBytes, Entries.at(Keys[it]).Meta});
     return out;
   }
-  void lose() {
+  void fail() {
     Up = false;
-    Kept.clear();
+    Entries.clear();
     Keys.clear();
   }
 
@@ -227,11 +233,11 @@
     size_t Slot = 0;
     std::string Meta;
   };
-  LruPieces Memory;
-  std::unordered_map<PieceKey, Entry> Kept;
+  LruPieceSet Memory;
+  std::unordered_map<PieceKey, Entry> Entries;
   std::vector<PieceKey> Keys;
-  TimePoint LinkFree{};
-  TimePoint DiskFree{};
+  TimePoint LinkBusyUntil{};
+  TimePoint DiskBusyUntil{};
 };
 
 } // namespace daisytack::bench
--- a/bench/policy_run.h
+++ b/bench/policy_run.h
@@ -12,24 +12,24 @@
 
 namespace daisytack::bench {
 
-enum class Routing : uint8_t { RoundRobin, LeastLoaded, Ours };
-enum class Context : uint8_t { EngineOnly, FetchAll, Planned, Oracle };
+enum class Routing : uint8_t { RoundRobin, LeastLoaded, Daisytack };
+enum class ContextReuse : uint8_t { EngineOnly, FetchAll, Planned, Oracle };
 
 struct Policy {
   std::string Name;
-  Routing Route = Routing::Ours;
-  Context Reuse = Context::Planned;
-  bool Accepts =
+  Routing Route = Routing::Daisytack;
+  ContextReuse Reuse = ContextReuse::Planned;
+  bool ChecksAcceptance =
       true; ///< False: everything is queued, first come first served.
 };
 
 struct Scenario {
   std::string Name;
-  bool Bursts = false;
-  bool Misbehaviour = false;
-  double SlowServer = 1;    ///< Speed of one server in the fault window.
-  bool LosesDomain = false; ///< From the fault window's start on.
-  double LinkShare = 1;     ///< Of the links' rate in the fault window.
+  bool HasBursts = false;
+  bool HasMisbehaviour = false;
+  double SlowServerSpeed = 1; ///< Speed of one server in the fault window.
+  bool LosesDomain = false;   ///< From the fault window's start on.
+  double LinkRateFactor = 1;  ///< Of the links' rate in the fault window.
 };
 
 struct RunOptions {
@@ -39,31 +39,31 @@
 };
 
 /// Fate of one request.
-struct Record {
+struct RequestOutcome {
   bool Counted = false;
   bool Refused = false;
   bool Limited = false; ///< Refused by the organisation's limit.
   bool Lost = false;    ///< Accepted, and never answered.
-  Duration FirstToken{0};
-  Duration Took{0};
-  uint32_t Recomputed = 0;
+  Duration FirstTokenTime{0};
+  Duration TotalTime{0};
+  uint32_t RecomputedTokens = 0;
 };
 
 struct RunResult {
-  std::vector<Record> Records;
-  uint64_t Fetched = 0; ///< Bytes over all links.
-  uint64_t Exported = 0;
-  uint64_t GivenUp = 0; ///< Fetches, in pieces.
-  double LinkUse = 0;
+  std::vector<RequestOutcome> Outcomes;
+  uint64_t FetchedBytes = 0; ///< Bytes over all links.
+  uint64_t ExportedBytes = 0;
+  uint64_t AbandonedFetches = 0; ///< Fetches, in pieces.
+  double LinkUtilisation = 0;
   uint64_t Moves = 0;
 };
 
 // How often an agent looks for accepted requests that will be late.
-constexpr Duration AgentTick{250'000};
+constexpr Duration LateCheckInterval{250'000};
 constexpr uint32_t MaxMoves = 2;
 // How long entries need to learn that servers have died; until then offers to
 // them fail at once and go to the next candidate.
-constexpr Duration DetectionTime{2'000'000};
+constexpr Duration FailureDetectionTime{2'000'000};
 
 class PolicyRun {
 public:
@@ -73,12 +73,12 @@
   RunResult run();
 
 private:
-  enum class Kind : uint8_t {
+  enum class EventKind : uint8_t {
     Arrival,
     FirstToken,
     Finished,
     Transfer,
-    ReadyDue,
+    ContextDue,
     LinkWake,
     Poll,
     Tick,
@@ -86,82 +86,85 @@
     FaultOff,
     Detected,
   };
-  struct Happening {
+  struct SimulationEvent {
     TimePoint At;
     uint64_t Sequence;
-    Kind What;
-    uint32_t A;
-    uint64_t B;
-    uint64_t C;
-    bool operator>(const Happening &other) const {
+    EventKind Type;
+    uint32_t Target;
+    uint64_t Arg1;
+    uint64_t Arg2;
+    bool operator>(const SimulationEvent &other) const {
       return std::tie(At, Sequence) > std::tie(other.At, other.Sequence);
     }
   };
 
-  void at(TimePoint when, Kind what, uint32_t a = 0, uint64_t b = 0,
-          uint64_t c = 0) {
-    Events.push({when, ++LastSequence, what, a, b, c});
+  void schedule(TimePoint when, EventKind type, uint32_t target = 0,
+                uint64_t arg1 = 0, uint64_t arg2 = 0) {
+    Events.push({when, ++LastSequence, type, target, arg1, arg2});
   }
   void buildSnapshot();
-  void happen(const Happening &event);
+  void handle(const SimulationEvent &event);
   void onArrival(uint32_t index);
   void onFirstToken(uint32_t job, uint64_t epoch);
   void onFinished(uint32_t job, uint64_t epoch);
   void onTransfer(uint32_t server, uint32_t link, uint64_t id);
-  void onReadyDue(uint32_t job, uint64_t epoch);
-  void giveUpFetches(Job &job, AgentModel &agent);
+  void onContextDue(uint32_t job, uint64_t epoch);
+  void abandonFetches(Job &job, AgentModel &agent);
   void onTick(uint32_t server);
-  void onFault(bool on);
-  void loseDomain();
+  void onFault(bool isActive);
+  void failDomain();
   RunRequest runRequest(const Job &job, const AgentModel &agent) const;
 
   bool isWithinLimit(const Request &request, uint32_t entry);
   /// Servers to offer to, in order.
   std::vector<uint32_t> route(const Request &request, uint32_t index,
                               uint32_t entry);
-  bool place(Job &job, uint32_t entry, std::optional<uint32_t> except);
+  bool place(Job &job, uint32_t entry, std::optional<uint32_t> excluded);
   bool offer(Job &job, uint32_t server);
   void enqueue(Job &job, uint32_t server);
-  FetchPlan planAt(Job &job, AgentModel &agent);
-  FetchPlan fetchEverything(const PlanInput &input) const;
+  FetchPlan planFetches(Job &job, AgentModel &agent);
+  FetchPlan planAllFetches(const PlanInput &input) const;
   void startFetches(Job &job, AgentModel &agent);
-  void pumpQueue(uint32_t server);
-  void pumpLink(uint32_t server, uint32_t link);
+  void startRuns(uint32_t server);
+  void startTransfers(uint32_t server, uint32_t link);
   void beginPrefill(Job &job);
   void exportPieces(const Job &job);
-  void insertExported(uint32_t store, AgentModel &agent, const Cargo &cargo);
+  void insertExported(uint32_t store, AgentModel &agent,
+                      const PendingTransfer &pending);
   void report(uint32_t server, uint32_t entry);
-  WallTime wall() const { return WallTime(Now.time_since_epoch()); }
+  WallTime wallTime() const { return WallTime(Now.time_since_epoch()); }
 
-  const Deployment &What;
-  const Policy &How;
-  const Scenario &Fault;
+  const Deployment &Setup;
+  const Policy &TestedPolicy;
+  const Scenario &Faults;
   const std::vector<Request> &Stream;
   RunOptions Options;
 
   TimePoint Now{};
   uint64_t LastSequence = 0;
   uint64_t LastTransfer = 0;
-  std::priority_queue<Happening, std::vector<Happening>, std::greater<>> Events;
-  Random Chance;
+  std::priority_queue<SimulationEvent, std::vector<SimulationEvent>,
+                      std::greater<>>
+      Events;
+  Random Rng;
   RunQueueSettings QueueSettings;
   std::vector<std::unique_ptr<AgentModel>> Agents;
   std::vector<StoreModel> Stores;
-  std::vector<StoreInstance> StoreNames;
-  std::vector<Organisation> Customers;
-  std::vector<std::unique_ptr<LoadView>> Loads;
+  std::vector<StoreInstance> StoreInstances;
+  std::vector<Organisation> Organisations;
+  std::vector<std::unique_ptr<LoadView>> LoadViews;
   std::vector<std::unique_ptr<PrefixPopularity>> Popularity;
-  std::vector<std::unique_ptr<ReuseEstimate>> Reuse;
+  std::vector<std::unique_ptr<ReuseEstimate>> ReuseEstimates;
   std::vector<std::unique_ptr<OrganisationLimits>> Limits;
-  std::vector<std::unique_ptr<QuotaOwner>> Owners;
+  std::vector<std::unique_ptr<QuotaOwner>> QuotaOwners;
   std::shared_ptr<Snapshot> Members;
   std::unique_ptr<RoutingTable> Table;
   RouterSettings RouteSettings;
   std::vector<Job> Jobs;
-  std::unordered_map<PieceKey, bool> EverSeen; ///< For the oracle.
+  std::unordered_map<PieceKey, bool> SeenPieces; ///< For the oracle.
   std::vector<uint64_t> KeptBytes; ///< Per organisation, as the stores count.
-  RunResult Out;
-  uint32_t NextServer = 0;
+  RunResult Result;
+  uint32_t NextRoundRobinServer = 0;
 };
 
 } // namespace daisytack::bench
--- a/bench/policy_steps.h
+++ b/bench/policy_steps.h
@@ -8,52 +8,52 @@
                             const Scenario &scenario,
                             const std::vector<Request> &stream,
                             const RunOptions &options)
-    : What(deployment), How(policy), Fault(scenario), Stream(stream),
-      Options(options), Chance(options.Seed), Stores(deployment.Stores),
-      Jobs(stream.size()), KeptBytes(Organisations) {
+    : Setup(deployment), TestedPolicy(policy), Faults(scenario), Stream(stream),
+      Options(options), Rng(options.Seed), Stores(deployment.Stores),
+      Jobs(stream.size()), KeptBytes(OrganisationCount) {
   QueueSettings.Slots = EngineSlots;
   QueueSettings.MaxPrefills = 1;
   QueueSettings.MaxWait = std::chrono::seconds(60);
-  for (uint32_t i = 0; i < What.Servers; ++i)
-    Agents.push_back(std::make_unique<AgentModel>(options.Seed + i, What.Stores,
-                                                  QueueSettings));
-  for (uint32_t i = 0; i < What.Stores; ++i) {
+  for (uint32_t i = 0; i < Setup.Servers; ++i)
+    Agents.push_back(std::make_unique<AgentModel>(options.Seed + i,
+                                                  Setup.Stores, QueueSettings));
+  for (uint32_t i = 0; i < Setup.Stores; ++i) {
     std::string name = "store" + std::to_string(i);
-    const std::string &domain = What.Domains[i % What.Domains.size()];
-    StoreNames.push_back({name, domain, {}, hashName(name)});
+    const std::string &domain = Setup.Domains[i % Setup.Domains.size()];
+    StoreInstances.push_back({name, domain, {}, hashName(name)});
   }
-  for (uint32_t i = 0; i < Organisations; ++i) {
+  for (uint32_t i = 0; i < OrganisationCount; ++i) {
     Organisation it;
     it.Name = std::to_string(i);
-    it.RequestsPerSecond = What.RequestsPerSecond * sizeOf(i) * LimitOverUsual;
+    it.RequestsPerSecond = Setup.RequestsPerSecond * loadShare(i) * LimitFactor;
     it.Burst = static_cast<uint32_t>(10 + it.RequestsPerSecond * 10);
-    it.KeptBytes = What.Stores * StorePieces * PieceSize / 2;
-    Customers.push_back(it);
+    it.KeptBytes = Setup.Stores * StorePieces * KeptPieceBytes / 2;
+    Organisations.push_back(it);
   }
-  for (uint32_t i = 0; i < What.Entries; ++i) {
-    Loads.push_back(std::make_unique<LoadView>(LoadViewSettings{}));
+  for (uint32_t i = 0; i < Setup.Entries; ++i) {
+    LoadViews.push_back(std::make_unique<LoadView>(LoadViewSettings{}));
     Popularity.push_back(
         std::make_unique<PrefixPopularity>(PopularitySettings{}));
-    Reuse.push_back(std::make_unique<ReuseEstimate>(RouteSettings.HomeReuse,
-                                                    RouteSettings.NextReuse));
+    ReuseEstimates.push_back(std::make_unique<ReuseEstimate>(
+        RouteSettings.HomeReuse, RouteSettings.NextReuse));
     Limits.push_back(
         std::make_unique<OrganisationLimits>(i + 1, LimitSettings{}));
-    Owners.push_back(std::make_unique<QuotaOwner>(LimitSettings{}));
+    QuotaOwners.push_back(std::make_unique<QuotaOwner>(LimitSettings{}));
   }
-  Out.Records.resize(stream.size());
+  Result.Outcomes.resize(stream.size());
   buildSnapshot();
 }
 
 inline void PolicyRun::buildSnapshot() {
   Members = std::make_shared<Snapshot>();
-  for (uint32_t i = 0; i < What.Servers; ++i) {
+  for (uint32_t i = 0; i < Setup.Servers; ++i) {
     if (!Agents[i]->Up)
       continue;
     Server it;
     it.Name = std::string("server") + static_cast<char>('a' + i);
     it.Serves = "m";
     it.Region = "r";
-    it.FailureDomain = What.Domains[i % What.Domains.size()];
+    it.FailureDomain = Setup.Domains[i % Setup.Domains.size()];
     it.NameHash = hashName(it.Name);
     Members->Servers.push_back(it);
   }
@@ -63,112 +63,117 @@
 
 inline RunResult PolicyRun::run() {
   for (uint32_t i = 0; i < Stream.size(); ++i)
-    at(Stream[i].At, Kind::Arrival, i);
-  for (uint32_t i = 0; i < What.Servers; ++i) {
-    at(TimePoint(CacheEventPeriod), Kind::Poll, i);
-    at(TimePoint(AgentTick), Kind::Tick, i);
+    schedule(Stream[i].ArrivedAt, EventKind::Arrival, i);
+  for (uint32_t i = 0; i < Setup.Servers; ++i) {
+    schedule(TimePoint(CacheEventInterval), EventKind::Poll, i);
+    schedule(TimePoint(LateCheckInterval), EventKind::Tick, i);
   }
-  Duration measured = Options.Length - Options.WarmUp;
-  at(TimePoint(Options.WarmUp + measured / 3), Kind::FaultOn);
-  at(TimePoint(Options.WarmUp + measured * 2 / 3), Kind::FaultOff);
+  Duration measuredTime = Options.Length - Options.WarmUp;
+  schedule(TimePoint(Options.WarmUp + measuredTime / 3), EventKind::FaultOn);
+  schedule(TimePoint(Options.WarmUp + measuredTime * 2 / 3),
+           EventKind::FaultOff);
   while (!Events.empty()) {
-    Happening next = Events.top();
+    SimulationEvent next = Events.top();
     Events.pop();
     Now = next.At;
-    happen(next);
+    handle(next);
   }
   Duration busy{0};
   for (const StoreModel &it : Stores) {
-    Out.Fetched += it.Fetched;
-    Out.Exported += it.Exported;
-    busy += it.Busy;
+    Result.FetchedBytes += it.FetchedBytes;
+    Result.ExportedBytes += it.ExportedBytes;
+    busy += it.LinkBusy;
   }
-  Out.LinkUse = seconds(busy) / seconds(Options.Length) / What.Stores;
-  return std::move(Out);
+  Result.LinkUtilisation =
+      seconds(busy) / seconds(Options.Length) / Setup.Stores;
+  return std::move(Result);
 }
 
-inline void PolicyRun::happen(const Happening &event) {
-  bool over = Now > TimePoint(Options.Length + std::chrono::minutes(10));
-  switch (event.What) {
-  case Kind::Arrival:
-    return onArrival(event.A);
-  case Kind::FirstToken:
-    return onFirstToken(event.A, event.B);
-  case Kind::Finished:
-    return onFinished(event.A, event.B);
-  case Kind::Transfer:
-    return onTransfer(event.A, static_cast<uint32_t>(event.B), event.C);
-  case Kind::ReadyDue:
-    return onReadyDue(event.A, event.B);
-  case Kind::LinkWake:
-    return pumpLink(event.A, static_cast<uint32_t>(event.B));
-  case Kind::Poll:
-    Agents[event.A]->Engine.poll(Agents[event.A]->View);
-    if (!over)
-      at(Now + CacheEventPeriod, Kind::Poll, event.A);
+inline void PolicyRun::handle(const SimulationEvent &event) {
+  bool isOver = Now > TimePoint(Options.Length + std::chrono::minutes(10));
+  switch (event.Type) {
+  case EventKind::Arrival:
+    return onArrival(event.Target);
+  case EventKind::FirstToken:
+    return onFirstToken(event.Target, event.Arg1);
+  case EventKind::Finished:
+    return onFinished(event.Target, event.Arg1);
+  case EventKind::Transfer:
+    return onTransfer(event.Target, static_cast<uint32_t>(event.Arg1),
+                      event.Arg2);
+  case EventKind::ContextDue:
+    return onContextDue(event.Target, event.Arg1);
+  case EventKind::LinkWake:
+    return startTransfers(event.Target, static_cast<uint32_t>(event.Arg1));
+  case EventKind::Poll:
+    Agents[event.Target]->Engine.deliverEvents(Agents[event.Target]->View);
+    if (!isOver)
+      schedule(Now + CacheEventInterval, EventKind::Poll, event.Target);
     return;
-  case Kind::Tick:
-    onTick(event.A);
-    if (!over)
-      at(Now + AgentTick, Kind::Tick, event.A);
+  case EventKind::Tick:
+    onTick(event.Target);
+    if (!isOver)
+      schedule(Now + LateCheckInterval, EventKind::Tick, event.Target);
     return;
-  case Kind::FaultOn:
+  case EventKind::FaultOn:
     return onFault(true);
-  case Kind::FaultOff:
+  case EventKind::FaultOff:
     return onFault(false);
-  case Kind::Detected:
+  case EventKind::Detected:
     return buildSnapshot();
   }
 }
 
 inline bool PolicyRun::isWithinLimit(const Request &request, uint32_t entry) {
-  const Organisation &customer = Customers[request.Organisation];
-  LimitDecision decision = Limits[entry]->admit(customer, What.Entries, Now);
+  const Organisation &organisation = Organisations[request.Organisation];
+  LimitDecision decision =
+      Limits[entry]->admit(organisation, Setup.Entries, Now);
   if (decision.OwnerRequest) {
-    auto &owner = *Owners[request.Organisation % Owners.size()];
-    Limits[entry]->apply(owner.grant(customer, *decision.OwnerRequest, Now),
+    auto &owner = *QuotaOwners[request.Organisation % QuotaOwners.size()];
+    Limits[entry]->apply(owner.grant(organisation, *decision.OwnerRequest, Now),
                          Now);
   }
   if (decision.Verdict == LimitVerdict::AwaitGrant)
-    decision = Limits[entry]->admit(customer, What.Entries, Now);
+    decision = Limits[entry]->admit(organisation, Setup.Entries, Now);
   return decision.Verdict == LimitVerdict::Admitted;
 }
 
 inline void PolicyRun::onArrival(uint32_t index) {
   const Request &request = Stream[index];
-  Record &record = Out.Records[index];
-  record.Counted = request.At >= TimePoint(Options.WarmUp);
-  uint32_t entry = index % What.Entries;
+  RequestOutcome &outcome = Result.Outcomes[index];
+  outcome.Counted = request.ArrivedAt >= TimePoint(Options.WarmUp);
+  uint32_t entry = index % Setup.Entries;
   if (!isWithinLimit(request, entry)) {
-    record.Refused = record.Limited = true;
+    outcome.Refused = outcome.Limited = true;
     return;
   }
   Job &job = Jobs[index];
-  job.What = &request;
+  job.Incoming = &request;
   job.Index = index;
   job.Entry = entry;
   job.Run.Id = {1, index + 1};
   if (place(job, entry, std::nullopt))
     return;
-  record.Refused = true;
-  Limits[entry]->releaseSlot(hashName(Customers[request.Organisation].Name));
+  outcome.Refused = true;
+  Limits[entry]->releaseSlot(
+      hashName(Organisations[request.Organisation].Name));
 }
 
 inline std::vector<uint32_t> PolicyRun::route(const Request &request,
                                               uint32_t index, uint32_t entry) {
   std::vector<uint32_t> out;
-  if (How.Route == Routing::RoundRobin) {
-    for (uint32_t i = 0; i < What.Servers; ++i)
-      out.push_back((NextServer + i) % What.Servers);
-    ++NextServer;
+  if (TestedPolicy.Route == Routing::RoundRobin) {
+    for (uint32_t i = 0; i < Setup.Servers; ++i)
+      out.push_back((NextRoundRobinServer + i) % Setup.Servers);
+    ++NextRoundRobinServer;
     return out;
   }
-  if (How.Route == Routing::LeastLoaded) {
+  if (TestedPolicy.Route == Routing::LeastLoaded) {
     auto load = [&](uint32_t i) {
       const RunQueue &queue = Agents[i]->Queue;
       return std::pair(queue.waitingWork(), queue.running());
     };
-    for (uint32_t i = 0; i < What.Servers; ++i)
+    for (uint32_t i = 0; i < Setup.Servers; ++i)
       out.push_back(i);
     std::stable_sort(out.begin(), out.end(),
                      [&](uint32_t a, uint32_t b) { return load(a) < load(b); });
@@ -176,37 +181,39 @@
   }
   auto depth = Popularity[entry]->chooseDepth(request.Pieces, hashName("m"),
                                               Members->Servers.size(), Now);
-  RouteKey key = makeRouteKey(hashName(Customers[request.Organisation].Name),
-                              "m", request.Pieces, mix64(index), depth);
+  RouteKey key =
+      makeRouteKey(hashName(Organisations[request.Organisation].Name), "m",
+                   request.Pieces, mix64(index), depth);
   CandidateList candidates = Table->candidates("m", false, key, "r");
-  RouteDecision decision = rankCandidates(
-      candidates, *Members, *Loads[entry], RouteSettings, request.PromptTokens,
-      key, "r", Now, nullptr, Reuse[entry].get());
-  Jobs[index].Places = {};
+  RouteDecision decision =
+      rankCandidates(candidates, *Members, *LoadViews[entry], RouteSettings,
+                     request.PromptTokens, key, "r", Now, nullptr,
+                     ReuseEstimates[entry].get());
+  Jobs[index].CandidateIndexes = {};
   for (const RankedCandidate &it : decision) {
     auto server = static_cast<uint32_t>(
         Members->Servers[it.Server.Index].Name.back() - 'a');
     out.push_back(server);
-    Jobs[index].Places[server] = it.Position;
+    Jobs[index].CandidateIndexes[server] = it.Position;
     Jobs[index].WaitLimits[server] = it.WaitLimit;
   }
   return out;
 }
 
 inline bool PolicyRun::place(Job &job, uint32_t entry,
-                             std::optional<uint32_t> except) {
+                             std::optional<uint32_t> excluded) {
   // First for a limited wait, then, when all waits are known, for any.
-  bool hasWaitLimit = How.Route == Routing::Ours;
+  bool hasWaitLimit = TestedPolicy.Route == Routing::Daisytack;
   for (bool limited : {true, false}) {
     if (limited && !hasWaitLimit)
       continue;
-    for (uint32_t server : route(*job.What, job.Index, entry)) {
-      if (server == except || !Agents[server]->Up)
+    for (uint32_t server : route(*job.Incoming, job.Index, entry)) {
+      if (server == excluded || !Agents[server]->Up)
         continue;
       job.Run.WaitLimit = limited ? job.WaitLimits[server] : Duration{0};
-      bool taken = offer(job, server);
+      bool accepted = offer(job, server);
       report(server, entry);
-      if (taken)
+      if (accepted)
         return true;
     }
   }
@@ -219,29 +226,31 @@
   out.WaitMicros = static_cast<uint64_t>(agent.Queue.backlog(Now).count());
   out.PrefillTokensPerSecond = agent.Predictor.prefillRate();
   std::string name = std::string("server") + static_cast<char>('a' + server);
-  Loads[entry]->observe(hashName(name), out, Now);
+  LoadViews[entry]->observe(hashName(name), out, Now);
 }
 
 inline RunRequest PolicyRun::runRequest(const Job &job,
                                         const AgentModel &agent) const {
-  const Request &request = *job.What;
-  const ClassShape &shape = What.Classes[request.Class];
+  const Request &request = *job.Incoming;
+  const RequestClass &requestClass = Setup.Classes[request.Class];
   RunRequest out = job.Run;
   out.Prefill = agent.Predictor.prefill(job.Plan.RecomputedTokens);
-  out.Decode = agent.Predictor.decode(shape.AnswerTokens);
+  out.Decode = agent.Predictor.decode(requestClass.AnswerTokens);
   out.ContextReady = Now + job.Plan.FetchTime;
-  if (!How.Accepts) {
-    out.Deadline = request.At; // First come, first served.
+  if (!TestedPolicy.ChecksAcceptance) {
+    out.Deadline = request.ArrivedAt; // First come, first served.
     return out;
   }
-  out.Organisation = hashName(Customers[request.Organisation].Name);
-  out.Priority = static_cast<uint8_t>(shape.Priority);
-  TimePoint deadline = request.At + shape.Deadline - NetworkTime;
-  Duration undisturbed = fromSeconds(request.PromptTokens / PrefillRate) +
-                         TokenTime * shape.AnswerTokens;
+  out.Organisation = hashName(Organisations[request.Organisation].Name);
+  out.Priority = static_cast<uint8_t>(requestClass.Priority);
+  TimePoint deadline =
+      request.ArrivedAt + requestClass.Deadline - CallerNetworkTime;
+  Duration uncontended =
+      fromSeconds(request.PromptTokens / EnginePrefillTokensPerSecond) +
+      DecodeTimePerToken * requestClass.AnswerTokens;
   Duration reserve{0};
   if (job.Moves == 0)
-    reserve = rerunReserve(true, deadline - Now, undisturbed);
+    reserve = rerunReserve(true, deadline - Now, uncontended);
   out.Deadline = deadline - reserve;
   return out;
 }
@@ -249,9 +258,9 @@
 inline bool PolicyRun::offer(Job &job, uint32_t server) {
   AgentModel &agent = *Agents[server];
   job.Server = server;
-  job.Plan = planAt(job, agent);
+  job.Plan = planFetches(job, agent);
   RunRequest run = runRequest(job, agent);
-  if (How.Accepts &&
+  if (TestedPolicy.ChecksAcceptance &&
       !decideAcceptance(agent.Queue, QueueSettings, {}, run, Now).accepted())
     return false;
   job.Run = run;
@@ -264,12 +273,12 @@
   ++job.Epoch;
   job.Accepted = true;
   job.InSlot = false;
-  job.Before.clear();
-  for (const PieceKey &it : job.What->Pieces) {
-    job.Before.push_back(agent.Sights.record(it, Now));
-    agent.Returns.observe(job.Before.back());
-    if (How.Reuse == Context::Oracle)
-      EverSeen[it] = true;
+  job.EarlierSightings.clear();
+  for (const PieceKey &it : job.Incoming->Pieces) {
+    job.EarlierSightings.push_back(agent.Sightings.record(it, Now));
+    agent.Returns.observe(job.EarlierSightings.back());
+    if (TestedPolicy.Reuse == ContextReuse::Oracle)
+      SeenPieces[it] = true;
   }
   agent.Jobs.insert(job.Index);
   startFetches(job, agent);
@@ -277,11 +286,11 @@
   if (job.FetchesLeft == 0)
     agent.Queue.setContextReady(job.Run.Id, job.Run.AttemptNumber, Now);
   else
-    at(job.Run.ContextReady, Kind::ReadyDue, job.Index, job.Epoch);
-  pumpQueue(server);
+    schedule(job.Run.ContextReady, EventKind::ContextDue, job.Index, job.Epoch);
+  startRuns(server);
 }
 
-inline void PolicyRun::pumpQueue(uint32_t server) {
+inline void PolicyRun::startRuns(uint32_t server) {
   AgentModel &agent = *Agents[server];
   while (auto run = agent.Queue.start(Now)) {
     Job &job = Jobs[run->Id.Lo - 1];
@@ -291,15 +300,15 @@
 
 inline void PolicyRun::beginPrefill(Job &job) {
   AgentModel &agent = *Agents[job.Server];
-  agent.Engine.keep(job.Imported);
-  uint32_t cached = agent.Engine.cached(job.What->Pieces);
-  if (How.Reuse == Context::Oracle)
+  agent.Engine.cachePieces(job.Imported);
+  uint32_t cached = agent.Engine.cachedPieces(job.Incoming->Pieces);
+  if (TestedPolicy.Reuse == ContextReuse::Oracle)
     cached = job.Plan.ReusedPieces;
-  job.Recomputed = job.What->PromptTokens - cached * PieceTokens;
-  job.Started = Now;
+  job.RecomputedTokens = job.Incoming->PromptTokens - cached * PieceTokens;
+  job.PhaseStart = Now;
   ++agent.Engine.Running;
-  TimePoint first = agent.Engine.prefill(job.Recomputed, Now);
-  at(first, Kind::FirstToken, job.Index, job.Epoch);
+  TimePoint first = agent.Engine.startPrefill(job.RecomputedTokens, Now);
+  schedule(first, EventKind::FirstToken, job.Index, job.Epoch);
 }
 
 inline void PolicyRun::onFirstToken(uint32_t index, uint64_t epoch) {
@@ -307,20 +316,20 @@
   if (job.Epoch != epoch)
     return;
   AgentModel &agent = *Agents[job.Server];
-  const ClassShape &shape = What.Classes[job.What->Class];
-  agent.Predictor.observePrefill(job.Recomputed, Now - job.Started);
-  agent.Engine.keep(job.What->Pieces);
-  agent.View.markPresent(job.What->Pieces);
+  const RequestClass &requestClass = Setup.Classes[job.Incoming->Class];
+  agent.Predictor.observePrefill(job.RecomputedTokens, Now - job.PhaseStart);
+  agent.Engine.cachePieces(job.Incoming->Pieces);
+  agent.View.markPresent(job.Incoming->Pieces);
   agent.Queue.markPrefilled(job.Run.Id, job.Run.AttemptNumber);
-  pumpQueue(job.Server);
-  Record &record = Out.Records[index];
-  record.Recomputed += job.Recomputed;
+  startRuns(job.Server);
+  RequestOutcome &outcome = Result.Outcomes[index];
+  outcome.RecomputedTokens += job.RecomputedTokens;
   if (!job.HasFirstToken)
-    record.FirstToken = Now - job.What->At + NetworkTime;
+    outcome.FirstTokenTime = Now - job.Incoming->ArrivedAt + CallerNetworkTime;
   job.HasFirstToken = true;
-  job.Started = Now;
-  at(Now + agent.Engine.decode(shape.AnswerTokens), Kind::Finished, index,
-     epoch);
+  job.PhaseStart = Now;
+  schedule(Now + agent.Engine.decodeTime(requestClass.AnswerTokens),
+           EventKind::Finished, index, epoch);
 }
 
 inline void PolicyRun::onFinished(uint32_t index, uint64_t epoch) {
@@ -328,26 +337,29 @@
   if (job.Epoch != epoch)
     return;
   AgentModel &agent = *Agents[job.Server];
-  const ClassShape &shape = What.Classes[job.What->Class];
-  agent.Predictor.observeDecode(shape.AnswerTokens, Now - job.Started);
+  const RequestClass &requestClass = Setup.Classes[job.Incoming->Class];
+  agent.Predictor.observeDecode(requestClass.AnswerTokens,
+                                Now - job.PhaseStart);
   --agent.Engine.Running;
   agent.Queue.finish(job.Run.Id, job.Run.AttemptNumber);
   agent.Jobs.erase(index);
   job.Done = true;
-  Out.Records[index].Took = Now - job.What->At + NetworkTime;
+  Result.Outcomes[index].TotalTime =
+      Now - job.Incoming->ArrivedAt + CallerNetworkTime;
   Limits[job.Entry]->releaseSlot(
-      hashName(Customers[job.What->Organisation].Name));
+      hashName(Organisations[job.Incoming->Organisation].Name));
   exportPieces(job);
-  pumpQueue(job.Server);
-  if (auto it = job.Places.find(job.Server); it != job.Places.end())
-    Reuse[job.Entry]->observe(it->second, job.What->PromptTokens,
-                              job.Recomputed);
+  startRuns(job.Server);
+  if (auto it = job.CandidateIndexes.find(job.Server);
+      it != job.CandidateIndexes.end())
+    ReuseEstimates[job.Entry]->observe(it->second, job.Incoming->PromptTokens,
+                                       job.RecomputedTokens);
   report(job.Server, job.Entry);
 }
 
 inline void PolicyRun::onTick(uint32_t server) {
   AgentModel &agent = *Agents[server];
-  if (!How.Accepts || !agent.Up)
+  if (!TestedPolicy.ChecksAcceptance || !agent.Up)
     return;
   while (auto late = agent.Queue.firstAtRisk(Now)) {
     Job &job = Jobs[late->Id.Lo - 1];
@@ -358,7 +370,7 @@
     agent.Queue.cancel(late->Id, late->AttemptNumber);
     agent.Jobs.erase(job.Index);
     if (place(job, job.Entry, server)) {
-      ++Out.Moves;
+      ++Result.Moves;
       continue;
     }
     job = before;
@@ -367,32 +379,33 @@
   }
 }
 
-inline void PolicyRun::onFault(bool on) {
-  Agents[0]->Engine.Speed = on ? Fault.SlowServer : 1;
+inline void PolicyRun::onFault(bool isActive) {
+  Agents[0]->Engine.Speed = isActive ? Faults.SlowServerSpeed : 1;
   for (StoreModel &it : Stores)
-    it.Rate = on ? LinkRate * Fault.LinkShare : LinkRate;
-  if (on && Fault.LosesDomain)
-    loseDomain();
+    it.LinkRate = isActive ? LinkBytesPerSecond * Faults.LinkRateFactor
+                           : LinkBytesPerSecond;
+  if (isActive && Faults.LosesDomain)
+    failDomain();
 }
 
-inline void PolicyRun::loseDomain() {
-  std::vector<uint32_t> orphans;
-  for (uint32_t i = 0; i < What.Servers; i += What.Domains.size()) {
+inline void PolicyRun::failDomain() {
+  std::vector<uint32_t> interrupted;
+  for (uint32_t i = 0; i < Setup.Servers; i += Setup.Domains.size()) {
     Agents[i]->Up = false;
-    orphans.insert(orphans.end(), Agents[i]->Jobs.begin(),
-                   Agents[i]->Jobs.end());
+    interrupted.insert(interrupted.end(), Agents[i]->Jobs.begin(),
+                       Agents[i]->Jobs.end());
     Agents[i]->Jobs.clear();
   }
-  for (uint32_t i = 0; i < What.Stores; i += What.Domains.size())
-    Stores[i].lose();
-  for (uint32_t it : orphans) {
+  for (uint32_t i = 0; i < Setup.Stores; i += Setup.Domains.size())
+    Stores[i].fail();
+  for (uint32_t it : interrupted) {
     Job &job = Jobs[it];
     ++job.Epoch; // What the lost server was doing no longer counts.
     ++job.Moves;
     if (!place(job, job.Entry, std::nullopt))
-      Out.Records[it].Lost = true;
+      Result.Outcomes[it].Lost = true;
   }
-  at(Now + DetectionTime, Kind::Detected);
+  schedule(Now + FailureDetectionTime, EventKind::Detected);
 }
 
 } // namespace daisytack::bench
--- a/bench/policy_stream.h
+++ b/bench/policy_stream.h
@@ -14,16 +14,16 @@
 
 namespace daisytack::bench {
 
-constexpr size_t Organisations = 10;
+constexpr size_t OrganisationCount = 10;
 // "A few of them large": sizes fall with the rank to this power.
-constexpr double SizePower = 1.0;
+constexpr double SizeExponent = 1.0;
 // Gaps between returns of one document: Pareto from two minutes up to a day.
 // With an exponent near 1 every scale of gap is as common as the next.
-constexpr double GapLeastSeconds = 120;
-constexpr double GapMostSeconds = 86'400;
+constexpr double MinGapSeconds = 120;
+constexpr double MaxGapSeconds = 86'400;
 constexpr double GapExponent = 1.1;
 // An organisation may send three times its usual rate.
-constexpr double LimitOverUsual = 3;
+constexpr double LimitFactor = 3;
 // Of every half hour, the last five minutes carry this much more.
 constexpr double BurstPeriodSeconds = 1'800;
 constexpr double BurstSeconds = 300;
@@ -32,12 +32,12 @@
 constexpr double MisbehaviourFactor = 10;
 
 /// A kind of request.
-struct ClassShape {
+struct RequestClass {
   std::string Name;
-  double Share = 1;            ///< Of the documents.
-  uint32_t GuidePieces = 0;    ///< Shared by the organisation.
+  double DocumentShare = 1;    ///< Of the documents.
+  uint32_t SharedPieces = 0;   ///< Shared by the organisation.
   uint32_t DocumentPieces = 0; ///< Return with the document.
-  uint32_t FreshTokens = 0;    ///< New in every request.
+  uint32_t NewTokens = 0;      ///< New in every request.
   uint32_t AnswerTokens = 0;
   Duration Deadline{0};
   uint32_t Priority = 5;
@@ -52,7 +52,7 @@
   uint32_t Entries = 3;
   double RequestsPerSecond = 0; ///< Usual rate.
   PlanWeights Weights;
-  std::vector<ClassShape> Classes;
+  std::vector<RequestClass> Classes;
 };
 
 // Riga: quotes while the trader holds the phone (three seconds), and drafts of
@@ -89,20 +89,20 @@
 }
 
 struct Request {
-  TimePoint At;
+  TimePoint ArrivedAt;
   uint32_t Organisation = 0;
   uint32_t Class = 0;
   std::vector<PieceKey> Pieces;
   uint32_t PromptTokens = 0;
-  bool Excess = false; ///< Part of the misbehaviour.
+  bool IsExcess = false; ///< Part of the misbehaviour.
 };
 
 /// Share of the load of the organisation of that rank.
-inline double sizeOf(size_t rank) {
+inline double loadShare(size_t rank) {
   double sum = 0;
-  for (size_t i = 1; i <= Organisations; ++i)
-    sum += std::pow(i, -SizePower);
-  return std::pow(rank + 1, -SizePower) / sum;
+  for (size_t i = 1; i <= OrganisationCount; ++i)
+    sum += std::pow(i, -SizeExponent);
+  return std::pow(rank + 1, -SizeExponent) / sum;
 }
 
 /// Stands for the keyed hash, which costs the bench time and changes no
@@ -121,8 +121,8 @@
 
 struct StreamOptions {
   Duration Length{0};
-  bool Bursts = false;
-  std::optional<TimePoint> MisbehavesFrom; ///< Organisation 0, to the end.
+  bool HasBursts = false;
+  std::optional<TimePoint> MisbehaviourStart; ///< Organisation 0, to the end.
   uint64_t Seed = 1;
 };
 
@@ -130,28 +130,29 @@
 class StreamGenerator {
 public:
   StreamGenerator(const Deployment &deployment, const StreamOptions &options)
-      : What(deployment), Options(options), Chance(options.Seed) {}
+      : Setup(deployment), Options(options), Rng(options.Seed) {}
 
   std::vector<Request> run() {
     auto documents =
-        static_cast<uint64_t>(What.RequestsPerSecond * meanGapSeconds());
+        static_cast<uint64_t>(Setup.RequestsPerSecond * meanGapSeconds());
     for (uint64_t i = 0; i < documents; ++i)
       addDocument(i);
-    if (Options.Bursts)
+    if (Options.HasBursts)
       addBursts(documents);
-    if (Options.MisbehavesFrom)
+    if (Options.MisbehaviourStart)
       addMisbehaviour(documents);
-    std::stable_sort(
-        Out.begin(), Out.end(),
-        [](const Request &a, const Request &b) { return a.At < b.At; });
-    return std::move(Out);
+    std::stable_sort(Requests.begin(), Requests.end(),
+                     [](const Request &a, const Request &b) {
+                       return a.ArrivedAt < b.ArrivedAt;
+                     });
+    return std::move(Requests);
   }
 
 private:
-  static double gapSeconds(double chance, double exponent = GapExponent) {
-    double least = std::pow(GapLeastSeconds, -exponent);
-    double most = std::pow(GapMostSeconds, -exponent);
-    return std::pow(least - chance * (least - most), -1 / exponent);
+  static double gapSeconds(double quantile, double exponent = GapExponent) {
+    double lowest = std::pow(MinGapSeconds, -exponent);
+    double highest = std::pow(MaxGapSeconds, -exponent);
+    return std::pow(lowest - quantile * (lowest - highest), -1 / exponent);
   }
   static double meanGapSeconds() {
     double sum = 0;
@@ -162,64 +163,64 @@
   }
   /// Documents belong to organisations and classes for good.
   uint32_t organisationOf(uint64_t document) const {
-    double at = static_cast<double>(mix64(document) >> 11U) * 0x1.0p-53;
-    for (uint32_t i = 0; i + 1 < Organisations; ++i)
-      if ((at -= sizeOf(i)) < 0)
+    double draw = static_cast<double>(mix64(document) >> 11U) * 0x1.0p-53;
+    for (uint32_t i = 0; i + 1 < OrganisationCount; ++i)
+      if ((draw -= loadShare(i)) < 0)
         return i;
-    return Organisations - 1;
+    return OrganisationCount - 1;
   }
   uint32_t classOf(uint64_t document) const {
-    double at = static_cast<double>(mix64(~document) >> 11U) * 0x1.0p-53;
-    return at < What.Classes[0].Share ? 0 : 1;
+    double draw = static_cast<double>(mix64(~document) >> 11U) * 0x1.0p-53;
+    return draw < Setup.Classes[0].DocumentShare ? 0 : 1;
   }
-  void add(double at, uint64_t document, uint32_t organisation, bool excess) {
+  void add(double at, uint64_t document, uint32_t organisation, bool isExcess) {
     Request out;
-    out.At = TimePoint(fromSeconds(at));
+    out.ArrivedAt = TimePoint(fromSeconds(at));
     out.Organisation = organisation;
     out.Class = classOf(document);
-    out.Excess = excess;
-    const ClassShape &shape = What.Classes[out.Class];
-    for (uint32_t i = 0; i < shape.GuidePieces; ++i)
+    out.IsExcess = isExcess;
+    const RequestClass &requestClass = Setup.Classes[out.Class];
+    for (uint32_t i = 0; i < requestClass.SharedPieces; ++i)
       out.Pieces.push_back(benchKey(organisation, 0, i));
-    for (uint32_t i = 0; i < shape.DocumentPieces; ++i)
+    for (uint32_t i = 0; i < requestClass.DocumentPieces; ++i)
       out.Pieces.push_back(benchKey(organisation, document + 1, i));
     out.PromptTokens = static_cast<uint32_t>(out.Pieces.size()) * PieceTokens +
-                       shape.FreshTokens;
-    Out.push_back(std::move(out));
+                       requestClass.NewTokens;
+    Requests.push_back(std::move(out));
   }
   void addDocument(uint64_t document) {
     // A renewal process seen at random is in a gap that is chosen in
     // proportion to its length, anywhere within it.
-    double at = gapSeconds(uniform(Chance), GapExponent - 1) * uniform(Chance);
+    double at = gapSeconds(uniform(Rng), GapExponent - 1) * uniform(Rng);
     double end = seconds(Options.Length);
     while (at < end) {
       add(at, document, organisationOf(document), false);
-      at += gapSeconds(uniform(Chance));
+      at += gapSeconds(uniform(Rng));
     }
   }
   void addBursts(uint64_t documents) {
-    double extra = What.RequestsPerSecond * (BurstFactor - 1);
+    double extra = Setup.RequestsPerSecond * (BurstFactor - 1);
     for (double from = BurstPeriodSeconds - BurstSeconds;
          from < seconds(Options.Length); from += BurstPeriodSeconds)
       for (double at = from; at < from + BurstSeconds;
-           at -= std::log(1 - uniform(Chance)) / extra) {
-        uint64_t document = Chance() % documents;
+           at -= std::log(1 - uniform(Rng)) / extra) {
+        uint64_t document = Rng() % documents;
         add(at, document, organisationOf(document), false);
       }
   }
   void addMisbehaviour(uint64_t documents) {
-    double rate = What.RequestsPerSecond * sizeOf(0) * LimitOverUsual *
+    double rate = Setup.RequestsPerSecond * loadShare(0) * LimitFactor *
                   MisbehaviourFactor;
     double end = seconds(Options.Length);
-    for (double at = seconds(Options.MisbehavesFrom->time_since_epoch());
-         at < end; at -= std::log(1 - uniform(Chance)) / rate)
-      add(at, Chance() % documents, 0, true);
+    for (double at = seconds(Options.MisbehaviourStart->time_since_epoch());
+         at < end; at -= std::log(1 - uniform(Rng)) / rate)
+      add(at, Rng() % documents, 0, true);
   }
 
-  const Deployment &What;
+  const Deployment &Setup;
   StreamOptions Options;
-  Random Chance;
-  std::vector<Request> Out;
+  Random Rng;
+  std::vector<Request> Requests;
 };
 
 } // namespace daisytack::bench
--- a/bench/query.cpp
+++ b/bench/query.cpp
@@ -32,7 +32,7 @@
   return sum > 0 ? passed.count() / static_cast<double>(rounds) : 0;
 }
 
-Snapshot fleet() {
+Snapshot makeSnapshot() {
   Snapshot out;
   for (size_t i = 0; i < Entries; ++i) {
     Member entry;
@@ -55,19 +55,19 @@
   return out;
 }
 
-query::Query parsed(const std::string &text) {
+query::Query parseOrEmpty(const std::string &text) {
   query::ParseError error;
   return query::parseQuery(text, error).value_or(query::Query{});
 }
 
 void measurePlan(const Snapshot &snapshot, const std::string &text) {
-  query::Query query = parsed(text);
-  size_t asked = query::planQuery(query, snapshot).Instances.size();
+  query::Query query = parseOrEmpty(text);
+  size_t instanceCount = query::planQuery(query, snapshot).Instances.size();
   double micros = microsecondsPerCall(50, [&] {
     return query::planQuery(query, snapshot).Instances.size() + 1;
   });
   std::printf("plan   %8.0f us  asks %5zu of %zu processes: %s\n", micros,
-              asked, Entries + Agents, text.c_str());
+              instanceCount, Entries + Agents, text.c_str());
 }
 
 void measureRows(size_t count) {
@@ -79,7 +79,7 @@
     rows[i].Model = "market-commentary";
     rows[i].Server = "agent-7";
   }
-  query::Query query = parsed("show running order by age limit 10000");
+  query::Query query = parseOrEmpty("show running order by age limit 10000");
   query::Answer answer;
   double execute = microsecondsPerCall(20, [&] {
     answer.Rows =
@@ -102,14 +102,17 @@
 
 void measureParsing() {
   query::ParseError error;
-  std::string question =
+  std::string queryText =
       "show waiting where organisation = agora and age > 3s order by age desc";
-  std::string order = "set organisation agora weight=2 requests_per_second=50";
-  double asked = microsecondsPerCall(
-      20'000, [&] { return query::parseQuery(question, error) ? 1U : 0U; });
-  double ordered = microsecondsPerCall(
-      20'000, [&] { return query::parseCommand(order, error) ? 1U : 0U; });
-  std::printf("parse  query %.2f us, command %.2f us\n", asked, ordered);
+  std::string commandText =
+      "set organisation agora weight=2 requests_per_second=50";
+  double queryMicros = microsecondsPerCall(
+      20'000, [&] { return query::parseQuery(queryText, error) ? 1U : 0U; });
+  double commandMicros = microsecondsPerCall(20'000, [&] {
+    return query::parseCommand(commandText, error) ? 1U : 0U;
+  });
+  std::printf("parse  query %.2f us, command %.2f us\n", queryMicros,
+              commandMicros);
 }
 
 void measureEvents() {
@@ -121,8 +124,8 @@
     ring.record(event);
     return 1U;
   });
-  query::Query query =
-      parsed("show events where request = 00000000000000010000000000000003");
+  query::Query query = parseOrEmpty(
+      "show events where request = 00000000000000010000000000000003");
   double search = microsecondsPerCall(5, [&] {
     auto page = ring.read(0, EventRingSize);
     return query::execute(query, query::eventTable("agent-7", 0, page.Events))
@@ -140,7 +143,7 @@
 
 int main() {
   using namespace daisytack;
-  Snapshot snapshot = fleet();
+  Snapshot snapshot = makeSnapshot();
   RequestId id = makeRequestId("entry-7", [] { return uint64_t{9}; });
   measureParsing();
   measurePlan(snapshot, "show waiting");
--- a/bench/routing.cpp
+++ b/bench/routing.cpp
@@ -30,7 +30,7 @@
 };
 using Builder = std::function<Placement(const Hashes &)>;
 
-double microsSince(Clock::time_point from) {
+double microsecondsSince(Clock::time_point from) {
   return std::chrono::duration<double, std::micro>(Clock::now() - from).count();
 }
 
@@ -129,14 +129,14 @@
   return out;
 }
 
-double nanosOf(const Placement &placement) {
+double lookupNanoseconds(const Placement &placement) {
   double best = 1e18;
   uint64_t sink = 0;
   for (int round = 0; round < 5; ++round) {
     auto from = Clock::now();
     for (uint64_t i = 0; i < Lookups; ++i)
       sink += placement.Lookup(mix64(i));
-    best = std::min(best, microsSince(from) * 1e3 / Lookups);
+    best = std::min(best, microsecondsSince(from) * 1e3 / Lookups);
   }
   return sink == 0 ? 0 : best;
 }
@@ -148,19 +148,19 @@
   Hashes servers = makeServers(n);
   auto from = Clock::now();
   Placement before = build(servers);
-  double buildMicros = microsSince(from);
-  uint32_t gone = n / 2;
-  Hashes rest = servers;
-  rest.erase(rest.begin() + gone);
-  Placement after = build(rest);
+  double buildMicros = microsecondsSince(from);
+  uint32_t removed = n / 2;
+  Hashes remaining = servers;
+  remaining.erase(remaining.begin() + removed);
+  Placement after = build(remaining);
 
   uint64_t keys = std::min<uint64_t>(n * KeysPerServer, 200'000);
   std::vector<double> load(n);
   uint64_t moved = 0;
   for (uint64_t i = 0; i < keys; ++i) {
-    uint32_t home = before.Lookup(mix64(i));
-    load[home] += 1;
-    moved += servers[home] != rest[after.Lookup(mix64(i))] ? 1 : 0;
+    uint32_t server = before.Lookup(mix64(i));
+    load[server] += 1;
+    moved += servers[server] != remaining[after.Lookup(mix64(i))] ? 1 : 0;
   }
   double mean = static_cast<double>(keys) / n;
   double square = 0;
@@ -168,7 +168,7 @@
     square += (it - mean) * (it - mean);
   std::printf("| %-22s | %6u | %9.0f | %9.2f | %9.2f | %7.2f | %10.0f | %9zu "
               "|\n",
-              name, n, nanosOf(before), std::sqrt(square / n) / mean,
+              name, n, lookupNanoseconds(before), std::sqrt(square / n) / mean,
               *std::max_element(load.begin(), load.end()) / mean,
               static_cast<double>(moved) / static_cast<double>(keys) * n,
               buildMicros, before.Bytes / 1024);
--- a/bench/server_loads.cpp
+++ b/bench/server_loads.cpp
@@ -18,10 +18,10 @@
 };
 
 /// Busy servers that one entry tells of: what fits into a datagram.
-constexpr int SharesTold = 60;
-constexpr int Looks = 200'000;
+constexpr int SharesPerReport = 60;
+constexpr int Lookups = 200'000;
 
-double micros(TimePoint from, int n) {
+double microsecondsPerCall(TimePoint from, int n) {
   return static_cast<double>((monotonicNow() - from).count()) / n;
 }
 
@@ -34,22 +34,22 @@
   TimePoint start = monotonicNow();
   for (int entry = 0; entry < fleet.Entries; ++entry) {
     std::vector<LoadShare> shares;
-    for (int i = 0; i < std::min(SharesTold, fleet.Servers); ++i) {
+    for (int i = 0; i < std::min(SharesPerReport, fleet.Servers); ++i) {
       auto at = static_cast<size_t>((entry * 31 + i) % fleet.Servers);
       shares.push_back({ServerRef{ids[at], 0}.key(), 1, 100, 200});
     }
     loads.onPeerReport("entry-" + std::to_string(entry), shares,
                        Duration(2'000'000), now);
   }
-  double message = micros(start, fleet.Entries);
+  double message = microsecondsPerCall(start, fleet.Entries);
   start = monotonicNow();
   uint64_t sum = 0;
-  for (int i = 0; i < Looks; ++i)
+  for (int i = 0; i < Lookups; ++i)
     sum += loads.view({ids[static_cast<size_t>(i % fleet.Servers)], 0}, now)
                .WaitingTokens;
   std::printf("%6d servers %5d entries: look %.3f us, message %.1f us (%llu)\n",
-              fleet.Servers, fleet.Entries, micros(start, Looks), message,
-              static_cast<unsigned long long>(sum));
+              fleet.Servers, fleet.Entries, microsecondsPerCall(start, Lookups),
+              message, static_cast<unsigned long long>(sum));
 }
 
 } // namespace
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -50,7 +50,7 @@
   return {toText(keyOf(object)), configValue(object, i), revision, false};
 }
 
-Member memberNumbered(size_t i) {
+Member makeMember(size_t i) {
   Member out;
   out.Name = "instance-" + std::to_string(100000 + i);
   out.Role = i < Entries ? MemberRole::Entry : MemberRole::Agent;
@@ -67,14 +67,14 @@
 }
 
 ReplicaEntry memberEntry(size_t i, uint64_t version, MemberState state) {
-  Member member = memberNumbered(i);
+  Member member = makeMember(i);
   member.State = state;
   return {member.Name, encodeInstance({member, version}), version,
           state == MemberState::Gone};
 }
 
 /// Microseconds of one call, on average.
-double timed(const std::function<void(int)> &body) {
+double averageMicroseconds(const std::function<void(int)> &body) {
   TimePoint begin = monotonicNow();
   for (int i = 0; i < Repeats; ++i)
     body(i);
@@ -82,42 +82,43 @@
 }
 
 /// One process at full size.
-struct Loaded {
+struct ControlProcess {
   ControlState State{{}, [](const Event &) {}};
-  uint64_t Draws = 1;
-  Gossip Talk{gossipInit(), State, [this] { return mix64(++Draws); }};
+  uint64_t RandomCalls = 1;
+  Gossip Gossiper{gossipInit(), State, [this] { return mix64(++RandomCalls); }};
   std::shared_ptr<const Snapshot> Current;
 
   static GossipInit gossipInit() {
     GossipInit out;
-    out.Self = memberNumbered(0);
+    out.Self = makeMember(0);
     return out;
   }
 };
 
-void loadOrganisations(Loaded &to, size_t count) {
+void loadOrganisations(ControlProcess &process, size_t count) {
   ReplicaDelta image{0, count + 1, {}};
   for (size_t i = 0; i < count; ++i)
     image.Entries.push_back(organisationEntry(i, i + 2));
-  to.State.mergeConfig(image);
+  process.State.mergeConfig(image);
 }
 
-void loadMembers(Loaded &to, size_t count) {
+void loadMembers(ControlProcess &process, size_t count) {
   ReplicaDelta image{0, count + 1, {}};
   for (size_t i = 0; i < count; ++i)
     image.Entries.push_back(memberEntry(i, i + 2, MemberState::Live));
-  to.State.mergeMembers(image);
+  process.State.mergeMembers(image);
 }
 
-void reportMemory(Loaded &to, size_t members, size_t organisations) {
+void reportMemory(ControlProcess &process, size_t members,
+                  size_t organisations) {
   size_t empty = heapBytes();
-  loadOrganisations(to, organisations);
+  loadOrganisations(process, organisations);
   size_t withConfig = heapBytes();
-  loadMembers(to, members);
+  loadMembers(process, members);
   size_t withMembers = heapBytes();
-  to.Talk.refreshPeers();
+  process.Gossiper.refreshPeers();
   size_t withPeers = heapBytes();
-  to.Current = to.State.takeSnapshot();
+  process.Current = process.State.takeSnapshot();
   size_t withSnapshot = heapBytes();
   auto each = [](size_t bytes, size_t count) {
     return static_cast<double>(bytes) / static_cast<double>(count);
@@ -131,62 +132,63 @@
               static_cast<double>(withSnapshot - empty) / 1e6);
 }
 
-void reportChanges(Loaded &to, size_t members, size_t organisations) {
-  uint64_t revision = to.State.config().watermark();
-  double merge = timed([&](int i) {
+void reportChanges(ControlProcess &process, size_t members,
+                   size_t organisations) {
+  uint64_t revision = process.State.config().watermark();
+  double merge = averageMicroseconds([&](int i) {
     auto row = static_cast<size_t>(i) % organisations;
-    to.State.mergeConfig(
+    process.State.mergeConfig(
         {revision, revision + 1, {organisationEntry(row, revision + 1)}});
     ++revision;
   });
-  double build = timed([&](int i) {
+  double build = averageMicroseconds([&](int i) {
     auto row = static_cast<size_t>(i) % organisations;
-    to.State.mergeConfig(
+    process.State.mergeConfig(
         {revision, revision + 1, {organisationEntry(row, revision + 1)}});
     ++revision;
-    to.Current = to.State.takeSnapshot();
+    process.Current = process.State.takeSnapshot();
   });
-  uint64_t version = to.State.members().watermark();
-  double member = timed([&](int i) {
+  uint64_t version = process.State.members().watermark();
+  double member = averageMicroseconds([&](int i) {
     auto row = static_cast<size_t>(i) % members;
-    to.State.mergeMembers(
+    process.State.mergeMembers(
         {version,
          version + 1,
          {memberEntry(row, version + 1, MemberState::Leaving)}});
     ++version;
-    to.Talk.refreshPeers();
-    readerRank(to.State.memberTable(), memberNumbered(0));
-    to.Current = to.State.takeSnapshot();
+    process.Gossiper.refreshPeers();
+    readerRank(process.State.memberTable(), makeMember(0));
+    process.Current = process.State.takeSnapshot();
   });
   std::printf("processor: %.0f us to merge a change, %.0f us with the new "
               "snapshot, %.0f us for a change of members\n",
               merge, build, member);
 }
 
-void reportMessages(Loaded &to) {
+void reportMessages(ControlProcess &process) {
   TimePoint now = monotonicNow();
-  StateUpdate rumour;
-  rumour.Config =
-      to.State.config().deltaAfter(to.State.config().lastChange() - 1);
-  std::string change = wire::encode(PeerMessage(rumour));
-  rumour.Config.reset();
-  rumour.Members =
-      to.State.members().deltaAfter(to.State.members().lastChange() - 1);
-  std::string member = wire::encode(PeerMessage(rumour));
-  rumour.Members.reset();
-  rumour.Signals.push_back({{memberNumbered(5).Name, {}}, 0});
-  std::string signal = wire::encode(PeerMessage(rumour));
-  std::string digest =
-      wire::encode(PeerMessage(Digest{to.Talk.pullMessage(now).Header}));
+  StateUpdate update;
+  update.Config = process.State.config().deltaAfter(
+      process.State.config().lastChange() - 1);
+  std::string change = wire::encode(PeerMessage(update));
+  update.Config.reset();
+  update.Members = process.State.members().deltaAfter(
+      process.State.members().lastChange() - 1);
+  std::string member = wire::encode(PeerMessage(update));
+  update.Members.reset();
+  update.Signals.push_back({{makeMember(5).Name, {}}, 0});
+  std::string signal = wire::encode(PeerMessage(update));
+  std::string digest = wire::encode(
+      PeerMessage(Digest{process.Gossiper.pullMessage(now).Header}));
   std::printf(
       "payload: digest %zu B, change of an organisation %zu B, change "
       "of a member %zu B, signal %zu B (each and 72 B of IP and seal)\n",
       digest.size(), change.size(), member.size(), signal.size());
   size_t pages = 0;
   size_t bytes = 0;
-  double serve = timed([&](int) {
+  double serve = averageMicroseconds([&](int) {
     pages = bytes = 0;
-    for (Page &page : to.Talk.pagesFor(Pull{}, now)) {
+    for (Page &page : process.Gossiper.pagesFor(Pull{}, now)) {
       bytes += wire::encode(PeerMessage(std::move(page))).size();
       ++pages;
     }
@@ -194,7 +196,7 @@
   std::printf("image for a new process: %.2f MB in %zu pages, %.0f us to "
               "serve\n",
               static_cast<double>(bytes) / 1e6, pages, serve);
-  double idle = timed([&](int) { to.Talk.onTick(now); });
+  double idle = averageMicroseconds([&](int) { process.Gossiper.onTick(now); });
   std::printf("tick without news: %.1f us\n", idle);
 }
 
@@ -204,9 +206,9 @@
   size_t members = argc > 2 ? std::strtoul(argv[1], nullptr, 10) : 11300;
   size_t organisations = argc > 2 ? std::strtoul(argv[2], nullptr, 10) : 7900;
   std::printf("%zu members, %zu organisations\n", members, organisations);
-  Loaded loaded;
-  reportMemory(loaded, members, organisations);
-  reportChanges(loaded, members, organisations);
-  reportMessages(loaded);
+  ControlProcess process;
+  reportMemory(process, members, organisations);
+  reportChanges(process, members, organisations);
+  reportMessages(process);
   return 0;
 }
--- a/bench/spread_node.cpp
+++ b/bench/spread_node.cpp
@@ -34,37 +34,39 @@
 using namespace daisytack;
 namespace json = boost::json;
 
-int64_t microsOf(const timeval &time) {
+int64_t toMicroseconds(const timeval &time) {
   return int64_t{time.tv_sec} * 1'000'000 + time.tv_usec;
 }
 
-int64_t monotonicMicros() { return monotonicNow().time_since_epoch().count(); }
+int64_t monotonicMicroseconds() {
+  return monotonicNow().time_since_epoch().count();
+}
 
 /// Collects published snapshots and writes the report.
 class Reporter {
 public:
-  void published(const Snapshot &snapshot) {
+  void recordPublished(const Snapshot &snapshot) {
     std::lock_guard guard(Lock);
     Published.push_back(
-        json::array{snapshot.ConfigRevision, monotonicMicros()});
+        json::array{snapshot.ConfigRevision, monotonicMicroseconds()});
   }
 
   void write(const runtime::ControlRuntime &control) {
     rusage usage{};
     getrusage(RUSAGE_SELF, &usage);
     runtime::ControlStats stats = control.stats();
-    json::object line{
-        {"at", monotonicMicros()},
-        {"ready", control.readiness().Ready},
-        {"cpu", microsOf(usage.ru_utime) + microsOf(usage.ru_stime)},
-        {"memory_kb", usage.ru_maxrss},
-        {"revision", stats.ConfigRevision},
-        {"members", stats.Members},
-        {"reader", stats.Reader},
-        {"calls", stats.ServiceCalls},
-        {"sent", stats.BytesSent},
-        {"received", stats.BytesReceived},
-        {"held", stats.Gossip.RateLimited}};
+    json::object line{{"at", monotonicMicroseconds()},
+                      {"ready", control.readiness().Ready},
+                      {"cpu", toMicroseconds(usage.ru_utime) +
+                                  toMicroseconds(usage.ru_stime)},
+                      {"memory_kb", usage.ru_maxrss},
+                      {"revision", stats.ConfigRevision},
+                      {"members", stats.Members},
+                      {"reader", stats.Reader},
+                      {"calls", stats.ServiceCalls},
+                      {"sent", stats.BytesSent},
+                      {"received", stats.BytesReceived},
+                      {"held", stats.Gossip.RateLimited}};
     std::lock_guard guard(Lock);
     line["published"] = std::exchange(Published, {});
     std::ofstream(FLAGS_report, std::ios::app) << json::serialize(line) << "\n";
@@ -125,7 +127,7 @@
       edge::makeHttpInstanceList(client, *list), metrics, [](const Event &) {},
       &secureRandom);
   control.onPublished([&](const std::shared_ptr<const Snapshot> &snapshot) {
-    reporter.published(*snapshot);
+    reporter.recordPublished(*snapshot);
   });
   Error reason;
   if (!control.start(reason)) {
--- a/bench/wire.cpp
+++ b/bench/wire.cpp
@@ -54,21 +54,22 @@
 
 template <class T> void measure(const char *name, const T &message) {
   wire::Message variant(message);
-  std::string ours = wire::encode(variant);
+  std::string encoded = wire::encode(variant);
   std::string portable = encodePortable(message);
-  double encodeOurs =
+  double encodeNanoseconds =
       nanosecondsPerCall([&] { return wire::encode(variant).size(); });
-  double encodeBase =
+  double portableEncodeNanoseconds =
       nanosecondsPerCall([&] { return encodePortable(message).size(); });
   Error reason;
-  double decodeOurs = nanosecondsPerCall(
-      [&] { return wire::decode<wire::Message>(ours, reason) ? 1U : 0U; });
-  double decodeBase =
+  double decodeNanoseconds = nanosecondsPerCall(
+      [&] { return wire::decode<wire::Message>(encoded, reason) ? 1U : 0U; });
+  double portableDecodeNanoseconds =
       nanosecondsPerCall([&] { return decodePortable<T>(portable).Id.Lo; });
   std::printf("%-16s %6zu B  encode %6.0f ns (portable %6.0f)  decode %6.0f ns "
               "(portable %6.0f)\n",
-              name, ours.size(), encodeOurs, encodeBase, decodeOurs,
-              decodeBase);
+              name, encoded.size(), encodeNanoseconds,
+              portableEncodeNanoseconds, decodeNanoseconds,
+              portableDecodeNanoseconds);
 }
 
 } // namespace
--- a/src/direct/forward_flow.cpp
+++ b/src/direct/forward_flow.cpp
@@ -253,8 +253,8 @@
                   now);
   if (!Current)
     return;
-  Duration silenceLimit =
-      scaled(Request.MatchedRoute.TargetLatency, Settings.SilenceFactor);
+  Duration silenceLimit = scaled(Request.MatchedRoute.TargetLatency,
+                                 Settings.ResponseTimeoutFactor);
   bool isSilent = !Current->HasHead && silenceLimit > Duration::zero() &&
                   now >= Current->SentAt + silenceLimit;
   // An attempt without an answer is given up only while another server is left
@@ -298,8 +298,8 @@
 
 void ForwardFlow::armTimer(TimePoint now) {
   TimePoint at = Request.Deadline;
-  Duration silenceLimit =
-      scaled(Request.MatchedRoute.TargetLatency, Settings.SilenceFactor);
+  Duration silenceLimit = scaled(Request.MatchedRoute.TargetLatency,
+                                 Settings.ResponseTimeoutFactor);
   bool mayRetry = Request.MatchedRoute.mayRepeat() &&
                   PossibleRuns + 1 < Request.MatchedRoute.Attempts;
   if (Current && !Current->HasHead && mayRetry &&
--- a/src/direct/forward_flow.h
+++ b/src/direct/forward_flow.h
@@ -34,7 +34,7 @@
   /// An attempt at a repeatable request is given up, and the request is sent to
   /// another server, when no answer has begun after this multiple of the
   /// route's target latency; 0: never.
-  double SilenceFactor = 4;
+  double ResponseTimeoutFactor = 4;
   /// Retry-after time of a refused request when neither a server nor the reason
   /// for the refusal gives one.
   Duration DefaultRetryAfter{300'000};
--- a/src/direct/server_loads.cpp
+++ b/src/direct/server_loads.cpp
@@ -156,8 +156,9 @@
   auto it = Servers.find(serverKey);
   if (it != Servers.end()) {
     const State &state = it->second;
-    bool isUnresponsive = state.Running > 0 &&
-                          now >= state.LastActivity + Settings.SilenceTimeout;
+    bool isUnresponsive =
+        state.Running > 0 &&
+        now >= state.LastActivity + Settings.InactivityTimeout;
     out = {state.Running,
            state.WaitingTokens,
            state.HeldTokens,
--- a/src/direct/server_loads.h
+++ b/src/direct/server_loads.h
@@ -24,7 +24,7 @@
 struct ServerLoadSettings {
   /// A server with requests in flight that has sent nothing for this time is
   /// avoided. Several times the longest normal wait for a first token.
-  Duration SilenceTimeout{1'200'000};
+  Duration InactivityTimeout{1'200'000};
   /// How long a server is avoided after it rejected a request or refused a
   /// connection. Doubles with each consecutive rejection, up to the maximum.
   Duration RejectBackoff{250'000};
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -192,7 +192,7 @@
 
 ContextFollowerSettings Gateway::contextSettings() const {
   ContextFollowerSettings out;
-  out.Retirement.MaxStaleness = Options.SourceTrust;
+  out.Retirement.MaxStaleness = Options.MaxSourceStaleness;
   return out;
 }
 
--- a/src/gateway/gateway_options.cpp
+++ b/src/gateway/gateway_options.cpp
@@ -114,8 +114,9 @@
                                      place.MinFetchMs, 0, NumberUpperBound);
   place.FetchShare = settings.number("placement.fetch_share", place.FetchShare,
                                      0, NumberUpperBound);
-  out.Forward.SilenceFactor = settings.number(
-      "entry.silence_factor", out.Forward.SilenceFactor, 0, NumberUpperBound);
+  out.Forward.ResponseTimeoutFactor =
+      settings.number("entry.silence_factor", out.Forward.ResponseTimeoutFactor,
+                      0, NumberUpperBound);
   place.OldWeightsMs = settings.number("placement.old_weights_ms",
                                        place.OldWeightsMs, 0, NumberUpperBound);
   place.OldWeightsLimit =
--- a/src/gateway/gateway_options.h
+++ b/src/gateway/gateway_options.h
@@ -73,7 +73,7 @@
   /// How long this entry goes on naming context stores as sources without newer
   /// knowledge of the key-value service. All entries must agree on it, so it is
   /// not a setting; tests shorten it.
-  Duration SourceTrust = direct::MaxSourceStaleness;
+  Duration MaxSourceStaleness = direct::MaxSourceStaleness;
   /// Term of the order lease, and of the lease under which an entry announces
   /// itself.
   Duration LeaseTerm{3'000'000};
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -234,7 +234,7 @@
     return;
   SyncedAt = known;
   if (catalog()->isAnnounced(Options.Name, Options.Peers))
-    ListedAt = known;
+    AnnouncedAsOf = known;
 }
 
 void GatewayState::advanceSyncedRevision(uint64_t revision) {
@@ -245,7 +245,7 @@
   direct::SourceEligibility out;
   // ListedAt is read before the catalog, so that the catalog is at least as
   // new.
-  out.AnnouncedAsOf = TimePoint(Duration(ListedAt.load()));
+  out.AnnouncedAsOf = TimePoint(Duration(AnnouncedAsOf.load()));
   out.HasReadAll = HasReadAll;
   auto catalog = this->catalog();
   out.KnowsRetired = catalog->IsRetiredRecordReadable;
@@ -254,7 +254,8 @@
 }
 
 std::optional<int64_t> GatewayState::serverTimeForFetches(TimePoint now) const {
-  if (!direct::mayNameSources(sourceEligibility(), Options.SourceTrust, now))
+  if (!direct::mayNameSources(sourceEligibility(), Options.MaxSourceStaleness,
+                              now))
     return std::nullopt;
   return Clock.at(now);
 }
--- a/src/gateway/gateway_state.h
+++ b/src/gateway/gateway_state.h
@@ -141,7 +141,7 @@
   std::atomic<int64_t> SyncedAt{INT64_MIN / 2};
   /// Latest SyncedAt at which the catalog listed this entry, in microseconds.
   /// Written on the same strand.
-  std::atomic<int64_t> ListedAt{INT64_MIN / 2};
+  std::atomic<int64_t> AnnouncedAsOf{INT64_MIN / 2};
   /// Revision up to which the catalog holds everything that the key-value
   /// service held; 0: none. Written on the strand of KvServiceFollower.
   std::atomic<uint64_t> SyncedRevision{0};
--- a/tests/direct/forward_flow_test.cpp
+++ b/tests/direct/forward_flow_test.cpp
@@ -230,7 +230,7 @@
 
 TEST(ForwardFlow, MovesAnIdempotentRequestFromASilentServer) {
   ForwardSettings settings;
-  settings.SilenceFactor = 2;
+  settings.ResponseTimeoutFactor = 2;
   FlowHarness it(routeFor(RouteKind::Idempotent, 2), 3, settings);
   it.Flow.start(FlowStart);
   EXPECT_EQ(it.TimerAt, FlowStart + 600ms);
--- a/tests/examples/deployments_test.cpp
+++ b/tests/examples/deployments_test.cpp
@@ -15,14 +15,14 @@
 
 constexpr size_t Organisations = 10;
 
-struct Size {
+struct DeploymentSize {
   const char *Name;
   size_t Models;
   size_t Portals;
   size_t Domains;
 };
 
-class Deployments : public testing::TestWithParam<Size> {
+class Deployments : public testing::TestWithParam<DeploymentSize> {
 protected:
   static boost::json::value read(const std::string &file) {
     std::filesystem::path examples(DAISYTACK_EXAMPLES);
@@ -44,8 +44,8 @@
         control::decodeStored(*key, boost::json::serialize(value), reason);
     ASSERT_TRUE(stored && stored->Object) << text << reason.Detail;
     EXPECT_TRUE(stored->Unknown.empty()) << text << stored->Unknown;
-    for (const auto &mistake : control::validate(*stored->Object))
-      ADD_FAILURE() << text << ": " << control::toString(mistake);
+    for (const auto &violation : control::validate(*stored->Object))
+      ADD_FAILURE() << text << ": " << control::toString(violation);
     organisations += key->Kind == control::ObjectKind::Organisation;
   }
   EXPECT_EQ(organisations, Organisations);
@@ -61,9 +61,10 @@
     Error reason;
     auto json = value.get_object();
     json["changed"] = 1;
-    auto listed = control::decodeInstance(boost::json::serialize(json), reason);
-    ASSERT_TRUE(listed) << value << reason.Detail;
-    const Member &member = listed->Instance;
+    auto decoded =
+        control::decodeInstance(boost::json::serialize(json), reason);
+    ASSERT_TRUE(decoded) << value << reason.Detail;
+    const Member &member = decoded->Instance;
     EXPECT_TRUE(names.insert(member.Name).second) << member.Name;
     domains.insert(member.FailureDomain);
     bool agent = member.Role == MemberRole::Agent;
@@ -76,8 +77,8 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, Deployments,
-                         testing::Values(Size{"riga", 12, 3, 3},
-                                         Size{"dakar", 9, 4, 4}),
+                         testing::Values(DeploymentSize{"riga", 12, 3, 3},
+                                         DeploymentSize{"dakar", 9, 4, 4}),
                          [](const auto &row) { return row.param.Name; });
 
 } // namespace
--- a/tests/fuzz/replay_main.cpp
+++ b/tests/fuzz/replay_main.cpp
@@ -13,9 +13,9 @@
 
 using daisytack::fuzz::Target;
 
-constexpr size_t MaxCuts = 300;
-constexpr size_t ChangedCopies = 4000;
-constexpr size_t MaxChanges = 6;
+constexpr size_t MaxTruncations = 300;
+constexpr size_t MutatedCopies = 4000;
+constexpr size_t MaxMutations = 6;
 
 std::vector<std::string> readCorpus(const std::filesystem::path &directory) {
   std::vector<std::filesystem::path> files;
@@ -32,9 +32,9 @@
   return out;
 }
 
-std::string changed(std::string bytes, std::mt19937_64 &random) {
-  size_t changes = 1 + random() % MaxChanges;
-  for (size_t i = 0; i < changes && !bytes.empty(); ++i) {
+std::string mutate(std::string bytes, std::mt19937_64 &random) {
+  size_t mutations = 1 + random() % MaxMutations;
+  for (size_t i = 0; i < mutations && !bytes.empty(); ++i) {
     size_t at = random() % bytes.size();
     switch (random() % 4) {
     case 0:
@@ -62,12 +62,12 @@
   };
   run("");
   for (const std::string &it : corpus) {
-    size_t step = 1 + it.size() / MaxCuts;
+    size_t step = 1 + it.size() / MaxTruncations;
     for (size_t n = 0; n <= it.size(); n += step)
       run(std::string_view(it).substr(0, n));
     run(it);
-    for (size_t i = 0; i < ChangedCopies; ++i)
-      run(changed(it, random));
+    for (size_t i = 0; i < MutatedCopies; ++i)
+      run(mutate(it, random));
   }
   return runs;
 }
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -26,8 +26,8 @@
 namespace {
 
 /// Stops at once, so that the input which broke the rule is kept.
-void require(bool holds) {
-  if (!holds)
+void require(bool condition) {
+  if (!condition)
     std::abort();
 }
 
@@ -50,13 +50,13 @@
   using namespace control;
   PeerHeader header;
   header.ConfigWatermark = 7;
-  StateUpdate rumour;
-  rumour.Header = header;
-  rumour.Config = ReplicaDelta{3, 7, {{"key", "value", 5, false}}};
-  rumour.Signals.push_back({{"a0", {1, {2, 3}, MemberState::Leaving, 0}}, 9});
+  StateUpdate update;
+  update.Header = header;
+  update.Config = ReplicaDelta{3, 7, {{"key", "value", 5, false}}};
+  update.Signals.push_back({{"a0", {1, {2, 3}, MemberState::Leaving, 0}}, 9});
   return {wire::encode(PeerMessage(Digest{header})),
-          wire::encode(PeerMessage(rumour)),
-          wire::encode(PeerMessage(Page{rumour, true})),
+          wire::encode(PeerMessage(update)),
+          wire::encode(PeerMessage(Page{update, true})),
           wire::encode(PeerMessage(RevisionProbe{4}))};
 }
 
@@ -114,7 +114,7 @@
 }
 
 /// No byte is lost however the stream is cut.
-void runEvents(std::string_view text) {
+void runEventSplitter(std::string_view text) {
   direct::EventSplitter splitter;
   std::string out;
   for (size_t i = 0; i < text.size(); i += 3)
@@ -152,7 +152,7 @@
     toString(it);
 }
 
-void runLanguage(std::string_view text) {
+void runStatements(std::string_view text) {
   query::ParseError error;
   query::parseQuery(text, error);
   query::parseCommand(text, error);
@@ -211,14 +211,14 @@
       {"wire", runMessage<wire::Message>, wireSeeds},
       {"peer", runMessage<control::PeerMessage>, peerSeeds},
       {"entry", runMessage<direct::PeerMessage>, entrySeeds},
-      {"facts", runRecords, noSeeds},
+      {"records", runRecords, noSeeds},
       {"context", runContext, noSeeds},
       {"caller", runCaller, noSeeds},
-      {"events", runEvents, noSeeds},
+      {"events", runEventSplitter, noSeeds},
       {"prompt", runPrompt, noSeeds},
       {"key_value", runKeyValue, noSeeds},
       {"settings", runSettings, noSeeds},
-      {"language", runLanguage, noSeeds},
+      {"language", runStatements, noSeeds},
       {"sse", runSse, noSeeds},
       {"configuration", runConfiguration, noSeeds},
       {"instances", runInstances, noSeeds},
--- a/tests/gateway/gateway_fixture.h
+++ b/tests/gateway/gateway_fixture.h
@@ -89,7 +89,7 @@
     out.Seeds = std::move(seeds);
     out.Drain.NoticePeriod = 300ms;
     out.ConfirmedFor = 1500ms;
-    out.SourceTrust = 3s;
+    out.MaxSourceStaleness = 3s;
     out.ServersCheckFence = true;
     out.Log.LinesPerSecond = 100;
     return out;
