--- a/bench/agent.cpp
+++ b/bench/agent.cpp
@@ -1,6 +1,6 @@
-/// What an agent's core costs: time and allocations of an offer and of a chunk,
-/// and memory of a running stream, against the runs at once. No sockets; the
-/// times are this machine's.
+/// Cost of the agent core: time and allocations for each offer, chunk and end
+/// of a run, and memory per streaming run, for several numbers of concurrent
+/// runs. No sockets are used.
 #include "serve/agent_core.h"
 
 #include <malloc.h>
@@ -79,7 +79,7 @@
   double Allocations = 0;
 };
 
-/// Applies every input at the same time; starts are noted.
+/// Applies inputs at a constant time and collects the runs that were started.
 class Bench {
 public:
   explicit Bench(uint32_t runs) : Core(makeSettings(runs), [] { return 7; }) {
--- a/bench/decide.cpp
+++ b/bench/decide.cpp
@@ -1,6 +1,6 @@
-/// Time and allocations of each decision on a request's path, against the
-/// number of backend servers, organisations and waiting requests. Inputs are
-/// deterministic; the times are this machine's.
+/// Time and allocations of each decision in the path of a request, for several
+/// numbers of backend servers, organisations and waiting requests. Inputs are
+/// deterministic.
 #include "base/digest.h"
 #include "decide/acceptance.h"
 #include "decide/ejection.h"
@@ -38,8 +38,9 @@
 constexpr uint64_t Rounds = 5;
 constexpr TimePoint StartTime{Duration{1'000'000'000}};
 
-/// Nanoseconds and allocations of one call: the best of some rounds, since the
-/// machine is shared.
+/// Prints the time per call, as the minimum of several rounds to exclude
+/// disturbances by other processes, and the allocations per call over all
+/// rounds.
 void measure(const char *name, const char *size, uint64_t calls,
              const std::function<void(uint64_t)> &run) {
   using Clock = std::chrono::steady_clock;
@@ -60,7 +61,8 @@
               allocations);
 }
 
-/// One pool over 4 regions with 14 failure domains.
+/// Returns a snapshot with one pool of servers spread over 4 regions and 14
+/// failure domains.
 std::shared_ptr<Snapshot> makeSnapshot(uint32_t servers) {
   constexpr uint32_t Regions = 4;
   constexpr uint32_t Domains = 14;
--- a/bench/ejection.cpp
+++ b/bench/ejection.cpp
@@ -1,7 +1,10 @@
-/// What the cap on ejections is worth (RFD 1, "Self-removal hysteresis"): the
-/// same faults with no ejection, with ejection, and with capped ejection.
-/// Deterministic; a server does so many requests a second in time, and what is
-/// beyond that is slow. Of four candidates the least loaded is asked first.
+/// Effect of the cap on ejections (RFD 1, "Self-removal hysteresis"): simulates
+/// the same faults without ejection, with uncapped ejection and with capped
+/// ejection.
+///
+/// The simulation is deterministic. A server answers a fixed number of requests
+/// per second in time; further ones are slow. Of four candidates, the least
+/// loaded one is tried first.
 #include "decide/ejection.h"
 #include "base/digest.h"
 
@@ -17,8 +20,9 @@
 
 constexpr uint32_t Servers = 12;
 constexpr uint32_t Domains = 3;
-constexpr uint32_t ServerCapacity = 10; // requests a second
-constexpr uint32_t UsualLoad = 96;      // requests a second, four fifths
+constexpr uint32_t ServerCapacity = 10; // requests per second
+// requests per second, four fifths of the capacity of all servers
+constexpr uint32_t UsualLoad = 96;
 constexpr int64_t RunSeconds = 600;
 constexpr int64_t FaultStartSecond = 60;
 constexpr int64_t FaultEndSecond = 180;
@@ -78,7 +82,7 @@
               : ServerCapacity;
       bool isOnTime = ++Load[server] <= capacity;
       Result.OnTime += isOnTime ? 1 : 0;
-      // A faulty probe takes two of five good answers for slow ones.
+      // A faulty probe reports two of five good answers as slow.
       bool looksSlow =
           !isOnTime || (IsFaultActive && InjectedFault == Fault::FaultyProbe &&
                         nextRandom() % 5 < 2);
@@ -92,7 +96,8 @@
     std::array<uint32_t, CandidateCount> out{};
     auto first = static_cast<uint32_t>(nextRandom() % Servers);
     for (uint32_t i = 0; i < CandidateCount; ++i)
-      out[i] = (first + i * 5) % Servers; // 5 and 12 have no common divisor.
+      // Visits distinct servers: 5 and 12 are coprime.
+      out[i] = (first + i * 5) % Servers;
     std::stable_sort(out.begin(), out.end(), [&](uint32_t a, uint32_t b) {
       return std::pair(isEjected(a), Load[a]) <
              std::pair(isEjected(b), Load[b]);
--- a/bench/hash.cpp
+++ b/bench/hash.cpp
@@ -1,6 +1,7 @@
-/// Throughput of candidate keyed hashes over pieces of PieceBytes, on one core,
-/// and of the piece keys as they are derived. Argument: megabytes per
-/// candidate (default 256).
+/// Throughput, on one core, of several keyed hashes over pieces of PieceBytes,
+/// and of the actual derivation of piece keys.
+///
+/// usage: bench_hash [MEGABYTES per hash, default 256]
 #include "base/clock.h"
 #include "context/piece_key.h"
 
@@ -34,7 +35,8 @@
 
 const std::string Secret(MinPieceSecretBytes, 's');
 
-/// An OpenSSL MAC whose context is reused: the key is prepared once.
+/// Returns a hash that uses an OpenSSL MAC and reuses its context. For HMAC,
+/// the key is processed only once.
 HashPiece makeMac(const char *name, const char *digest) {
   std::unique_ptr<EVP_MAC, FreeMac> mac(EVP_MAC_fetch(nullptr, name, nullptr));
   std::shared_ptr<EVP_MAC_CTX> context(EVP_MAC_CTX_new(mac.get()), FreeMac());
@@ -57,7 +59,8 @@
   };
 }
 
-/// A plain digest with the key as prefix, padded to a block.
+/// Returns a hash that is a digest of the key, padded to one block, followed by
+/// the piece.
 HashPiece makePrefixedDigest(const char *name) {
   std::shared_ptr<EVP_MD> digest(EVP_MD_fetch(nullptr, name, nullptr),
                                  EVP_MD_free);
@@ -73,7 +76,7 @@
   };
 }
 
-/// Best of several rounds, in megabytes a second.
+/// Returns the highest rate of several rounds, in megabytes per second.
 double measure(const std::string &text, const std::function<void()> &run) {
   double best = 0;
   for (int i = 0; i < Rounds; ++i) {
--- a/bench/limits.cpp
+++ b/bench/limits.cpp
@@ -1,6 +1,7 @@
-/// What limits over all entries cost in messages and allow in excess: one of
-/// 1,300 entries with 7,900 organisations at their usual rate, against the
-/// share that is static and the depth of its bucket. Deterministic.
+/// Messages that shared quotas cost and the bound on the requests that all
+/// entries admit at once, for several static shares and bucket depths.
+/// Simulates one of 1,300 entries with 7,900 organisations that send at their
+/// usual rate. The simulation is deterministic.
 #include "decide/limits.h"
 #include "base/digest.h"
 #include "wire/codec.h"
@@ -17,7 +18,7 @@
 
 constexpr size_t Entries = 1'300;
 constexpr size_t OrganisationCount = 7'900;
-constexpr double RequestsPerSecond = 138; // of one entry
+constexpr double RequestsPerSecond = 138; // at one entry
 constexpr double SizeExponent = 1.0; // sizes fall with the rank to this power
 constexpr double LimitFactor = 2;
 constexpr double RunSeconds = 600;
@@ -57,7 +58,8 @@
   uint64_t RandomCalls = 0;
 };
 
-/// The owner has tokens for whoever stays below the limit, so asks are granted.
+/// Simulates one entry. All quota requests are granted in full, since the quota
+/// owner has tokens for every organisation that stays below its limit.
 Counts run(const LimitSettings &settings) {
   RequestStream stream;
   std::vector<Organisation> all(OrganisationCount);
--- a/bench/loopback.cpp
+++ b/bench/loopback.cpp
@@ -1,7 +1,9 @@
-/// Load generator for scripts/bench-loopback: calls a completions address on
-/// loopback and prints one JSON object of figures. Modes: latency (requests
-/// spread evenly over time), throughput (a fixed number at once), streams (many
-/// slow streams at once, every answer checked), idle (open connections).
+/// Load generator for scripts/bench-loopback: sends completion requests over
+/// loopback and prints the results as one JSON object.
+///
+/// Modes: latency (requests at a constant rate), throughput (a fixed number of
+/// concurrent requests), streams (many concurrent slow streams), idle (open
+/// connections without requests). The text of every answer is checked.
 #include "base/clock.h"
 #include "base/digest.h"
 #include "net/http_client.h"
@@ -62,7 +64,7 @@
           json::serialize(body)};
 }
 
-/// Kilobytes from a line of /proc/PID/status; 0 when there is none.
+/// Reads a field of /proc/PID/status, in KiB; 0 if it is missing.
 uint64_t processMemoryKib(const std::string &field) {
   std::ifstream file("/proc/" + std::to_string(FLAGS_pid) + "/status");
   for (std::string line; std::getline(file, line);)
@@ -77,12 +79,12 @@
   return text && text->is_string() ? std::string(text->get_string()) : "";
 }
 
-/// What all modes count.
+/// Counters and latencies of all modes. Thread-safe.
 struct Totals {
   std::atomic<uint64_t> Good{0};
   std::atomic<uint64_t> Failed{0};
-  std::atomic<uint64_t> WrongText{
-      0}; ///< Whole, but another text than expected.
+  /// Complete answers with a text other than the expected one.
+  std::atomic<uint64_t> WrongText{0};
   std::mutex Mutex;
   std::vector<double> LatenciesMicros;
   std::string FirstFailure;
@@ -242,7 +244,7 @@
   struct StreamState {
     net::SseParser Parser;
     unsigned Status = 0;
-    std::string BodyStart; ///< Of the body, to tell why it failed.
+    std::string BodyStart; ///< Start of the body, for the failure message.
     std::string Text;
     bool IsComplete = false;
     bool HasData = false;
--- a/bench/once.cpp
+++ b/bench/once.cpp
@@ -1,5 +1,5 @@
-/// Cost of the at-most-once record: nanoseconds per decision and bytes per
-/// ticket, at several numbers of records.
+/// Cost of at-most-once execution: nanoseconds per ledger operation and bytes
+/// per ticket, for several numbers of tickets.
 #include "base/clock.h"
 #include "base/digest.h"
 #include "once/ticket_ledger.h"
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -1,6 +1,5 @@
-/// Time of one choice of a backend server, against the number of servers and of
-/// other entries that told their loads. Inputs are deterministic; the times are
-/// this machine's.
+/// Time to choose a backend server, for several numbers of servers and of other
+/// entries that have reported their loads. Inputs are deterministic.
 #include "direct/placement.h"
 
 #include <algorithm>
--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -1,6 +1,8 @@
-/// What the decisions are worth: one table of policies against scenarios over
-/// request streams shaped like the two deployments. Deterministic: seed and
-/// length are arguments. usage: bench_policy [hours] [seed] [scenario]
+/// Compares routing and context reuse policies in several scenarios, with
+/// request streams modelled on two deployments. The simulation is deterministic
+/// for a given length and seed.
+///
+/// usage: bench_policy [hours] [seed] [scenario]
 #include "policy_run.h"
 
 #include <cstdio>
@@ -28,18 +30,24 @@
     {"links at a tenth", false, false, 1, false, 0.1},
 };
 
-// Organisations of this rank and below count as small.
+// Organisations with this rank or a higher number count as small.
 constexpr uint32_t FirstSmallRank = 3;
 
 struct Summary {
-  double FirstTokenP50 = 0, FirstTokenP95 = 0,
-         FirstTokenP99 = 0;      ///< First token, seconds.
-  double SmallFirstTokenP95 = 0; ///< Of small organisations.
-  double RecomputedShare = 0;    ///< Share of prompt tokens.
-  double RefusedShare = 0;       ///< Share, those over the limit left out.
-  uint64_t MissedDeadlines = 0;  ///< Accepted, and late or never answered.
-  double OnTimeShare = 0;        ///< Share of those within the limit.
-  double MinOnTimeShare = 1;     ///< Of the organisation worst off.
+  /// Time to first token, in seconds.
+  double FirstTokenP50 = 0, FirstTokenP95 = 0, FirstTokenP99 = 0;
+  /// The same for small organisations.
+  double SmallFirstTokenP95 = 0;
+  /// Fraction of the prompt tokens.
+  double RecomputedShare = 0;
+  /// Fraction of the requests within the rate limit.
+  double RefusedShare = 0;
+  /// Accepted requests that were late or never answered.
+  uint64_t MissedDeadlines = 0;
+  /// Fraction of the requests within the rate limit.
+  double OnTimeShare = 0;
+  /// Lowest OnTimeShare of any organisation.
+  double MinOnTimeShare = 1;
 };
 
 double percentile(std::vector<double> &values, double share) {
--- a/bench/policy_agent.h
+++ b/bench/policy_agent.h
@@ -1,5 +1,5 @@
-/// One agent of the policy benchmark: the project's own decisions on top of the
-/// cost models.
+/// Model of one agent in the policy benchmark: the production decision code
+/// driven by the cost models.
 #pragma once
 
 #include "policy_stream.h"
@@ -14,21 +14,23 @@
 
 namespace daisytack::bench {
 
-// Sightings that one agent remembers, at 16 bytes each.
+// Sightings that one agent stores, at 16 bytes each.
 constexpr size_t SightingCapacity = 16'384;
 
-// A piece that is present with this chance is not fetched.
+// A piece that the engine holds with at least this probability is not fetched.
 constexpr double MinPresenceProbability = 0.9;
 
-/// One attempt at a request.
+/// State of one request. It describes the current attempt; a request is
+/// attempted again when it is moved to another server.
 struct Job {
   const Request *Incoming = nullptr;
   uint32_t Index = 0;
   uint32_t Server = 0;
   uint32_t Entry = 0;
-  std::map<uint32_t, uint32_t>
-      CandidateIndexes;                    ///< Of servers among the candidates.
-  std::map<uint32_t, Duration> WaitLimits; ///< With each of them.
+  /// Server index to its position in the candidate list.
+  std::map<uint32_t, uint32_t> CandidateIndexes;
+  /// Server index to the longest queue wait to accept there.
+  std::map<uint32_t, Duration> WaitLimits;
   uint32_t Moves = 0;
   bool Accepted = false;
   bool InSlot = false;
@@ -39,20 +41,25 @@
   uint32_t FetchesLeft = 0;
   TimePoint FetchDeadline;
   std::vector<PieceKey> Imported;
-  std::vector<SightingHistory> EarlierSightings; ///< Of each piece.
-  std::vector<PieceState> PieceStates; ///< Of each piece, when it was planned.
+  /// Per piece, the sightings before this attempt.
+  std::vector<SightingHistory> EarlierSightings;
+  /// Per piece, when the fetches were planned.
+  std::vector<PieceState> PieceStates;
   uint32_t RecomputedTokens = 0;
   TimePoint PhaseStart;
-  uint64_t Epoch = 0; ///< Events of an earlier attempt are stale.
+  uint64_t Epoch = 0; ///< Incremented for each attempt; events with an older
+                      ///< value are ignored.
 };
 
-/// What crosses a link.
+/// A transfer over a store's link that has not finished.
 struct PendingTransfer {
-  uint32_t JobIndex = UINT32_MAX; ///< Of a fetch.
+  /// Index of the fetching job; UINT32_MAX for an export.
+  uint32_t JobIndex = UINT32_MAX;
   uint64_t JobEpoch = 0;
   uint32_t Link = 0;
   PieceKey Piece;
-  std::string Meta; ///< Of an export.
+  /// Encoded metadata of an exported piece; empty for a fetch.
+  std::string Meta;
 };
 
 struct AgentModel {
@@ -79,7 +86,8 @@
   std::vector<LinkScheduler> Links;
   std::unordered_map<uint64_t, PendingTransfer> Transfers;
   std::set<PieceKey> Exporting;
-  std::set<uint32_t> Jobs; ///< Accepted and not done.
+  /// Indexes of jobs that were accepted and have not finished.
+  std::set<uint32_t> Jobs;
 };
 
 } // namespace daisytack::bench
--- a/bench/policy_kept.h
+++ b/bench/policy_kept.h
@@ -1,5 +1,5 @@
-/// The parts of PolicyRun that concern kept context: plans, fetches, exports.
-/// Included by policy_run.h.
+/// Members of PolicyRun that handle kept context: fetch plans, fetches and
+/// exports. Included by policy_run.h.
 #pragma once
 
 namespace daisytack::bench {
@@ -41,7 +41,8 @@
 }
 
 inline FetchPlan PolicyRun::planAllFetches(const PlanInput &input) const {
-  // Infinite worth of what is not recomputed.
+  // With a weight on recomputed tokens only and no time limit, fetching always
+  // costs less.
   PlanInput unlimited = input;
   unlimited.FirstTokenLimit = Duration::max();
   return planFetch(unlimited, PlanWeights{0, 1, 0});
@@ -99,11 +100,13 @@
   Job &job = Jobs[pending.JobIndex];
   if (job.Epoch != pending.JobEpoch || job.Done)
     return;
-  // Evicted or lost meanwhile: the verified read rejects it.
+  // If the piece was evicted or lost during the transfer, the verified read
+  // rejects it.
   if (Stores[link].contains(pending.Piece))
     job.Imported.push_back(pending.Piece);
+  // The fetches were abandoned, or others are still running.
   if (job.FetchesLeft == 0 || --job.FetchesLeft > 0)
-    return; // Given up, or more to come.
+    return;
   agent.Queue.setContextReady(job.Run.Id, job.Run.AttemptNumber, Now);
   startRuns(server);
 }
--- a/bench/policy_model.h
+++ b/bench/policy_model.h
@@ -1,6 +1,6 @@
-/// Scalar cost models of an engine, a store and its link: what the decisions
-/// are measured against. No network, process or membership model. Every
-/// assumption is a named constant with its reason.
+/// Scalar cost models of an engine and of a store with its link, on which the
+/// policy benchmark runs the decisions. Network, processes and membership are
+/// not modelled.
 #pragma once
 
 #include "context/engine_view.h"
@@ -19,35 +19,38 @@
 
 namespace daisytack::bench {
 
-// An 8-billion-parameter model with grouped-query attention keeps 64 KB a
-// token at 8 bits: 32 layers x 2 x 8 heads x 128.
+// Stored size of one piece. An 8-billion-parameter model with grouped-query
+// attention stores 64 KB per token at 8 bits: 32 layers x 2 x 8 heads x 128.
 constexpr uint64_t KeptPieceBytes = 64ULL * 1024 * PieceTokens;
-// A middling accelerator prefills such a model at this rate.
-constexpr double EnginePrefillTokensPerSecond = 8'000; // tokens a second
-// A prefill costs a step of the engine however short it is.
+// Prefill rate of such a model on a mid-range accelerator.
+constexpr double EnginePrefillTokensPerSecond = 8'000;
+// Fixed cost of a prefill: one engine step, however short the prompt is.
 constexpr Duration PrefillOverhead{25'000};
-// Time between tokens of one run, alone, and the share that each other run
-// adds: decoding is bound by memory bandwidth, so a batch slows it little.
+// Time between tokens of a run that is alone in its engine, and the fraction by
+// which each running request slows decoding. The slowdown is small because
+// decoding is bound by memory bandwidth.
 constexpr Duration DecodeTimePerToken{20'000};
 constexpr double BatchSlowdown = 0.02;
-// Runs that an agent hands to its engine at once.
+// Maximum number of runs that an agent has in its engine at the same time.
 constexpr uint32_t EngineSlots = 16;
-// 19 GB of accelerator memory left for kept prefixes.
+// Pieces that fit into 19 GB of accelerator memory left for cached prefixes.
 constexpr size_t EngineCachePieces = 300;
-// A store instance: 10 Gbit/s of link, 128 GB of memory, 384 GB of solid-state
-// disk that reads faster than the link carries.
-constexpr double LinkBytesPerSecond = 1.25e9; // bytes a second
-constexpr double DiskBytesPerSecond = 2e9;    // bytes a second
+// A store instance: a link of 10 Gbit/s, and pieces for 128 GB of memory and
+// 384 GB of solid-state disk. The disk reads faster than the link transfers.
+constexpr double LinkBytesPerSecond = 1.25e9;
+constexpr double DiskBytesPerSecond = 2e9;
 constexpr size_t StoreMemoryPieces = 2'000;
 constexpr size_t StorePieces = 8'000;
-// A fetch asks, reads and asks again: three trips.
+// A fetch takes three round trips: a lookup, a read and a second lookup.
 constexpr Duration FetchRoundTrip{9'000};
-// Caller to entry and entry to agent, there and back.
+// Network time of a request and its answer, between caller and entry and
+// between entry and agent.
 constexpr Duration CallerNetworkTime{9'000};
-// Engines publish cache events late, and lose some.
+// Interval at which an agent polls its engine's cache events, and the
+// probability that an event is lost.
 constexpr Duration CacheEventInterval{200'000};
 constexpr double CacheEventLossProbability = 0.001;
-// Pieces that a full store samples for eviction.
+// Number of pieces that a full store samples to choose victims for eviction.
 constexpr size_t EvictionSampleSize = 16;
 
 using Random = std::mt19937_64;
@@ -64,12 +67,13 @@
   return Duration(static_cast<int64_t>(value * 1e6));
 }
 
-/// Least recently used set of pieces.
+/// Bounded set of pieces that evicts the least recently used one.
 class LruPieceSet {
 public:
   explicit LruPieceSet(size_t capacity) : Capacity(capacity) {}
   bool contains(const PieceKey &key) const { return Positions.contains(key); }
-  /// Inserts or refreshes; returns what had to go.
+  /// Inserts the piece or marks it as just used. Returns the piece that was
+  /// evicted, if any.
   std::optional<PieceKey> touch(const PieceKey &key) {
     erase(key);
     Order.push_front(key);
@@ -94,8 +98,8 @@
   std::unordered_map<PieceKey, std::list<PieceKey>::iterator> Positions;
 };
 
-/// One engine: prefills one after another, decodes side by side, and keeps the
-/// prefixes used last.
+/// Model of one engine: prefills run one after another, decodes run
+/// concurrently, and the most recently used pieces stay cached.
 class EngineModel {
 public:
   explicit EngineModel(uint64_t seed) : Cache(EngineCachePieces), Rng(seed) {}
@@ -103,14 +107,14 @@
   double Speed = 1;
   uint32_t Running = 0;
 
-  /// Leading pieces that need no prefill.
+  /// Returns the number of leading pieces that are cached and need no prefill.
   uint32_t cachedPieces(std::span<const PieceKey> pieces) const {
     uint32_t n = 0;
     while (n < pieces.size() && Cache.contains(pieces[n]))
       ++n;
     return n;
   }
-  /// When the first token is there.
+  /// Queues a prefill and returns the time of its first token.
   TimePoint startPrefill(uint32_t tokens, TimePoint now) {
     Duration work =
         PrefillOverhead + fromSeconds(tokens / EnginePrefillTokensPerSecond);
@@ -121,7 +125,8 @@
     double batch = 1 + BatchSlowdown * Running;
     return fromSeconds(seconds(DecodeTimePerToken) * tokens * batch / Speed);
   }
-  /// Pieces that were imported or computed; later ones are kept less long.
+  /// Caches pieces that were imported or computed. They are inserted in
+  /// reverse, so that the last pieces of a prompt are evicted first.
   void cachePieces(std::span<const PieceKey> pieces) {
     for (size_t i = pieces.size(); i-- > 0;) {
       bool wasCached = Cache.contains(pieces[i]);
@@ -133,7 +138,7 @@
     }
   }
   bool isCached(const PieceKey &piece) const { return Cache.contains(piece); }
-  /// Hands the events since the last poll to the view.
+  /// Applies the cache events since the last poll to the view.
   void deliverEvents(EngineView &view) {
     view.apply(PendingEvents, NextSequence);
     PendingEvents.clear();
@@ -153,15 +158,16 @@
   uint64_t NextSequence = 0;
 };
 
-/// One store instance behind its link: transfers one after another.
+/// Model of one store instance and its link, on which transfers run one after
+/// another.
 class StoreModel {
 public:
   StoreModel() : Memory(StoreMemoryPieces) {}
 
   double LinkRate = LinkBytesPerSecond;
   bool Up = true;
-  uint64_t FetchedBytes = 0;  ///< Bytes.
-  uint64_t ExportedBytes = 0; ///< Bytes.
+  uint64_t FetchedBytes = 0;
+  uint64_t ExportedBytes = 0;
   Duration LinkBusy{0};
 
   std::optional<StoredPiece> lookup(const PieceKey &key, uint32_t link) const {
@@ -174,7 +180,7 @@
   bool contains(const PieceKey &key) const {
     return Up && Entries.contains(key);
   }
-  /// When a transfer that starts now has ended.
+  /// Starts a transfer and returns the time at which it ends.
   TimePoint startTransfer(const PieceKey &key, bool fetch, TimePoint now) {
     bool fromDisk = fetch && Entries.contains(key) && !Memory.contains(key);
     TimePoint ready = now + FetchRoundTrip;
--- a/bench/policy_run.h
+++ b/bench/policy_run.h
@@ -1,4 +1,5 @@
-/// Drives the decisions with one stream over the cost models, event by event.
+/// Discrete-event simulation of one request stream: runs the decisions against
+/// the cost models.
 #pragma once
 
 #include "policy_agent.h"
@@ -13,14 +14,17 @@
 namespace daisytack::bench {
 
 enum class Routing : uint8_t { RoundRobin, LeastLoaded, Daisytack };
+/// Which context a request reuses besides what the engine has cached: none, all
+/// stored pieces, the stored pieces selected by the fetch plan, or, as a bound,
+/// every piece seen before at no cost.
 enum class ContextReuse : uint8_t { EngineOnly, FetchAll, Planned, Oracle };
 
 struct Policy {
   std::string Name;
   Routing Route = Routing::Daisytack;
   ContextReuse Reuse = ContextReuse::Planned;
-  bool ChecksAcceptance =
-      true; ///< False: everything is queued, first come first served.
+  /// False: every request is queued, first come first served.
+  bool ChecksAcceptance = true;
 };
 
 struct Scenario {
@@ -28,22 +32,25 @@
   bool HasBursts = false;
   bool HasMisbehaviour = false;
   double SlowServerSpeed = 1; ///< Speed of one server in the fault window.
-  bool LosesDomain = false;   ///< From the fault window's start on.
-  double LinkRateFactor = 1;  ///< Of the links' rate in the fault window.
+  /// From the start of the fault window to the end of the run.
+  bool LosesDomain = false;
+  /// Factor on the rate of the links in the fault window.
+  double LinkRateFactor = 1;
 };
 
 struct RunOptions {
   Duration Length{0};
-  Duration WarmUp{0}; ///< Requests before are not counted.
+  /// Requests that arrive before this time are not counted.
+  Duration WarmUp{0};
   uint64_t Seed = 1;
 };
 
-/// Fate of one request.
+/// Outcome of one request. Times are measured from its arrival.
 struct RequestOutcome {
   bool Counted = false;
   bool Refused = false;
   bool Limited = false; ///< Refused by the organisation's limit.
-  bool Lost = false;    ///< Accepted, and never answered.
+  bool Lost = false;    ///< Accepted and never answered.
   Duration FirstTokenTime{0};
   Duration TotalTime{0};
   uint32_t RecomputedTokens = 0;
@@ -51,18 +58,19 @@
 
 struct RunResult {
   std::vector<RequestOutcome> Outcomes;
-  uint64_t FetchedBytes = 0; ///< Bytes over all links.
+  uint64_t FetchedBytes = 0; ///< Sum over all links.
   uint64_t ExportedBytes = 0;
-  uint64_t AbandonedFetches = 0; ///< Fetches, in pieces.
+  /// Number of pieces whose fetch was abandoned.
+  uint64_t AbandonedFetches = 0;
   double LinkUtilisation = 0;
   uint64_t Moves = 0;
 };
 
-// How often an agent looks for accepted requests that will be late.
+// Interval at which an agent checks for accepted requests that will be late.
 constexpr Duration LateCheckInterval{250'000};
 constexpr uint32_t MaxMoves = 2;
-// How long entries need to learn that servers have died; until then offers to
-// them fail at once and go to the next candidate.
+// Time after which entries detect that servers have failed. Until then, offers
+// to them fail immediately and go to the next candidate.
 constexpr Duration FailureDetectionTime{2'000'000};
 
 class PolicyRun {
@@ -90,7 +98,7 @@
     TimePoint At;
     uint64_t Sequence;
     EventKind Type;
-    uint32_t Target;
+    uint32_t Target; ///< Index of a server or job, depending on Type.
     uint64_t Arg1;
     uint64_t Arg2;
     bool operator>(const SimulationEvent &other) const {
@@ -116,7 +124,7 @@
   RunRequest runRequest(const Job &job, const AgentModel &agent) const;
 
   bool isWithinLimit(const Request &request, uint32_t entry);
-  /// Servers to offer to, in order.
+  /// Returns the servers to offer the request to, in order.
   std::vector<uint32_t> route(const Request &request, uint32_t index,
                               uint32_t entry);
   bool place(Job &job, uint32_t entry, std::optional<uint32_t> excluded);
@@ -161,8 +169,10 @@
   std::unique_ptr<RoutingTable> Table;
   RouterSettings RouteSettings;
   std::vector<Job> Jobs;
-  std::unordered_map<PieceKey, bool> SeenPieces; ///< For the oracle.
-  std::vector<uint64_t> KeptBytes; ///< Per organisation, as the stores count.
+  /// Pieces of all accepted requests; used by ContextReuse::Oracle.
+  std::unordered_map<PieceKey, bool> SeenPieces;
+  /// Stored bytes per organisation, over all stores.
+  std::vector<uint64_t> KeptBytes;
   RunResult Result;
   uint32_t NextRoundRobinServer = 0;
 };
--- a/bench/policy_steps.h
+++ b/bench/policy_steps.h
@@ -1,4 +1,4 @@
-/// The parts of PolicyRun that route, accept, queue and run. Included by
+/// Members of PolicyRun that route, accept, queue and run requests. Included by
 /// policy_run.h.
 #pragma once
 
@@ -202,7 +202,9 @@
 
 inline bool PolicyRun::place(Job &job, uint32_t entry,
                              std::optional<uint32_t> excluded) {
-  // First for a limited wait, then, when all waits are known, for any.
+  // The first pass limits the queue wait at each server. Every offer reports
+  // the server's wait, so the second pass, which accepts any wait, knows all of
+  // them.
   bool hasWaitLimit = TestedPolicy.Route == Routing::Daisytack;
   for (bool limited : {true, false}) {
     if (limited && !hasWaitLimit)
@@ -238,7 +240,7 @@
   out.Decode = agent.Predictor.decode(requestClass.AnswerTokens);
   out.ContextReady = Now + job.Plan.FetchTime;
   if (!TestedPolicy.ChecksAcceptance) {
-    out.Deadline = request.ArrivedAt; // First come, first served.
+    out.Deadline = request.ArrivedAt; // Orders the queue by arrival time.
     return out;
   }
   out.Organisation = hashName(Organisations[request.Organisation].Name);
@@ -400,7 +402,7 @@
     Stores[i].fail();
   for (uint32_t it : interrupted) {
     Job &job = Jobs[it];
-    ++job.Epoch; // What the lost server was doing no longer counts.
+    ++job.Epoch; // Invalidates the pending events of the failed server.
     ++job.Moves;
     if (!place(job, job.Entry, std::nullopt))
       Result.Outcomes[it].Lost = true;
--- a/bench/policy_stream.h
+++ b/bench/policy_stream.h
@@ -1,6 +1,6 @@
-/// Request streams shaped like the two deployments: organisations of unequal
-/// size, a prefix that an organisation shares, documents that return after
-/// heavy-tailed gaps, bursts before a deadline.
+/// Synthetic request streams modelled on two deployments: organisations of
+/// unequal size, a prefix shared within an organisation, documents requested
+/// again after heavy-tailed gaps, and bursts before a deadline.
 #pragma once
 
 #include "policy_model.h"
@@ -15,29 +15,33 @@
 namespace daisytack::bench {
 
 constexpr size_t OrganisationCount = 10;
-// "A few of them large": sizes fall with the rank to this power.
+// Organisation sizes fall with the rank to this power, so that a few are large.
 constexpr double SizeExponent = 1.0;
-// Gaps between returns of one document: Pareto from two minutes up to a day.
-// With an exponent near 1 every scale of gap is as common as the next.
+// Gaps between requests for the same document: a bounded Pareto distribution
+// from two minutes to one day. With an exponent near 1, gaps of every order of
+// magnitude are about equally common.
 constexpr double MinGapSeconds = 120;
 constexpr double MaxGapSeconds = 86'400;
 constexpr double GapExponent = 1.1;
-// An organisation may send three times its usual rate.
+// Rate limit of an organisation, as a multiple of its usual rate.
 constexpr double LimitFactor = 3;
-// Of every half hour, the last five minutes carry this much more.
+// In the last five minutes of every half hour, the rate is multiplied by this
+// factor.
 constexpr double BurstPeriodSeconds = 1'800;
 constexpr double BurstSeconds = 300;
 constexpr double BurstFactor = 2.2;
-// The misbehaving organisation sends ten times its limit.
+// Rate of the misbehaving organisation, as a multiple of its limit.
 constexpr double MisbehaviourFactor = 10;
 
-/// A kind of request.
+/// Parameters of one request class.
 struct RequestClass {
   std::string Name;
-  double DocumentShare = 1;    ///< Of the documents.
-  uint32_t SharedPieces = 0;   ///< Shared by the organisation.
-  uint32_t DocumentPieces = 0; ///< Return with the document.
-  uint32_t NewTokens = 0;      ///< New in every request.
+  double DocumentShare = 1; ///< Fraction of the documents.
+  /// Leading pieces shared by all requests of an organisation.
+  uint32_t SharedPieces = 0;
+  /// Pieces shared by all requests for the same document.
+  uint32_t DocumentPieces = 0;
+  uint32_t NewTokens = 0; ///< Tokens that differ in every request.
   uint32_t AnswerTokens = 0;
   Duration Deadline{0};
   uint32_t Priority = 5;
@@ -50,13 +54,13 @@
   uint32_t Servers = 0;
   uint32_t Stores = 2;
   uint32_t Entries = 3;
-  double RequestsPerSecond = 0; ///< Usual rate.
+  double RequestsPerSecond = 0; ///< Usual rate over all organisations.
   PlanWeights Weights;
   std::vector<RequestClass> Classes;
 };
 
-// Riga: quotes while the trader holds the phone (three seconds), and drafts of
-// commentary that must be there before the bulletin closes.
+// Quotes, needed within three seconds while a caller waits on the phone, and
+// drafts of commentary, which must be ready before a bulletin closes.
 inline Deployment riga() {
   Deployment out;
   out.Name = "Riga";
@@ -71,9 +75,9 @@
   return out;
 }
 
-// Dakar: a long style guide and past notices before a family's draft; a short
-// check of names and dates. What returns is known to return, so the classes
-// keep always.
+// Notices, whose prompt has a long style guide and past notices before the
+// draft, and short checks of names and dates. The prefixes are known to be
+// reused, so both classes always keep their context.
 inline Deployment dakar() {
   Deployment out;
   out.Name = "Dakar";
@@ -94,10 +98,11 @@
   uint32_t Class = 0;
   std::vector<PieceKey> Pieces;
   uint32_t PromptTokens = 0;
-  bool IsExcess = false; ///< Part of the misbehaviour.
+  bool IsExcess = false; ///< Sent by the misbehaving organisation in excess of
+                         ///< its usual rate.
 };
 
-/// Share of the load of the organisation of that rank.
+/// Returns the share of the load that the organisation of the given rank has.
 inline double loadShare(size_t rank) {
   double sum = 0;
   for (size_t i = 1; i <= OrganisationCount; ++i)
@@ -105,8 +110,8 @@
   return std::pow(rank + 1, -SizeExponent) / sum;
 }
 
-/// Stands for the keyed hash, which costs the bench time and changes no
-/// decision.
+/// Replaces the keyed hash of piece contents, which would slow the benchmark
+/// and does not affect the decisions.
 inline PieceKey benchKey(uint64_t organisation, uint64_t document,
                          uint64_t index) {
   PieceKey out;
@@ -122,11 +127,13 @@
 struct StreamOptions {
   Duration Length{0};
   bool HasBursts = false;
-  std::optional<TimePoint> MisbehaviourStart; ///< Organisation 0, to the end.
+  /// Start of the misbehaviour of organisation 0, which lasts to the end; empty
+  /// if there is none.
+  std::optional<TimePoint> MisbehaviourStart;
   uint64_t Seed = 1;
 };
 
-/// Generates the whole stream, sorted by time.
+/// Generates a request stream, sorted by arrival time.
 class StreamGenerator {
 public:
   StreamGenerator(const Deployment &deployment, const StreamOptions &options)
@@ -161,7 +168,8 @@
       sum += gapSeconds((i + 0.5) / Points);
     return sum / Points;
   }
-  /// Documents belong to organisations and classes for good.
+  /// Returns the organisation of a document, derived from its number, so that
+  /// all its requests have the same one. The same holds for classOf().
   uint32_t organisationOf(uint64_t document) const {
     double draw = static_cast<double>(mix64(document) >> 11U) * 0x1.0p-53;
     for (uint32_t i = 0; i + 1 < OrganisationCount; ++i)
@@ -189,8 +197,9 @@
     Requests.push_back(std::move(out));
   }
   void addDocument(uint64_t document) {
-    // A renewal process seen at random is in a gap that is chosen in
-    // proportion to its length, anywhere within it.
+    // A renewal process observed at a random time is within a gap. The
+    // probability of that gap is proportional to its length, and the position
+    // in it is uniformly distributed.
     double at = gapSeconds(uniform(Rng), GapExponent - 1) * uniform(Rng);
     double end = seconds(Options.Length);
     while (at < end) {
--- a/bench/query.cpp
+++ b/bench/query.cpp
@@ -1,6 +1,6 @@
-/// What operators' statements cost at the deployment's full size: parsing, the
-/// plan over 1,300 entries and 10,000 agents, an answer's rows as JSON, and the
-/// ring that holds events.
+/// Cost of operator statements in a deployment with 1,300 entries and 10,000
+/// agents: parsing, query planning, executing and encoding rows as JSON, and
+/// recording and searching events.
 #include "base/clock.h"
 #include "base/event_ring.h"
 #include "base/request_id.h"
--- a/bench/routing.cpp
+++ b/bench/routing.cpp
@@ -1,6 +1,6 @@
-/// Ways to place prompts on backend servers, weighed against one another: time
-/// of a lookup, evenness, prompts moved when a server leaves, time and memory
-/// of the table. Inputs are deterministic; the times are this machine's.
+/// Compares algorithms that map prompts to backend servers: lookup time,
+/// evenness, number of prompts that move when a server is removed, and time and
+/// memory to build the table. Inputs are deterministic.
 #include "base/digest.h"
 #include "decide/hash_ring.h"
 
@@ -23,7 +23,7 @@
 constexpr uint64_t Lookups = 20'000;
 constexpr uint64_t KeysPerServer = 200;
 
-/// A way of placing: the index of a key's server.
+/// A mapping of keys to server indexes.
 struct Placement {
   std::function<uint32_t(uint64_t)> Lookup;
   size_t Bytes = 0;
@@ -34,7 +34,7 @@
   return std::chrono::duration<double, std::micro>(Clock::now() - from).count();
 }
 
-/// Rendezvous over all servers.
+/// Rendezvous hashing over all servers.
 Placement flat(const Hashes &servers) {
   auto all = std::make_shared<const Hashes>(servers);
   return {[all](uint64_t key) {
@@ -52,7 +52,8 @@
           servers.size() * sizeof(uint64_t)};
 }
 
-/// Weighted rendezvous over fixed groups, then rendezvous within the group.
+/// Weighted rendezvous hashing over fixed groups, then rendezvous hashing
+/// within the group.
 Placement grouped(const Hashes &servers) {
   constexpr size_t Groups = 64;
   struct Group {
@@ -95,8 +96,8 @@
           servers.size() * (sizeof(uint64_t) + sizeof(uint32_t))};
 }
 
-/// Maglev: every server fills a table of about a hundred entries a server in
-/// its own order.
+/// Maglev hashing: servers take turns to claim slots of a table, each in its
+/// own pseudo-random order. The table has 100 to 200 slots per server.
 Placement maglev(const Hashes &servers) {
   size_t size = std::bit_ceil(servers.size()) * 100 | 1U;
   auto table = std::make_shared<std::vector<uint32_t>>(size, UINT32_MAX);
@@ -141,9 +142,9 @@
   return sink == 0 ? 0 : best;
 }
 
-/// Deviation and largest are of the servers' shares, over the mean; they
-/// contain the chance that lies in the keys themselves. Moved prompts are given
-/// in shares of one server.
+/// Standard deviation and maximum of the servers' loads are divided by the mean
+/// load; they include the random variation of the keys. The number of moved
+/// prompts is divided by the mean load.
 void printRow(const char *name, const Builder &build, uint32_t n) {
   Hashes servers = makeServers(n);
   auto from = Clock::now();
--- a/bench/server_loads.cpp
+++ b/bench/server_loads.cpp
@@ -1,6 +1,6 @@
-/// Cost of one look at a server's load, which a choice takes once for each
-/// server of a service, and of one message of another entry, by the size of the
-/// fleet.
+/// Cost of reading the load of a server and of handling a load report of
+/// another entry, for several fleet sizes. Choosing a server reads the load of
+/// each server of the service.
 #include "direct/server_loads.h"
 #include "base/clock.h"
 
@@ -17,7 +17,8 @@
   int Entries;
 };
 
-/// Busy servers that one entry tells of: what fits into a datagram.
+/// Number of busy servers in the report of one entry, limited by the size of a
+/// datagram.
 constexpr int SharesPerReport = 60;
 constexpr int Lookups = 200'000;
 
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -1,6 +1,6 @@
-/// What one process pays for the control part at the size that daisytack is to
-/// reach: memory per object and member, processor time and bytes per change.
-/// docs/CAPACITY.md multiplies these slopes.
+/// Cost of the control plane in one process at full deployment size: memory per
+/// configuration object and member, processor time and bytes per change.
+/// docs/CAPACITY.md extrapolates from these figures.
 ///
 /// usage: bench_slopes [MEMBERS ORGANISATIONS]
 #include "base/clock.h"
@@ -73,7 +73,7 @@
           state == MemberState::Gone};
 }
 
-/// Microseconds of one call, on average.
+/// Returns the mean time of a call in microseconds.
 double averageMicroseconds(const std::function<void(int)> &body) {
   TimePoint begin = monotonicNow();
   for (int i = 0; i < Repeats; ++i)
@@ -81,7 +81,7 @@
   return static_cast<double>((monotonicNow() - begin).count()) / Repeats;
 }
 
-/// One process at full size.
+/// Control plane state of one process.
 struct ControlProcess {
   ControlState State{{}, [](const Event &) {}};
   uint64_t RandomCalls = 1;
--- a/bench/spread_node.cpp
+++ b/bench/spread_node.cpp
@@ -1,8 +1,8 @@
-/// One process that runs the control part alone, for scripts/bench-spread.
+/// A process that runs only the control plane, for scripts/bench-spread.
 ///
-/// The start and every SIGUSR1 append a line of JSON to the report: the clock,
-/// processor time, memory, counters, and the snapshots published since the last
-/// line.
+/// Appends a line of JSON to the report at the start and on every SIGUSR1 and
+/// SIGTERM: time, processor time, memory, counters, and the snapshots published
+/// since the last line.
 #include "base/clock.h"
 #include "base/digest.h"
 #include "edge/instance_list_http.h"
@@ -114,7 +114,8 @@
   std::optional<Endpoint> list = parseEndpoint(FLAGS_list);
   std::optional<runtime::ControlInit> init = readInit();
   if (!kv || !list || !init) {
-    // Run by itself, as by a check of all benchmarks, there is nothing to do.
+    // A run without arguments, as by a check of all benchmarks, succeeds
+    // without doing anything.
     std::cerr << "run by scripts/bench-spread\n";
     return argc == 1 && FLAGS_name.empty() ? 0 : 2;
   }
@@ -136,7 +137,7 @@
   }
   boost::asio::signal_set signals(io, SIGUSR1, SIGTERM);
   reportOnSignal(signals, reporter, control, io);
-  // The first line says that signals are handled from now on.
+  // The first line of the report shows that signals are handled from now on.
   reporter.write(control);
   io.run();
   return 0;
--- a/bench/wire.cpp
+++ b/bench/wire.cpp
@@ -1,5 +1,5 @@
-/// Nanoseconds per message: our archives against cereal's portable binary ones
-/// over string streams, in one run.
+/// Time to encode and decode a message with the archives of wire/codec.h,
+/// compared with cereal's portable binary archives over string streams.
 #include "base/clock.h"
 #include "wire/codec.h"
 #include "wire/messages.h"
