--- a/tests/examples/deployments_test.cpp
+++ b/tests/examples/deployments_test.cpp
@@ -1,3 +1,6 @@
+/// Guards against example deployments that no longer match the code: invalid or
+/// unknown configuration fields, instances that don't decode, and numbers of
+/// instances and failure domains that differ from the described sizes.
 #include "control/instance_codec.h"
 #include "control/object_codec.h"
 
--- a/tests/fuzz/libfuzzer_main.cpp
+++ b/tests/fuzz/libfuzzer_main.cpp
@@ -1,5 +1,5 @@
-/// One fuzz target for libFuzzer; scripts/fuzz builds it with clang and sets
-/// DAISYTACK_FUZZ_TARGET to the target's name.
+/// libFuzzer entry point for a single fuzz target. scripts/fuzz builds it with
+/// clang and sets DAISYTACK_FUZZ_TARGET to the name of the target.
 #include "targets.h"
 
 #include <cstddef>
--- a/tests/fuzz/replay_main.cpp
+++ b/tests/fuzz/replay_main.cpp
@@ -1,5 +1,6 @@
-/// Runs every target over its fixed corpus, every cut of it and a fixed number
-/// of changed copies. The same inputs each time; any compiler will do.
+/// Runs every fuzz target on its corpus, on truncations of each corpus input
+/// and on a fixed number of mutated copies. The inputs are the same in each
+/// run. Does not need libFuzzer.
 #include "targets.h"
 
 #include <algorithm>
--- a/tests/fuzz/targets.cpp
+++ b/tests/fuzz/targets.cpp
@@ -25,7 +25,8 @@
 
 namespace {
 
-/// Stops at once, so that the input which broke the rule is kept.
+/// Aborts if the condition is false, so that the fuzzer stores the input that
+/// violated it.
 void require(bool condition) {
   if (!condition)
     std::abort();
@@ -72,7 +73,7 @@
       wire::encode(PeerMessage(Acknowledgement{}))};
 }
 
-/// A value under each kind of key of the platform's store.
+/// Decodes the input as the value of each kind of key in the platform's store.
 void runRecords(std::string_view text) {
   for (const char *key : {"op/config", "op/version/m", "servers/i",
                           "daisytack/entries/e", "daisytack/holder"}) {
@@ -89,8 +90,8 @@
   platform::readReport(text);
 }
 
-/// Headers of a caller, one a line; whatever they say, the key is not passed
-/// on.
+/// Parses the input as a caller's headers, one per line. The API key is never
+/// forwarded, whatever the other headers are.
 void runCaller(std::string_view text) {
   net::HttpRequest request;
   request.Target = "/";
@@ -113,7 +114,7 @@
     require(it.Name != "X-Api-Key");
 }
 
-/// No byte is lost however the stream is cut.
+/// No byte is lost when the stream arrives in chunks.
 void runEventSplitter(std::string_view text) {
   direct::EventSplitter splitter;
   std::string out;
@@ -158,7 +159,7 @@
   query::parseCommand(text, error);
 }
 
-/// Events are the same however the stream is cut.
+/// The parsed events do not depend on how the stream is split into chunks.
 void runSse(std::string_view text) {
   auto parse = [&](size_t step) {
     net::SseParser parser(4096);
@@ -195,7 +196,7 @@
   edge::parseFence(text);
 }
 
-/// Whoever doesn't know the secret can't make a ticket.
+/// A ticket cannot be forged without knowing the secret.
 void runTicket(std::string_view text) {
   Error reason;
   parseTicket(text, reason);
--- a/tests/fuzz/targets.h
+++ b/tests/fuzz/targets.h
@@ -1,5 +1,5 @@
-/// Every decoder of bytes from outside, as a function that must neither crash
-/// nor break its stated rule, whatever the bytes are.
+/// Fuzz targets for all decoders of untrusted bytes. For any input, a target
+/// must not crash, and the condition stated at its function must hold.
 #pragma once
 
 #include <string>
@@ -9,14 +9,15 @@
 namespace daisytack::fuzz {
 
 struct Target {
-  std::string_view Name; ///< Also of its directory below tests/fuzz/corpus.
+  std::string_view
+      Name; ///< Also the name of its corpus directory in tests/fuzz/corpus.
   void (*Run)(std::string_view bytes) = nullptr;
-  /// Valid inputs that are no text, made by the encoder.
+  /// Returns valid binary inputs made by the encoder; empty for text formats.
   std::vector<std::string> (*BinarySeeds)() = nullptr;
 };
 
 const std::vector<Target> &targets();
-/// Nothing of that name: nullptr.
+/// Returns nullptr if there is no target with this name.
 const Target *findTarget(std::string_view name);
 
 } // namespace daisytack::fuzz
