--- a/src/decide/predictor.h
+++ b/src/decide/predictor.h
@@ -35,8 +35,8 @@
   double Percentile = 0.95; ///< Percentile of the predictions, in (0, 1).
   double Step = 0.2;        ///< See QuantileTracker.
   double Margin = 0.05;     ///< Added to every prediction, as a share of it.
-  double PrefillTokensPerSecond = 10'000; ///< Assumed until measured.
-  double DecodeTokensPerSecond = 50;  ///< Of one run, assumed until measured.
+  double PrefillTokensPerSecond = 10'000; ///< Initial estimate.
+  double DecodeTokensPerSecond = 50;      ///< Initial estimate for one run.
   double PrefillOverheadTokens = 256; ///< Fixed cost of a prefill, in tokens.
   bool operator==(const PredictorSettings &) const = default;
 };
--- a/src/direct/prefill_rate.h
+++ b/src/direct/prefill_rate.h
@@ -28,9 +28,9 @@
   /// The estimate follows this quantile of the observed times per token.
   /// Below the median, since most disturbances delay the first byte (queues
   /// that this entry does not know of, slow links), so that quick observations
-  /// are more reliable. With 0.25, engines of 55 tokens per millisecond are
-  /// estimated at 52 to 55 over any four seconds without congestion, and at 37
-  /// while queues are half a second long.
+  /// are more reliable. Queues still lower the estimate: at 0.25, engines of 55
+  /// tokens per millisecond are estimated at 52 to 55 without congestion and at
+  /// 37 while queues are half a second long.
   double Quantile = 0.25;
   /// Relative change of the estimate by one observation, at first and later. An
   /// initial estimate that is off by a factor of two is corrected after about
--- a/src/gateway/gateway_options.h
+++ b/src/gateway/gateway_options.h
@@ -70,8 +70,8 @@
   /// date: unknown routes and keys are then refused temporarily instead of
   /// permanently.
   Duration ConfirmedFor{2'500'000};
-  /// How long this entry goes on naming context stores as sources without newer
-  /// knowledge of the key-value service. All entries must agree on it, so it is
+  /// Age of this entry's state of the key-value service up to which it names
+  /// context stores as sources. All entries must use the same value, so it is
   /// not a setting; tests shorten it.
   Duration MaxSourceStaleness = direct::MaxSourceStaleness;
   /// Term of the order lease, and of the lease under which an entry announces
--- a/src/gateway/gateway_state.cpp
+++ b/src/gateway/gateway_state.cpp
@@ -243,8 +243,8 @@
 
 direct::SourceEligibility GatewayState::sourceEligibility() const {
   direct::SourceEligibility out;
-  // ListedAt is read before the catalog, so that the catalog is at least as
-  // new.
+  // AnnouncedAsOf is read before the catalog, so that the catalog is at least
+  // as new.
   out.AnnouncedAsOf = TimePoint(Duration(AnnouncedAsOf.load()));
   out.HasReadAll = HasReadAll;
   auto catalog = this->catalog();
