--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -38,13 +38,13 @@
   double FirstTokenP50 = 0, FirstTokenP95 = 0, FirstTokenP99 = 0;
   /// The same for small organisations.
   double SmallFirstTokenP95 = 0;
-  /// Fraction of the prompt tokens.
+  /// Fraction of the prompt tokens that were recomputed.
   double RecomputedShare = 0;
-  /// Fraction of the requests within the rate limit.
+  /// Fraction of the requests within the rate limit that were refused.
   double RefusedShare = 0;
   /// Accepted requests that were late or never answered.
   uint64_t MissedDeadlines = 0;
-  /// Fraction of the requests within the rate limit.
+  /// Fraction of the requests within the rate limit that met their deadline.
   double OnTimeShare = 0;
   /// Lowest OnTimeShare of any organisation.
   double MinOnTimeShare = 1;
