--- a/scripts/bench_loopback.py
+++ b/scripts/bench_loopback.py
@@ -13,7 +13,7 @@
 IDLE_CONNECTIONS = 5000
 INSTANT = ("--prefill_rate=0", "--decode_rate=0", "--slots=100000", "--cache_pieces=0")
 SLOW = ("--prefill_rate=0", "--decode_rate=40", "--slots=64", "--cache_pieces=0")
-WIDE = {"entry": {"process": {"threads": 4}}, "agent": {"agent": {"max_running": 64, "max_waiting": 1000000}}}
+MANY_STREAMS = {"entry": {"process": {"threads": 4}}, "agent": {"agent": {"max_running": 64, "max_waiting": 1000000}}}
 STREAM_AGENTS = 8
 
 
@@ -78,18 +78,18 @@
     objects = default_objects()
     objects["class/default"]["deadline"] = "30m"
     with Fleet() as fleet:
-        d = Deployment(fleet, entries=1, agents=STREAM_AGENTS, services=0, stores=0, engine_flags=SLOW, settings=WIDE,
-                       objects=objects).start()
+        d = Deployment(fleet, entries=1, agents=STREAM_AGENTS, services=0, stores=0, engine_flags=SLOW,
+                       settings=MANY_STREAMS, objects=objects).start()
         entry = d.entries[0]
         figures = load(entry.work, fleet.processes[entry.name].pid, mode="streams", at_once=streams, tokens=20)
         figures["entry_bytes_per_stream"] = (figures["peak_kib"] - figures["rss_before_kib"]) * 1024 / streams
         show(f"{streams} streams over {STREAM_AGENTS} servers", figures)
 
 
-chosen = sys.argv[1:] or ["overhead", "rates", "streams"]
-if "overhead" in chosen:
+selected = sys.argv[1:] or ["overhead", "rates", "streams"]
+if "overhead" in selected:
     measure_overhead()
-if "rates" in chosen:
+if "rates" in selected:
     measure_rates()
-if "streams" in chosen:
+if "streams" in selected:
     measure_streams(SLOW_STREAMS)
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -55,9 +55,9 @@
     """Least squares: intercept, slope and the worst misfit as a share of the largest value."""
     n, sx, sy = len(xs), sum(xs), sum(ys)
     slope = (n * sum(x * y for x, y in zip(xs, ys)) - sx * sy) / (n * sum(x * x for x in xs) - sx * sx)
-    start = (sy - slope * sx) / n
-    misfit = max(abs(start + slope * x - y) for x, y in zip(xs, ys)) / max(map(abs, ys))
-    return start, slope, misfit
+    intercept = (sy - slope * sx) / n
+    misfit = max(abs(intercept + slope * x - y) for x, y in zip(xs, ys)) / max(map(abs, ys))
+    return intercept, slope, misfit
 
 
 def run(name, *arguments):
@@ -81,23 +81,23 @@
     sizes = ", ".join(f"{m}+{o}" for m, o in SLOPE_SIZES)
     out = {}
 
-    def grows(name, field, scale, unit, how):
-        start, slope, misfit = fit(xs, [row[field] * scale for row in rows])
+    def add_linear(name, field, scale, unit, how):
+        intercept, slope, misfit = fit(xs, [row[field] * scale for row in rows])
         out[name] = Slope(slope, f"{unit} per member", f"bench_slopes, {how}", sizes, misfit)
         out[name + "_full"] = Slope(rows[-1][field] * scale, unit, f"bench_slopes, {how}", sizes.split(", ")[-1])
 
-    def fixed(name, field, unit, how):
+    def add_constant(name, field, unit, how):
         out[name] = Slope(rows[-1][field], unit, f"bench_slopes, {how}", sizes.split(", ")[-1])
 
-    grows("memory", "total_mb", 1e6, "B", "all of configuration, members, peers and snapshot")
-    grows("change_cpu", "build_us", 1, "us", "a change of configuration with its snapshot")
-    grows("member_cpu", "member_us", 1, "us", "a change of members with its snapshot")
-    grows("image", "image_mb", 1e6, "B", "image for a new process")
-    fixed("merge_cpu", "merge_us", "us", "merging a change, no snapshot")
-    fixed("tick_cpu", "tick_us", "us", "a tick without news")
+    add_linear("memory", "total_mb", 1e6, "B", "all of configuration, members, peers and snapshot")
+    add_linear("change_cpu", "build_us", 1, "us", "a change of configuration with its snapshot")
+    add_linear("member_cpu", "member_us", 1, "us", "a change of members with its snapshot")
+    add_linear("image", "image_mb", 1e6, "B", "image for a new process")
+    add_constant("merge_cpu", "merge_us", "us", "merging a change, no snapshot")
+    add_constant("tick_cpu", "tick_us", "us", "a tick without news")
     for name, what in (("digest", "digest"), ("change", "change of an organisation"), ("member", "change of a member"),
                        ("signal", "signal")):
-        fixed(name + "_bytes", name + "_b", "B", f"payload of a {what}")
+        add_constant(name + "_bytes", name + "_b", "B", f"payload of a {what}")
     return out
 
 
@@ -121,7 +121,7 @@
 
 def request_slopes():
     """Processor time of entry and agent per request and per streamed chunk, memory per stream."""
-    out, whole, streamed = {}, {}, {"entry": [], "agent": []}
+    out, request_us, stream_us = {}, {}, {"entry": [], "agent": []}
     instant = ("--prefill_rate=0", "--decode_rate=0", "--slots=100000", "--cache_pieces=0")
     with Fleet() as fleet:
         d = Deployment(fleet, entries=1, agents=1, services=0, stores=0, engine_flags=instant).start()
@@ -129,7 +129,7 @@
         before = {role: cpu_seconds(pid) for role, pid in pids.items()}
         figures = load(d.entries[0].work, mode="throughput", requests=REQUEST_COUNT, at_once=32)
         for role, pid in pids.items():
-            whole[role] = (cpu_seconds(pid) - before[role]) / REQUEST_COUNT * 1e6
+            request_us[role] = (cpu_seconds(pid) - before[role]) / REQUEST_COUNT * 1e6
         out["rate"] = Slope(figures.get("per_second", figures.get("requests_per_second", 0)), "requests/s",
                             "scripts/capacity, one entry, 32 at once", f"{REQUEST_COUNT} requests")
     steady = ("--prefill_rate=0", f"--decode_rate={DECODE_RATE}", "--slots=100000", "--cache_pieces=0")
@@ -141,11 +141,11 @@
             before = {role: cpu_seconds(pid) for role, pid in pids.items()}
             load(d.entries[0].work, mode="streams", at_once=STREAMS, tokens=tokens)
             for role, pid in pids.items():
-                streamed[role].append((cpu_seconds(pid) - before[role]) / STREAMS * 1e6)
+                stream_us[role].append((cpu_seconds(pid) - before[role]) / STREAMS * 1e6)
     for role in ("entry", "agent"):
-        out[role + "_request"] = Slope(whole[role], "us per request", "scripts/capacity, whole answers of 4 chunks",
-                                       f"{REQUEST_COUNT} requests")
-        _, slope, misfit = fit(STREAM_TOKENS, streamed[role])
+        out[role + "_request"] = Slope(request_us[role], "us per request",
+                                       "scripts/capacity, whole answers of 4 chunks", f"{REQUEST_COUNT} requests")
+        _, slope, misfit = fit(STREAM_TOKENS, stream_us[role])
         out[role + "_chunk"] = Slope(slope, "us per chunk", f"scripts/capacity, {STREAMS} streams at {DECODE_RATE}/s",
                                      ", ".join(map(str, STREAM_TOKENS)) + " chunks", misfit)
     return out
@@ -168,12 +168,14 @@
 def control_rows(s):
     """What one node pays for control at full size, beside its budget."""
     changes = CHANGES_A_DAY / DAY
-    moves = (REPLACED_A_DAY * 3 + FAILED_A_DAY * 2) / DAY
-    told = (changes * (s["change_bytes"].value + IP_AND_SEAL) + moves * (s["member_bytes"].value + IP_AND_SEAL)) * FANOUT
-    compared = 2 * (s["digest_bytes"].value + IP_AND_SEAL) / DIGEST_SECONDS
-    images = s["image_full"].value * (REPLACED_A_DAY + FAILED_A_DAY) / MEMBERS / DAY
-    processor = changes * s["change_cpu_full"].value + moves * s["member_cpu_full"].value
-    yield "bytes sent a second", told + compared + images, BYTES, "B/s", "rumours to a bounded number of peers, digests"
+    member_changes = (REPLACED_A_DAY * 3 + FAILED_A_DAY * 2) / DAY
+    change_traffic = (changes * (s["change_bytes"].value + IP_AND_SEAL) +
+                      member_changes * (s["member_bytes"].value + IP_AND_SEAL)) * FANOUT
+    digest_traffic = 2 * (s["digest_bytes"].value + IP_AND_SEAL) / DIGEST_SECONDS
+    image_traffic = s["image_full"].value * (REPLACED_A_DAY + FAILED_A_DAY) / MEMBERS / DAY
+    processor = changes * s["change_cpu_full"].value + member_changes * s["member_cpu_full"].value
+    yield "bytes sent a second", change_traffic + digest_traffic + image_traffic, BYTES, "B/s", \
+        "rumours to a bounded number of peers, digests"
     yield "processor", processor / 1e6 * 100, CPU_SHARE * 100, "% of a core", "one merge and one snapshot per change"
     yield "memory", s["memory_full"].value / 1e6, MEMORY / 1e6, "MB", "one replica and one snapshot"
 
--- a/scripts/causes.py
+++ b/scripts/causes.py
@@ -9,7 +9,7 @@
 import sys
 
 # A first byte that took this much longer than predicted was delayed by something that the entry did not know.
-UNFORESEEN_MS = 100
+UNEXPECTED_DELAY_MS = 100
 
 
 def read_lines(file):
@@ -37,9 +37,9 @@
     attempt = sent[0]
     predicted = attempt.get("predicted_first_byte_ms", 0)
     first_byte = ended[0].get("first_byte_ms", 0) if ended else 0
-    if first_byte < predicted + UNFORESEEN_MS:
+    if first_byte < predicted + UNEXPECTED_DELAY_MS:
         return "queue known when it was sent"
-    if attempt.get("fetch_excess_ms", 0) > UNFORESEEN_MS:
+    if attempt.get("fetch_excess_ms", 0) > UNEXPECTED_DELAY_MS:
         return "congested link to a store"
     if attempt.get("sourced_tokens", 0) > 0:
         return "fetch or server slower than predicted"
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -17,9 +17,9 @@
     """One line of an answer with its measures."""
     first = int(answer.headers["X-Daisytack-First-Token-Us"]) / 1000
     prompt = int(answer.headers["X-Daisytack-Prompt-Tokens"])
-    again = int(answer.headers["X-Daisytack-Recomputed-Tokens"])
-    print(f"{title:<42} first token {first:8.1f} ms, recomputed {again:5d} of {prompt:5d} tokens: {text[:30]}...")
-    return again / prompt
+    recomputed = int(answer.headers["X-Daisytack-Recomputed-Tokens"])
+    print(f"{title:<42} first token {first:8.1f} ms, recomputed {recomputed:5d} of {prompt:5d} tokens: {text[:30]}...")
+    return recomputed / prompt
 
 
 def send(deployment, title, prompt, at=None):
@@ -36,8 +36,8 @@
     prompt = prompt_of("notice desk", PIECES)
     check(send(deployment, "prompt, the first time", prompt) == 1, "all of a new prompt is recomputed")
     wait_for("the context is kept in a store", lambda: sum(stats(s).get("commits", 0) for s in deployment.stores) >= PIECES)
-    again = send(deployment, "again, through the other entry", prompt, at=deployment.entries[1])
-    check(again < 0.2, "an engine's cache or a store is used")
+    recomputed = send(deployment, "again, through the other entry", prompt, at=deployment.entries[1])
+    check(recomputed < 0.2, "an engine's cache or a store is used")
     for engine in deployment.engines():
         set_faults(engine, clear_cache=True)
     # A prompt that returns at once may still meet the belief that its context is there: events of the cache are late.
--- a/scripts/deployment.py
+++ b/scripts/deployment.py
@@ -59,7 +59,7 @@
         self.domain = DOMAINS[number % len(DOMAINS)]
         self.serves, self.server = "", 0
 
-    def listed(self, state="live"):
+    def list_entry(self, state="live"):
         """What the platform's list says of it."""
         return {"name": self.name, "role": self.role, "state": state, "region": "riga", "failure_domain": self.domain,
                 "serves": self.serves, "service": self.serves == "registry", "work": f"{HOST}:{self.work}",
@@ -85,7 +85,7 @@
         fleet = self.fleet
         values = {f"/daisytack/config/{key}": value for key, value in self.objects.items()}
         self.kv = fleet.start_standin("kv", "kv", f"--file={fleet.write('config.json', json.dumps(values))}")
-        instances = [i.listed() for i in self.entries + self.agents]
+        instances = [i.list_entry() for i in self.entries + self.agents]
         self.list = fleet.start_standin("list", "list", f"--file={fleet.write('list.json', json.dumps(instances))}")
         self.weights = fleet.start_standin("weights", "weights")
         self.stores = [fleet.start_standin("store", f"store-{n}") for n in range(self.store_count)]
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -119,7 +119,7 @@
         self.directory = pathlib.Path(tempfile.mkdtemp(prefix="daisytack-"))
         self.processes = {}
         self.lock = None
-        self.base, self.used = self._take_block(), 0
+        self.base, self.used = self._lock_port_block(), 0
 
     def __enter__(self):
         return self
@@ -129,7 +129,7 @@
             self.show_logs()
         self.stop()
 
-    def _take_block(self):
+    def _lock_port_block(self):
         locks = pathlib.Path(tempfile.gettempdir()) / "daisytack-ports"
         locks.mkdir(exist_ok=True)
         for block in range(BLOCKS):
--- a/tests/process/crash_test.py
+++ b/tests/process/crash_test.py
@@ -35,9 +35,10 @@
     seen = list(stream.events)
     d.fleet.kill(first.name)
     last = seen[-1]["id"]
-    stranger = d.stream("killed entry", at=second, headers=d.headers("balta", Last_Event_ID=last),
-                        max_tokens=LONG_TOKENS)
-    check(stranger.status in (401, 403, 404, 410), f"another organisation's stream: {stranger.status}")
+    other_organisation = d.stream("killed entry", at=second, headers=d.headers("balta", Last_Event_ID=last),
+                                  max_tokens=LONG_TOKENS)
+    check(other_organisation.status in (401, 403, 404, 410),
+          f"another organisation's stream: {other_organisation.status}")
     rest = d.stream("killed entry", at=second, headers=d.headers(Last_Event_ID=last), max_tokens=LONG_TOKENS)
     check(rest.status == 200, f"resume: {rest.status}")
     check_whole(seen + rest.rest(), "killed entry")
@@ -56,7 +57,7 @@
     wait_engines_idle(d)
 
 
-def caller_gone_cancels(d):
+def caller_disconnect_cancels(d):
     finished = d.engine_stats("finished")
     stream = d.stream("gone caller", max_tokens=1500)
     check(stream.status == 200, f"stream: {stream.status}")
@@ -68,7 +69,7 @@
     check(d.engine_stats("finished") == finished, "the run was cancelled, not finished")
 
 
-def full_flow(d, prompts, entry):
+def concurrent_streams(d, prompts, entry):
     """Streams of distinct prompts through one entry; each whole, or refused as not run."""
     def one(prompt):
         stream = d.stream(prompt, at=entry, max_tokens=LONG_TOKENS // 3)
@@ -78,7 +79,7 @@
     return [lambda p=p: one(p) for p in prompts]
 
 
-def check_flow(results):
+def check_streams(results):
     for prompt, status, got in results:
         if status == 200:
             check_whole(got, prompt, LONG_TOKENS // 3)
@@ -87,28 +88,29 @@
     return sum(status == 200 for _, status, _ in results)
 
 
-def terminate_in_flow(d, instance, entry):
+def terminate_during_streams(d, instance, entry):
     """SIGTERM while streams run; none is cut off and the exit code is 0."""
     codes = []
 
     def terminate():
         wait_for("streams run", lambda: d.engine_stats("running") >= 8)
         codes.append(d.fleet.terminate(instance.name))
-    *results, _ = in_parallel(full_flow(d, [f"flow {instance.name} {n}" for n in range(16)], entry) + [terminate])
-    whole = check_flow(results)
+    *results, _ = in_parallel(concurrent_streams(d, [f"flow {instance.name} {n}" for n in range(16)], entry) +
+                              [terminate])
+    whole = check_streams(results)
     check(whole >= 8, f"only {whole} streams were taken")
     check(codes == [0], f"exit code {codes}")
     restart(d, instance)
     wait_engines_idle(d)
 
 
-def entry_terminated_in_full_flow(d):
-    terminate_in_flow(d, d.entries[0], d.entries[0])
+def entry_terminated_during_streams(d):
+    terminate_during_streams(d, d.entries[0], d.entries[0])
 
 
-def agent_terminated_in_full_flow(d):
-    terminate_in_flow(d, d.agents[0], d.entries[1])
+def agent_terminated_during_streams(d):
+    terminate_during_streams(d, d.agents[0], d.entries[1])
 
 
-run_cases(agent_killed_mid_stream, entry_killed_mid_stream, forged_resume_id, caller_gone_cancels,
-          entry_terminated_in_full_flow, agent_terminated_in_full_flow, agent_paused_mid_stream, services=0)
+run_cases(agent_killed_mid_stream, entry_killed_mid_stream, forged_resume_id, caller_disconnect_cancels,
+          entry_terminated_during_streams, agent_terminated_during_streams, agent_paused_mid_stream, services=0)
--- a/tests/process/drain_test.py
+++ b/tests/process/drain_test.py
@@ -39,9 +39,9 @@
 
 
 # An agent that has seen no answer yet predicts a long one cautiously.
-patient = default_objects()
-patient["class/default"]["deadline"] = "20h"
-run_cases(slow_reader_of_whole_answer, services=0, agents=1, entries=1, stores=0, objects=patient,
+long_deadline_objects = default_objects()
+long_deadline_objects["class/default"]["deadline"] = "20h"
+run_cases(slow_reader_of_whole_answer, services=0, agents=1, entries=1, stores=0, objects=long_deadline_objects,
           engine_flags=("--prefill_rate=0", "--decode_rate=0"),
           settings={"entry": {"requests": {"max_tokens": 1000000}},
                     "agent": {"agent": {"max_answer_bytes": "64M", "max_held_bytes": "256M"}}})
--- a/tests/process/input_test.py
+++ b/tests/process/input_test.py
@@ -20,27 +20,27 @@
     return answer.decode()
 
 
-def refused(d, kind, body, headers=None, path="/v1/completions"):
+def check_refused(d, kind, body, headers=None, path="/v1/completions"):
     answer = request(d.entries[0].work, "POST", path, body, headers or d.headers())
     problem_of(answer, kind, "not_run")
 
 
-def beside_a_stream(d):
+def bad_input_during_stream(d):
     """Every kind of bad input while a stream runs, which must not notice."""
     good = {"model": "m", "prompt": "p"}
     entry = d.entries[0]
     stream = start_long_stream(d, "beside bad input")
-    refused(d, "bad_request", "{no json")
-    refused(d, "bad_request", "[" * 100000)
-    refused(d, "bad_request", {"model": "m", "prompt": 7})
-    refused(d, "bad_request", {"model": "m", "prompt": "p", "max_tokens": -1})
-    refused(d, "bad_request", good, d.headers(X_Daisytack_Deadline_Ms="soon"))
-    refused(d, "unknown_model", {"model": "nobody", "prompt": "p"})
-    refused(d, "unknown_class", good, d.headers(X_Daisytack_Class="nobody"))
-    refused(d, "unauthenticated", good, d.headers("nobody"))
-    refused(d, "unauthenticated", good, {"Content-Type": "application/json"})
-    refused(d, "unknown_service", {}, path="/services/nobody/x")
-    refused(d, "not_found", good, path="/v1/nothing")
+    check_refused(d, "bad_request", "{no json")
+    check_refused(d, "bad_request", "[" * 100000)
+    check_refused(d, "bad_request", {"model": "m", "prompt": 7})
+    check_refused(d, "bad_request", {"model": "m", "prompt": "p", "max_tokens": -1})
+    check_refused(d, "bad_request", good, d.headers(X_Daisytack_Deadline_Ms="soon"))
+    check_refused(d, "unknown_model", {"model": "nobody", "prompt": "p"})
+    check_refused(d, "unknown_class", good, d.headers(X_Daisytack_Class="nobody"))
+    check_refused(d, "unauthenticated", good, d.headers("nobody"))
+    check_refused(d, "unauthenticated", good, {"Content-Type": "application/json"})
+    check_refused(d, "unknown_service", {}, path="/services/nobody/x")
+    check_refused(d, "not_found", good, path="/v1/nothing")
     huge = send_raw(entry, b"POST /v1/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 999999999\r\n\r\n")
     check('"body_too_large"' in huge, f"huge body: {huge}")
     wide = send_raw(entry, b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"h" * 100000 + b"\r\n\r\n")
@@ -54,7 +54,7 @@
     check_whole(stream.rest(), "beside bad input")
 
 
-def openai_shapes(d):
+def openai_answer_fields(d):
     """Whole and streamed, completion and chat, have the fields that common clients read."""
     answer = d.complete("shape").json()
     check(answer["object"] == "text_completion" and answer["choices"][0]["finish_reason"], f"completion: {answer}")
@@ -69,7 +69,7 @@
     check({"prompt_tokens", "completion_tokens", "prompt_tokens_details", "first_token_us"} <= set(usage), f"{usage}")
 
 
-def peer_port_takes_no_garbage(d):
+def peer_port_rejects_garbage(d):
     """Bytes that are no frame close the connection and nothing else."""
     for port in (d.agents[0].work, d.agents[0].peer, d.entries[0].peer):
         with socket.create_connection((HOST, port), timeout=60) as connection:
@@ -83,5 +83,5 @@
     check(d.complete("after garbage").status == 200, "a prompt after garbage")
 
 
-run_cases(beside_a_stream, openai_shapes, peer_port_takes_no_garbage, services=0, agents=1, entries=1,
+run_cases(bad_input_during_stream, openai_answer_fields, peer_port_rejects_garbage, services=0, agents=1, entries=1,
           settings={"entry": {"callers": {"read_timeout": "1s"}}})
--- a/tests/process/operator_test.py
+++ b/tests/process/operator_test.py
@@ -8,7 +8,7 @@
 from deployment import OPERATOR_KEY
 from fleet import BUILD, HOST, ROOT, request
 
-NOBODY = f"{HOST}:1"
+UNREACHABLE = f"{HOST}:1"
 
 
 def client(deployment, *arguments, entries=None, key=OPERATOR_KEY, stdin=None):
@@ -36,7 +36,7 @@
     return [dict(zip(names, row)) for row in answer["rows"]]
 
 
-def help_stands_in_the_page(_):
+def help_matches_page(_):
     """Flags and exit codes of --help are those of docs/OPERATORS.md."""
     text = subprocess.run([BUILD / "daisytack", "--help"], text=True, capture_output=True, check=True).stdout
     page = (ROOT / "docs" / "OPERATORS.md").read_text()
@@ -60,8 +60,8 @@
     expect(d, 1, "--wait=soon", "drain", "agent-0", has="--wait")
     expect(d, 2, "drain", "agent-99", has="not_found")
     expect(d, 2, "show", "servers", key="wrong", has="unauthenticated")
-    expect(d, 5, "show", "servers", entries=NOBODY, has="remedy")
-    expect(d, 0, "show", "servers", entries=f"{NOBODY},{HOST}:{d.entries[0].operators}", has="agent-0")
+    expect(d, 5, "show", "servers", entries=UNREACHABLE, has="remedy")
+    expect(d, 0, "show", "servers", entries=f"{UNREACHABLE},{HOST}:{d.entries[0].operators}", has="agent-0")
 
 
 def statements_from_a_pipe(d):
@@ -70,7 +70,7 @@
     check("bulletin" in text and "on_version" in text, text)
 
 
-def see_a_request(d):
+def running_request_is_shown(d):
     """A running request shows at its entry and its server; its time line touches both."""
     stream = start_long_stream(d, "look at me")
     row = wait_for("the request shows as running", lambda: rows_of(d, "show running"))[0]
@@ -111,7 +111,7 @@
     expect(d, 0, "undrain", row["instance"], has="unchanged")
 
 
-def swap_shows(d):
+def versions_are_counted(d):
     """The version that the servers report is counted."""
     for n in range(8):
         d.complete(f"version {n}")
@@ -150,7 +150,7 @@
     wait_for("commands work again", lambda: client(d, "undrain", "agent-0")[0] == 0)
 
 
-def measures_show(d):
+def measures_are_exported(d):
     """The three measures are counted per model and class."""
     text = request(d.entries[0].operators, "GET", "/metrics").body
     for name in ("daisytack_first_token_seconds_count", "daisytack_prompt_tokens_total",
@@ -161,5 +161,6 @@
     check("daisytack_process_resident_bytes" in text, text)
 
 
-run_cases(help_stands_in_the_page, exit_codes, statements_from_a_pipe, see_a_request, stop_a_request, drain_under_load,
-          swap_shows, configure, purge, measures_show, service_down, services=0, agents=2)
+run_cases(help_matches_page, exit_codes, statements_from_a_pipe, running_request_is_shown, stop_a_request,
+          drain_under_load, versions_are_counted, configure, purge, measures_are_exported, service_down,
+          services=0, agents=2)
--- a/tests/process/preload/stuck_threads.cpp
+++ b/tests/process/preload/stuck_threads.cpp
@@ -8,12 +8,12 @@
 
 bool IsLoaded = false; ///< Written before any thread of the program starts.
 
-void *waitForEver(void *) {
+void *waitForever(void *) {
   for (;;)
     pause();
 }
 
-template <class Function> Function *nextOf(const char *name) {
+template <class Function> Function *nextSymbol(const char *name) {
   return reinterpret_cast<Function *>(dlsym(RTLD_NEXT, name));
 }
 
@@ -31,13 +31,13 @@
 int __libc_start_main(Main *main, int argc, char **argv, void (*init)(),
                       void (*fini)(), void (*unload)(), void *stackEnd) {
   IsLoaded = true;
-  return nextOf<StartMain>("__libc_start_main")(main, argc, argv, init, fini,
-                                                unload, stackEnd);
+  return nextSymbol<StartMain>("__libc_start_main")(main, argc, argv, init,
+                                                    fini, unload, stackEnd);
 }
 
 int pthread_create(pthread_t *thread, const pthread_attr_t *attributes,
                    void *(*run)(void *), void *argument) {
-  static auto *create = nextOf<CreateThread>("pthread_create");
-  return create(thread, attributes, IsLoaded ? run : waitForEver, argument);
+  static auto *create = nextSymbol<CreateThread>("pthread_create");
+  return create(thread, attributes, IsLoaded ? run : waitForever, argument);
 }
 }
--- a/tests/process/preload/suspended.cpp
+++ b/tests/process/preload/suspended.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr time_t SuspendedSeconds = 10;
-std::atomic<time_t> Suspended{0};
+std::atomic<time_t> SuspensionOffset{0};
 
-void onSignal(int) { Suspended += SuspendedSeconds; }
+void addSuspension(int) { SuspensionOffset += SuspendedSeconds; }
 
-__attribute__((constructor)) void listen() {
+__attribute__((constructor)) void installSignalHandler() {
   struct sigaction action = {};
-  action.sa_handler = onSignal;
+  action.sa_handler = addSuspension;
   action.sa_flags = SA_RESTART;
   sigaction(SIGUSR1, &action, nullptr);
 }
@@ -29,6 +29,6 @@
       reinterpret_cast<Read *>(dlsym(RTLD_NEXT, "clock_gettime"));
   int result = read(clock, out);
   if (result == 0 && (clock == CLOCK_BOOTTIME || clock == CLOCK_REALTIME))
-    out->tv_sec += Suspended;
+    out->tv_sec += SuspensionOffset;
   return result;
 }
--- a/tests/process/stop_test.py
+++ b/tests/process/stop_test.py
@@ -21,12 +21,12 @@
 import http11  # noqa: E402
 import soak  # noqa: E402
 from fleet import BUILD, Fleet, check  # noqa: E402
-from platform_side import events_of  # noqa: E402
+from platform_side import event_count  # noqa: E402
 from proxy import SILENT, SOUND  # noqa: E402
 
 END_SECONDS = 5  # Below the grace period of 8 s; the drain itself takes less than a second here.
 EVENTS = 8
-LONG_WORK = 60
+LONG_WORK_SECONDS = 60
 soak.SETTINGS += "[entry]\ndrain_notice = 300ms\n"
 
 
@@ -77,7 +77,7 @@
 async def streaming(world, entry):
     for server in world.servers:
         server.work = 0.1
-    request_id = next(f"stream-{n}" for n in range(1000) if events_of(f"stream-{n}") == EVENTS)
+    request_id = next(f"stream-{n}" for n in range(1000) if event_count(f"stream-{n}") == EVENTS)
     reader, _ = await send(entry, f"/ask/{request_id}", request_id)
     first, headers = await http11.read_head(reader)
     check(first[1] == "200", f"the stream began with {first}")
@@ -127,7 +127,7 @@
     os.set_blocking(pipe, before)
 
 
-async def log_unread(world, entry):
+async def log_pipe_full(world, entry):
     """Whoever reads its outputs has stopped to."""
     entry.kill()
     out, err = start_with_pipes(world, entry)
@@ -144,7 +144,7 @@
 async def second_signal(world, entry):
     """Two signals at once while a server is at work: the lines of the last moment are out as well."""
     for server in world.servers:
-        server.work = LONG_WORK
+        server.work = LONG_WORK_SECONDS
     runs = sum(len(it.runs) for it in world.servers)
     connection = await send(entry, "/call/long", "long")
     await until("a server is at work", lambda: sum(len(it.runs) for it in world.servers) > runs)
@@ -165,7 +165,7 @@
     try:
         await world.start()
         entry = world.entries[0]
-        for case in (idle, streaming, service_silent, peers_gone, log_unread, second_signal):
+        for case in (idle, streaming, service_silent, peers_gone, log_pipe_full, second_signal):
             check(not world.problems, f"{world.problems}")
             await case(world, entry)
             print(f"{case.__name__} ok", flush=True)
--- a/tests/process/suspend_test.py
+++ b/tests/process/suspend_test.py
@@ -18,7 +18,7 @@
 from fleet import BUILD, Fleet, check  # noqa: E402
 from proxy import SILENT  # noqa: E402
 
-WORK = 60
+WORK_SECONDS = 60
 
 
 async def status_of(entry, path, key):
@@ -32,7 +32,7 @@
     return int(first[1])
 
 
-async def knowledge_grows_old(entry):
+async def stale_key_set_is_not_final(entry):
     """An unknown key is refused for good only by an entry that heard from the service within 2.5 s."""
     check(await status_of(entry, "/call/x", "unknown") == 401, "an entry that knows doesn't refuse for good")
     entry.link.state = SILENT
@@ -41,10 +41,10 @@
     check(status == 503, f"after the suspension an unknown key is refused with {status}")
 
 
-async def requests_end(world, entry):
+async def request_deadline_passes(world, entry):
     """The time of a request that runs is over when the machine is back."""
     for server in world.servers:
-        server.work = WORK
+        server.work = WORK_SECONDS
     answer = asyncio.ensure_future(status_of(entry, "/call/y", "k1"))
     await asyncio.sleep(0.5)
     entry.signal(signal.SIGUSR1)
@@ -62,9 +62,9 @@
         entry = world.entries[0]
         for other in world.entries[1:]:
             other.kill()
-        await requests_end(world, entry)
+        await request_deadline_passes(world, entry)
         await asyncio.sleep(3)  # It hears from the service again.
-        await knowledge_grows_old(entry)
+        await stale_key_set_is_not_final(entry)
     finally:
         await soak.end_everything(world)
 
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -7,17 +7,17 @@
 import random
 
 import http11
-from platform_side import FATAL
+from platform_side import FATAL_BODY
 
 KINDS = {"call": ("POST", "/call/"), "safe": ("GET", "/safe/"), "ask": ("POST", "/ask/"), "long": ("POST", "/long/")}
-USUAL = ("call", "safe", "ask")
-MOSTLY_ASK = ("call", "safe", "ask", "ask", "ask", "ask")
-PARTS = "aa11:500,{session}:700,{own}:200"
-LONG_PARTS = "aa11:3000,{session}:6000,{own}:3000"
+KIND_MIX = ("call", "safe", "ask")
+KEPT_CONTEXT_KIND_MIX = ("call", "safe", "ask", "ask", "ask", "ask")
+PROMPT_PARTS = "aa11:500,{session}:700,{own}:200"
+LONG_PROMPT_PARTS = "aa11:3000,{session}:6000,{own}:3000"
 
 
 @dataclasses.dataclass
-class Sent:
+class SentRequest:
     """One request of a caller. Times are the soak's clock; at: read by the entry at the earliest; whole: when its last
     byte was sent, 0 if never; patience: seconds that the entry is told."""
 
@@ -28,15 +28,15 @@
     at: float
     path: str
     body: bytes = b""
-    whole: float = 0.0
-    patience: float = 2.5
+    fully_sent_at: float = 0.0
+    timeout: float = 2.5
     caller: str = ""
     status: int = 0
     signature: str = ""
     answer: bytes = b""
     ended: float = 0.0
-    left: bool = False     # The caller gave up.
-    broken: str = ""       # Why there is no whole answer.
+    abandoned: bool = False     # The caller gave up.
+    failure: str = ""       # Why there is no whole answer.
     wrong_id: bool = False
     retry_after: str = ""
 
@@ -45,7 +45,7 @@
     """Keeps connections open and goes on using them until their entry is gone."""
 
     keeps_connections = True
-    least_pause, pause_spread = 0.0, 0.04  # Seconds between two requests.
+    min_pause, pause_spread = 0.0, 0.04  # Seconds between two requests.
 
     def __init__(self, number, rng, world):
         self.name, self.rng, self.world = f"c{number}", rng, world
@@ -56,15 +56,15 @@
         while not self.world.is_over:
             entry = self.rng.choice(self.world.entries)
             try:
-                await self._one(entry)
+                await self._send_request(entry)
                 is_usable = self.keeps_connections
             except (http11.Broken, OSError):
                 is_usable = False
             if not is_usable:
-                self._drop(entry)
-            await asyncio.sleep(self.least_pause + self.rng.random() * self.pause_spread)
+                self._close_connection(entry)
+            await asyncio.sleep(self.min_pause + self.rng.random() * self.pause_spread)
 
-    def _drop(self, entry):
+    def _close_connection(self, entry):
         connection = self.connections.pop(entry.name, None)
         if connection:
             http11.close(connection[1])
@@ -73,61 +73,61 @@
         known = self.connections.get(entry.name)
         if known and not known[1].is_closing() and not known[0].at_eof():
             return known
-        self._drop(entry)
+        self._close_connection(entry)
         self.connections[entry.name] = await asyncio.wait_for(
             asyncio.open_connection("127.0.0.1", entry.ports["callers"]), 1)
         return self.connections[entry.name]
 
-    def _next(self, entry, kind, keys):
+    def _next_request(self, entry, kind, keys):
         self.count += 1
         request_id = hashlib.sha256(f"{self.world.seed}/{self.name}/{self.count}".encode()).hexdigest()[:16]
         path = KINDS[kind][1] + request_id
         body = request_id.encode() * self.rng.randint(1, 40) if kind != "safe" else b""
-        return Sent(request_id, kind, self.rng.choice(keys), entry.name, self.world.now(), path, body,
-                    patience=self.world.patience(kind), caller=self.name)
+        return SentRequest(request_id, kind, self.rng.choice(keys), entry.name, self.world.now(), path, body,
+                           timeout=self.world.request_timeout(kind), caller=self.name)
 
-    def _head(self, sent):
+    def _request_head(self, sent):
         headers = {"Host": "a.example", "X-Daisytack-Request-Id": sent.id, "X-Api-Key": sent.key,
-                   "X-Daisytack-Deadline-Milliseconds": str(round(sent.patience * 1000)),
+                   "X-Daisytack-Deadline-Milliseconds": str(round(sent.timeout * 1000)),
                    "Content-Length": str(len(sent.body)),
                    "X-Daisytack-Tenant": "forged", "X-Daisytack-Hold": "forged"}
         if sent.kind == "ask":
             headers["X-Daisytack-Model"] = "m"
             is_long = self.world.has_kept_context
             headers["X-Daisytack-Token-Counts"] = "12000,20" if is_long else "1400,20"
-            parts = LONG_PARTS if is_long else PARTS
+            parts = LONG_PROMPT_PARTS if is_long else PROMPT_PARTS
             headers["X-Daisytack-Prompt-Prefix"] = parts.format(session=self.rng.randrange(16, 64), own=sent.id)
         return http11.head_of(f"{KINDS[sent.kind][0]} {sent.path} HTTP/1.1", headers)
 
-    async def _one(self, entry):
+    async def _send_request(self, entry):
         reader, writer = await self._connection(entry)
-        kinds = MOSTLY_ASK if self.world.has_kept_context else USUAL
-        sent = self._next(entry, self.rng.choice(kinds), self.world.all_keys)
-        patience = self.rng.random() * 0.2 if self.rng.random() < 0.05 else sent.patience + 3
+        kinds = KEPT_CONTEXT_KIND_MIX if self.world.has_kept_context else KIND_MIX
+        sent = self._next_request(entry, self.rng.choice(kinds), self.world.all_keys)
+        timeout = self.rng.random() * 0.2 if self.rng.random() < 0.05 else sent.timeout + 3
         self.world.sent.append(sent)
-        with self._ending(sent):
-            writer.write(self._head(sent) + sent.body)
+        with self._recording_end(sent):
+            writer.write(self._request_head(sent) + sent.body)
             await writer.drain()
-            sent.whole = self.world.now()
-            await self._await(sent, self._answer(sent, reader), patience)
+            sent.fully_sent_at = self.world.now()
+            await self._await_answer(sent, self._answer(sent, reader), timeout)
 
     @staticmethod
-    async def _await(sent, answer, patience):
+    async def _await_answer(sent, answer, timeout):
         try:
-            await asyncio.wait_for(answer, patience)
+            await asyncio.wait_for(answer, timeout)
         except asyncio.TimeoutError:
-            sent.left = patience < 1
-            sent.broken = "" if sent.left else "no final answer"
+            sent.abandoned = timeout < 1
+            sent.failure = "" if sent.abandoned else "no final answer"
             raise http11.Broken("given up") from None
 
     @contextlib.contextmanager
-    def _ending(self, sent):
+    def _recording_end(self, sent):
         """Notes how and when the request ended."""
         try:
             yield
         except (http11.Broken, OSError) as error:
-            if not sent.left and not sent.broken:
-                sent.broken = f"{type(error).__name__} {error}"
+            if not sent.abandoned and not sent.failure:
+                sent.failure = f"{type(error).__name__} {error}"
             raise
         finally:
             sent.ended = self.world.now()
@@ -151,14 +151,14 @@
     """Sends the one request that ends every server that runs it, again and again, at any entry."""
 
     keeps_connections = False
-    least_pause, pause_spread = 0.1, 0.4
+    min_pause, pause_spread = 0.1, 0.4
 
     def __init__(self, world):
         super().__init__("fatal", random.Random(f"{world.seed}/fatal"), world)
 
-    def _next(self, entry, kind, keys):
-        sent = super()._next(entry, "ask", keys[:1])
-        sent.path, sent.body = KINDS["ask"][1] + "fatal", FATAL
+    def _next_request(self, entry, kind, keys):
+        sent = super()._next_request(entry, "ask", keys[:1])
+        sent.path, sent.body = KINDS["ask"][1] + "fatal", FATAL_BODY
         return sent
 
 
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,23 +1,23 @@
 """The promises, checked on what callers and backend servers have seen. Each check gives texts of what broke it."""
 
 from callers import KINDS
-from platform_side import CLOSED_SECONDS, FATAL, events_of
+from platform_side import RETRY_AFTER_SECONDS, FATAL_BODY, event_count
 
-PROMISES_NOT_RUN = (408, 421, 429, 503)
+STATUSES_NOT_EXECUTED = (408, 421, 429, 503)
 REVOKED_SECONDS = 5.0   # A revoked key is refused after this, as the deployment's bounds have it.
 CROSSING_SECONDS = 0.5  # A request that meets the close of its connection is sent at most so long before.
 DRAIN_SECONDS = 2.0     # A leaving server gets nothing new after this.
-STABLE_SECONDS = 3.0    # After which entries know what others saw, and an entry that starts what it must.
-FATAL_SERVERS = 3       # That end under a request before it is passed on no more,
-SENDS_BEYOND = 3        # but for so many sends.
-CLOSED_SLACK = 0.5      # After a server's word it gets what was on its way,
-SENDS_TO_CLOSED = 2     # and then so much of one entry at most.
+PROPAGATION_SECONDS = 3.0    # After which entries know what others saw, and an entry that starts what it must.
+FATAL_CRASH_LIMIT = 3       # That end under a request before it is passed on no more,
+MAX_FATAL_SENDS = 3        # but for so many sends.
+REJECTION_DELAY_SECONDS = 0.5      # After a server's word it gets what was on its way,
+MAX_SENDS_AFTER_REJECTION = 2     # and then so much of one entry at most.
 EVACUATION_SECONDS = 3.0  # Nothing reaches servers of an evacuated domain after this.
-LIMIT_WINDOW, LIMIT_FACTOR, LIMIT_SLACK = 4.0, 1.5, 5  # In so many seconds a limited server gets so much of its limit,
-LIMIT_TELLING = 0.5     # of entries that passed on an answer with it so long before.
-REGRESS_SECONDS = 0.25  # A process that knew a revocation still knows it after this.
-COLD_RATE = 4.0         # Requests a second that a cold server bears;
-COLD_BOUND = 4.0 * 1.5 + 3  # what all entries together may send it in one second.
+LIMIT_WINDOW_SECONDS, LIMIT_FACTOR, LIMIT_SLACK = 4.0, 1.5, 5  # In so many seconds a limited server gets so much of its limit,
+LIMIT_DELAY_SECONDS = 0.5     # of entries that passed on an answer with it so long before.
+REVOCATION_VISIBLE_SECONDS = 0.25  # A process that knew a revocation still knows it after this.
+COLD_REQUESTS_PER_SECOND = 4.0         # Requests a second that a cold server bears;
+COLD_MAX_REQUESTS = 4.0 * 1.5 + 3  # what all entries together may send it in one second.
 
 
 def runs_by_id(world):
@@ -34,15 +34,15 @@
             yield f"{sent.id} ran {len(runs[sent.id])} times at {[it.server for it in runs[sent.id]]}"
 
 
-def honest_refusals(world, runs):
+def refusals_not_executed(world, runs):
     for sent in world.sent:
-        if sent.status in PROMISES_NOT_RUN and not sent.signature and sent.id in runs:
+        if sent.status in STATUSES_NOT_EXECUTED and not sent.signature and sent.id in runs:
             yield f"{sent.id} ({sent.kind}) was answered {sent.status} and ran at {runs[sent.id][0].server}"
         if sent.status == 503 and not sent.signature and not sent.retry_after:
             yield f"{sent.id} was refused without a time to come back"
 
 
-def whole_and_own_answers(world, runs):
+def answers_match_runs(world, runs):
     for sent in world.sent:
         if sent.wrong_id:
             yield f"{sent.id} got another request's answer"
@@ -61,11 +61,11 @@
 
 def was_cut(sent):
     """Whether the caller could see that its answer is not whole."""
-    return sent.left or bool(sent.broken and "the entry closes" not in sent.broken)
+    return sent.abandoned or bool(sent.failure and "the entry closes" not in sent.failure)
 
 
 def stream_text(request_id, kind):
-    count = events_of(request_id, kind)
+    count = event_count(request_id, kind)
     return b"".join(f"id: {n}\ndata: {request_id}/{n}\n\n".encode() for n in range(1, count + 1))
 
 
@@ -96,9 +96,9 @@
                 yield f"{request_id} ({sent.kind}) ran at {run.server}"
 
 
-def final_answers(world, _runs):
+def requests_end_with_answer(world, _runs):
     for sent in world.sent:
-        if sent.broken == "no final answer" and world.was_calm(sent.at - 3, sent.ended, sent.entry):
+        if sent.failure == "no final answer" and world.had_no_faults(sent.at - 3, sent.ended, sent.entry):
             yield f"{sent.id} at {sent.entry} had no final answer"
 
 
@@ -106,7 +106,7 @@
     for sent in world.sent:
         since = world.revoked.get(sent.key)
         late = since and sent.at > since + REVOKED_SECONDS
-        if late and sent.id in runs and world.was_calm(since, sent.ended, sent.entry):
+        if late and sent.id in runs and world.had_no_faults(since, sent.ended, sent.entry):
             yield f"{sent.id} ran {sent.at - since:.1f} s after its key was revoked"
 
 
@@ -114,31 +114,31 @@
     for server in world.all_servers:
         since = world.leaving.get(server.id)
         for at, request_id in server.arrivals:
-            if since and at > since + DRAIN_SECONDS and world.was_calm(since - 3, at):
+            if since and at > since + DRAIN_SECONDS and world.had_no_faults(since - 3, at):
                 yield f"{request_id} reached {server.id} {at - since:.1f} s after it was draining"
 
 
-def leaving_by_answer(world, _runs):
+def servers_leaving_by_answer(world, _runs):
     """Whoever passed an answer on that says that its server leaves sends nothing new there."""
     for server in world.all_servers:
-        heard = {}
-        for at, request_id in server.said_leaving:
-            heard.setdefault(world.entry_of(request_id), at)
+        first_answer = {}
+        for at, request_id in server.leaving_answers:
+            first_answer.setdefault(world.entry_of(request_id), at)
         for at, request_id in server.arrivals:
             entry = world.entry_of(request_id)
-            since = heard.get(entry)
-            if since and at > since + DRAIN_SECONDS and world.in_touch(entry, since, at):
+            since = first_answer.get(entry)
+            if since and at > since + DRAIN_SECONDS and world.ran_undisturbed(entry, since, at):
                 yield f"{request_id} reached {server.id} from {entry} {at - since:.1f} s after its answer"
 
 
-def closed_servers(world, _runs):
+def rejecting_servers(world, _runs):
     """A server that turned a request away and named a time gets next to nothing of that entry until then."""
     for server in world.all_servers:
-        for said, turned in server.said_closed:
-            entry = world.entry_of(turned)
-            begin, end = said + CLOSED_SLACK, said + CLOSED_SECONDS
+        for rejected_at, rejected_id in server.rejections:
+            entry = world.entry_of(rejected_id)
+            begin, end = rejected_at + REJECTION_DELAY_SECONDS, rejected_at + RETRY_AFTER_SECONDS
             late = [it for at, it in server.arrivals if begin < at < end and world.entry_of(it) == entry]
-            if len(late) > SENDS_TO_CLOSED and world.in_touch(entry, said, end):
+            if len(late) > MAX_SENDS_AFTER_REJECTION and world.ran_undisturbed(entry, rejected_at, end):
                 yield f"{server.id} got {late} from {entry} after it had closed itself to it"
 
 
@@ -147,7 +147,7 @@
         for since, until in world.evacuated.get(world.domain_of(server), []):
             for at, request_id in server.arrivals:
                 is_late = at > since + EVACUATION_SECONDS and (until is None or at < until)
-                if is_late and world.was_calm(since - 3, at, planned=True):
+                if is_late and world.had_no_faults(since - 3, at, planned=True):
                     yield f"{request_id} reached {server.id} {at - since:.1f} s after its domain was evacuated"
 
 
@@ -156,13 +156,13 @@
     they say has come round."""
     for server in world.all_servers:
         for begin, end, is_start in server.cold_times:
-            known = begin if is_start else begin + STABLE_SECONDS / 2
-            if not is_start and not world.was_calm(begin - 3, end, planned=True):
+            known = begin if is_start else begin + PROPAGATION_SECONDS / 2
+            if not is_start and not world.had_no_faults(begin - 3, end, planned=True):
                 continue
             arrivals = sorted(at for at, _ in server.arrivals if known <= at < end)
             for first in arrivals:
                 together = [at for at in arrivals if first <= at < first + 1]
-                if len(together) > COLD_BOUND and world.links_were_sound(first - 1, first + 1):
+                if len(together) > COLD_MAX_REQUESTS and world.had_sound_links(first - 1, first + 1):
                     yield f"{server.id} got {len(together)} requests in a second, cold for {first - begin:.1f} s"
                     break
 
@@ -171,18 +171,20 @@
     """Summed over the entries that passed on an answer with the limit, once it has stood for a while."""
     for server in world.all_servers:
         for begin, end, limit in server.limit_times:
-            told = {}
-            for at, request_id in server.said_limit:
+            first_answer = {}
+            for at, request_id in server.limit_answers:
                 if begin <= at <= end:
-                    told.setdefault(world.entry_of(request_id), at)
+                    first_answer.setdefault(world.entry_of(request_id), at)
             arrivals = [(at, world.entry_of(it)) for at, it in server.arrivals if begin <= at <= end]
-            arrivals = [(at, it) for at, it in arrivals if it in told and at >= told[it] + LIMIT_TELLING]
+            arrivals = [(at, it) for at, it in arrivals
+                        if it in first_answer and at >= first_answer[it] + LIMIT_DELAY_SECONDS]
             for last, _ in arrivals:
-                first = last - LIMIT_WINDOW
-                some = [it for at, it in arrivals if first < at <= last and world.in_touch(it, first, last)]
-                if last >= begin + STABLE_SECONDS and len(some) > LIMIT_FACTOR * limit * LIMIT_WINDOW + LIMIT_SLACK:
-                    yield (f"{server.id} got {len(some)} requests in {LIMIT_WINDOW:.0f} s, {last - begin:.1f} s after it "
-                           f"had named a limit of {limit} a second")
+                first = last - LIMIT_WINDOW_SECONDS
+                some = [it for at, it in arrivals if first < at <= last and world.ran_undisturbed(it, first, last)]
+                if (last >= begin + PROPAGATION_SECONDS
+                        and len(some) > LIMIT_FACTOR * limit * LIMIT_WINDOW_SECONDS + LIMIT_SLACK):
+                    yield (f"{server.id} got {len(some)} requests in {LIMIT_WINDOW_SECONDS:.0f} s, "
+                           f"{last - begin:.1f} s after it had named a limit of {limit} a second")
                     break
 
 
@@ -194,58 +196,60 @@
             refused.setdefault((sent.entry, sent.key), sent.ended)
     for sent in world.sent:
         since = refused.get((sent.entry, sent.key))
-        if since and sent.at > since + REGRESS_SECONDS and sent.id in runs and world.ran_through(since, sent.at, sent.entry):
+        if (since and sent.at > since + REVOCATION_VISIBLE_SECONDS and sent.id in runs
+                and world.ran_without_restart(since, sent.at, sent.entry)):
             yield f"{sent.id} ran {sent.at - since:.1f} s after {sent.entry} had refused its key"
 
 
 def fatal_requests(world, _runs):
     """A request under which servers ended is not sent to many more."""
-    if len(world.fatal_ends) < FATAL_SERVERS:
+    if len(world.fatal_ends) < FATAL_CRASH_LIMIT:
         return
-    known = sorted(world.fatal_ends)[FATAL_SERVERS - 1] + STABLE_SECONDS
-    fatal = {it.id: it.entry for it in world.sent if it.body == FATAL}
+    known = sorted(world.fatal_ends)[FATAL_CRASH_LIMIT - 1] + PROPAGATION_SECONDS
+    fatal = {it.id: it.entry for it in world.sent if it.body == FATAL_BODY}
     late = [(at, it) for server in world.all_servers for at, it in server.arrivals if at > known and it in fatal]
-    late = [it for at, it in late if world.in_touch(fatal[it], at - STABLE_SECONDS, at)]
-    if len(late) > SENDS_BEYOND:
-        yield f"{late} reached servers though {FATAL_SERVERS} had ended under what they repeat"
+    late = [it for at, it in late if world.ran_undisturbed(fatal[it], at - PROPAGATION_SECONDS, at)]
+    if len(late) > MAX_FATAL_SENDS:
+        yield f"{late} reached servers though {FATAL_CRASH_LIMIT} had ended under what they repeat"
 
 
-def harmless_requests(world, _runs):
+def no_false_quarantine(world, _runs):
     """No other request is taken for it."""
     for sent in world.sent:
-        if sent.body != FATAL and b"request_quarantined" in sent.answer:
+        if sent.body != FATAL_BODY and b"request_quarantined" in sent.answer:
             yield f"{sent.id} ({sent.kind}) at {sent.entry} was quarantined"
 
 
 def planned_restarts_cut_nothing(world, _runs):
     """Around a SIGTERM alone no request that the entry has read ends without an answer."""
     for sent in world.sent:
-        if not sent.broken or sent.status or sent.left or sent.kind == "ask":
+        if not sent.failure or sent.status or sent.abandoned or sent.kind == "ask":
             continue
         term = world.planned_stop(sent.entry, sent.ended)
-        if term and sent.at < term and world.was_calm(sent.at - 3, sent.ended, sent.entry, planned=True):
-            yield f"{sent.id} was cut off by the planned stop of {sent.entry}: {sent.broken}"
+        if term and sent.at < term and world.had_no_faults(sent.at - 3, sent.ended, sent.entry, planned=True):
+            yield f"{sent.id} was cut off by the planned stop of {sent.entry}: {sent.failure}"
 
 
 def stops_lose_no_request(world, runs):
     """From SIGTERM to the end of the process, or its kill at the end of the grace period, what was read whole is
     answered whole, whenever it came; what is not answered was neither passed on nor left lying."""
     for sent in world.sent:
-        if not sent.whole or not was_cut(sent) or sent.left or sent.ended > sent.whole + sent.patience - 0.3:
+        if (not sent.fully_sent_at or not was_cut(sent) or sent.abandoned
+                or sent.ended > sent.fully_sent_at + sent.timeout - 0.3):
             continue
-        stop = world.stop_during(sent.entry, sent.whole, sent.ended)
-        if not stop or not world.was_calm(sent.at - 3, sent.ended, sent.entry, planned=True):
+        stop = world.stop_during(sent.entry, sent.fully_sent_at, sent.ended)
+        if not stop or not world.had_no_faults(sent.at - 3, sent.ended, sent.entry, planned=True):
             continue
-        mine = runs.get(sent.id, [])
-        when = (f"{sent.id} ({sent.kind} of {sent.caller}), whole {sent.whole - stop.begin:.1f} s after SIGTERM of "
-                f"{sent.entry},")
-        if mine and not any(it.broke for it in mine):
-            yield f"{when} was passed on to {mine[-1].server} and cut off at {sent.ended - stop.begin:.1f} s"
-        elif not mine and sent.ended > sent.whole + CROSSING_SECONDS:
+        request_runs = runs.get(sent.id, [])
+        when = (f"{sent.id} ({sent.kind} of {sent.caller}), whole {sent.fully_sent_at - stop.begin:.1f} s "
+                f"after SIGTERM of {sent.entry},")
+        if request_runs and not any(it.aborted for it in request_runs):
+            yield f"{when} was passed on to {request_runs[-1].server} and cut off at {sent.ended - stop.begin:.1f} s"
+        elif not request_runs and sent.ended > sent.fully_sent_at + CROSSING_SECONDS:
             yield f"{when} had no answer when its connection closed at {sent.ended - stop.begin:.1f} s"
 
 
-def freed_while_read(world, _runs):
+def parts_freed_while_read(world, _runs):
     """No engine uses a part that was freed, or was not whole, while it fetched it."""
     for store in world.stores:
         for fetch in store.fetches:
@@ -259,7 +263,7 @@
                            f"was freed {at - fetch.begin:.2f} s after its begin")
 
 
-def one_giver_of_orders(world, _runs):
+def one_holder_per_fencing_token(world, _runs):
     for server in world.all_servers:
         holders = {}
         for _, token, holder in server.tokens:
@@ -267,13 +271,13 @@
                 yield f"{server.id} got token {token} from {holder} and {holders[token]}"
 
 
-ALL = (at_most_once, honest_refusals, whole_and_own_answers, events_in_order, requests_as_sent, final_answers,
-       revoked_keys, draining_servers, leaving_by_answer, closed_servers, evacuated_domains, cold_servers,
-       limited_servers, revocations_stay, fatal_requests, harmless_requests,
-       planned_restarts_cut_nothing,
-       stops_lose_no_request, freed_while_read, one_giver_of_orders)
+ALL_CHECKS = (at_most_once, refusals_not_executed, answers_match_runs, events_in_order, requests_as_sent,
+              requests_end_with_answer, revoked_keys, draining_servers, servers_leaving_by_answer, rejecting_servers,
+              evacuated_domains, cold_servers, limited_servers, revocations_stay, fatal_requests, no_false_quarantine,
+              planned_restarts_cut_nothing, stops_lose_no_request, parts_freed_while_read,
+              one_holder_per_fencing_token)
 
 
-def broken_promises(world):
+def failed_checks(world):
     runs = runs_by_id(world)
-    return [f"{check.__name__}: {text}" for check in ALL for text in check(world, runs)]
+    return [f"{check.__name__}: {text}" for check in ALL_CHECKS for text in check(world, runs)]
--- a/tests/soak/checks_test.py
+++ b/tests/soak/checks_test.py
@@ -7,7 +7,7 @@
 import types
 
 import checks
-from callers import Sent
+from callers import SentRequest
 from http11 import Message
 from kept_context import Fetch
 from platform_side import BackendServer, Run
@@ -32,7 +32,7 @@
         path = checks.KINDS[kind][1] + ID
         self.request = Message([checks.KINDS[kind][0], path, "HTTP/1.1"],
                                {"x-daisytack-request-id": ID, "x-daisytack-tenant": "one"}, b"b")
-        self.sent = [Sent(ID, kind, "k1", "entry-0", 100.0, path, b"b", ended=100.1)]
+        self.sent = [SentRequest(ID, kind, "k1", "entry-0", 100.0, path, b"b", ended=100.1)]
         run = self.run()
         answer = run.body if kind in ("call", "safe") else checks.stream_text(ID, kind)
         self.sent[0] = dataclasses.replace(self.sent[0], status=200, signature=run.signature, answer=answer)
@@ -44,17 +44,17 @@
         self.server.runs.append(run)
         return run
 
-    def was_calm(self, *_, **__):
+    def had_no_faults(self, *_, **__):
         return True
 
     @staticmethod
     def domain_of(_server):
         return "d0"
 
-    def links_were_sound(self, *_):
+    def had_sound_links(self, *_):
         return True
 
-    def ran_through(self, *_):
+    def ran_without_restart(self, *_):
         return True
 
     def planned_stop(self, _entry, _at):
@@ -66,7 +66,7 @@
     def entry_of(self, _request_id):
         return "entry-0"
 
-    def in_touch(self, *_):
+    def ran_undisturbed(self, *_):
         return True
 
     def change(self, **values):
@@ -99,7 +99,7 @@
 
 
 def missing_event(world):
-    world.change(answer=world.sent[0].answer.replace(b"id: 2\n", b"id: 4\n"), broken="gone")
+    world.change(answer=world.sent[0].answer.replace(b"id: 2\n", b"id: 4\n"), failure="gone")
 
 
 def changed_body(world):
@@ -114,95 +114,95 @@
     world.request.headers["x-daisytack-tenant"] = "two"
 
 
-def unasked(world):
+def run_without_request(world):
     world.sent.clear()
 
 
 def never_answered(world):
     world.server.runs.clear()
-    world.change(status=0, signature="", broken="no final answer", ended=110.0)
+    world.change(status=0, signature="", failure="no final answer", ended=110.0)
 
 
 def revoked_key(world):
     world.revoked["k1"] = 90.0
 
 
-def left_server(world):
+def sent_to_draining_server(world):
     world.leaving[world.server.id] = 90.0
     world.server.arrivals.append((100.0, ID))
 
 
-def asked_after_its_answer(world):
-    world.server.said_leaving.append((90.0, ID))
+def sent_after_leaving_answer(world):
+    world.server.leaving_answers.append((90.0, ID))
     world.server.arrivals += [(91.0, ID), (93.0, ID)]
 
 
-def asked_while_closed(world):
-    world.server.said_closed.append((90.0, ID))
+def sent_while_rejecting(world):
+    world.server.rejections.append((90.0, ID))
     world.server.arrivals += [(90.6, ID), (90.7, ID), (90.8, ID), (92.1, ID)]
 
 
-def asked_shortly_after_it_closed(world):
-    asked_while_closed(world)
+def sent_shortly_after_rejection(world):
+    sent_while_rejecting(world)
     world.server.arrivals = [(90.3, ID), (90.4, ID), (90.6, ID), (90.7, ID), (92.1, ID)]
 
 
-def asked_while_evacuated(world):
+def sent_while_evacuated(world):
     world.evacuated["d0"] = [(80.0, 85.0), (90.0, 96.0)]
     world.server.arrivals += [(87.0, ID), (92.0, ID), (95.0, ID)]
 
 
-def asked_around_evacuations(world):
+def sent_around_evacuations(world):
     world.evacuated["d0"] = [(80.0, 85.0), (90.0, None)]
     world.evacuated["d1"] = [(80.0, None)]
     world.server.arrivals += [(82.0, ID), (87.0, ID), (92.0, ID)]
 
 
-def flooded_while_cold(world):
+def overloaded_while_cold(world):
     world.server.cold_times.append((90.0, 92.0, True))
     world.server.arrivals += [(90.5 + n * 0.09, ID) for n in range(10)]
 
 
-def flooded_long_after_it_said_so(world):
+def overloaded_after_cold_record(world):
     world.server.cold_times.append((90.0, 93.0, False))
     world.server.arrivals += [(91.6 + n * 0.05, ID) for n in range(10)]
 
 
-def asked_gently_while_cold(world):
+def sent_within_cold_limit(world):
     world.server.cold_times += [(90.0, 92.0, True), (95.0, 98.0, False)]
     world.server.arrivals += [(90.5 + n * 0.12, ID) for n in range(12)]
     world.server.arrivals += [(95.1 + n * 0.05, ID) for n in range(20)]  # Not heard of yet.
     world.server.arrivals += [(98.1 + n * 0.01, ID) for n in range(20)]  # Warm.
 
 
-def flooded_beyond_its_limit(world):
+def sent_beyond_limit(world):
     world.server.limit_times.append((90.0, 98.0, 1.0))
-    world.server.said_limit.append((90.1, ID))
+    world.server.limit_answers.append((90.1, ID))
     world.server.arrivals += [(91.0 + n * 0.25, ID) for n in range(20)]
 
 
-def asked_within_its_limit(world):
+def sent_within_limit(world):
     world.server.limit_times.append((90.0, 98.0, 1.0))
-    world.server.said_limit.append((90.1, ID))
+    world.server.limit_answers.append((90.1, ID))
     world.server.arrivals += [(90.2 + n * 0.01, ID) for n in range(30)]  # Not told yet.
     world.server.arrivals += [(91.0 + n, ID) for n in range(7)]
     world.server.arrivals += [(98.1 + n * 0.01, ID) for n in range(30)]  # It names none any more.
 
 
-def let_in_again(world):
+def accepted_revoked_key(world):
     refused = dataclasses.replace(world.sent[0], id="ffff", status=401, signature="", at=90.0, ended=90.1)
     world.sent.append(refused)
 
 
-def fatal_sent_on(world):
+def fatal_sent_too_often(world):
     world.fatal_ends += [80.0, 80.1, 80.2]
-    world.change(body=checks.FATAL)
-    world.request.body = checks.FATAL
+    world.change(body=checks.FATAL_BODY)
+    world.request.body = checks.FATAL_BODY
     world.server.arrivals += [(84.0 + n, ID) for n in range(4)]
 
 
-def fatal_sent_a_little(world):
-    fatal_sent_on(world)
+def fatal_sent_within_limit(world):
+    fatal_sent_too_often(world)
     world.server.arrivals = [(82.0, ID), (84.0, ID), (85.0, ID), (86.0, ID)]
 
 
@@ -213,7 +213,7 @@
 
 def cut_by_a_planned_stop(world):
     world.stops.append(Stop(100.05))
-    world.change(status=0, signature="", broken="gone")
+    world.change(status=0, signature="", failure="gone")
 
 
 def two_holders(world):
@@ -223,18 +223,18 @@
 def passed_on_late_and_cut(world):
     """The caller's next request, on a connection that was open at the stop; killed at the end of the grace period."""
     world.stops.append(Stop(95.0, 103.0))
-    world.change(whole=100.0, patience=4.8, ended=103.0, broken="gone", answer=world.sent[0].answer[:-2])
+    world.change(fully_sent_at=100.0, timeout=4.8, ended=103.0, failure="gone", answer=world.sent[0].answer[:-2])
 
 
 def read_late_and_dropped(world):
     world.server.runs.clear()
     world.stops.append(Stop(95.0, 101.0))
-    world.change(whole=100.0, ended=101.0, status=0, signature="", broken="gone")
+    world.change(fully_sent_at=100.0, ended=101.0, status=0, signature="", failure="gone")
 
 
 def refused_late_without_a_time(world):
     read_late_and_dropped(world)
-    world.change(status=503, broken="Broken the entry closes")
+    world.change(status=503, failure="Broken the entry closes")
 
 
 def freed_under_a_fetch(world):
@@ -250,19 +250,19 @@
     world.change(retry_after="1")
 
 
-def crossed_the_close(world):
+def sent_as_connection_closed(world):
     read_late_and_dropped(world)
     world.change(ended=100.1)
 
 
 def cut_by_the_server(world):
     passed_on_late_and_cut(world)
-    world.server.runs[0].broke = True
+    world.server.runs[0].aborted = True
 
 
-def left_at_its_deadline(world):
+def abandoned_at_deadline(world):
     passed_on_late_and_cut(world)
-    world.change(patience=3.0)
+    world.change(timeout=3.0)
 
 
 def sent_to_the_next_process(world):
@@ -279,24 +279,25 @@
     world.store.freed += [(99.9, world.fetch.key), (100.5, world.fetch.key), (100.3, ("shared@2", "aa11"))]
 
 
-ALLOWED = (refused_late, crossed_the_close, cut_by_the_server, left_at_its_deadline, sent_to_the_next_process,
-           freed_under_a_discarded_fetch, freed_after_the_fetch, asked_shortly_after_it_closed, fatal_sent_a_little,
-           asked_around_evacuations, asked_gently_while_cold, asked_within_its_limit)
+ALLOWED = (refused_late, sent_as_connection_closed, cut_by_the_server, abandoned_at_deadline, sent_to_the_next_process,
+           freed_under_a_discarded_fetch, freed_after_the_fetch, sent_shortly_after_rejection, fatal_sent_within_limit,
+           sent_around_evacuations, sent_within_cold_limit, sent_within_limit)
 DEFECTS = {
-    second_run: "at_most_once", refused_though_it_ran: "honest_refusals", refused_without_a_time: "honest_refusals",
-    cut_answer: "whole_and_own_answers", other_answer: "whole_and_own_answers",
-    forged_signature: "whole_and_own_answers", missing_event: "events_in_order", changed_body: "requests_as_sent",
-    forwarded_key: "requests_as_sent", wrong_organisation: "requests_as_sent", unasked: "requests_as_sent",
-    never_answered: "final_answers", revoked_key: "revoked_keys", left_server: "draining_servers",
-    cut_by_a_planned_stop: "planned_restarts_cut_nothing", two_holders: "one_giver_of_orders",
-    passed_on_late_and_cut: "stops_lose_no_request", read_late_and_dropped: "stops_lose_no_request",
-    refused_late_without_a_time: "honest_refusals", freed_under_a_fetch: "freed_while_read",
-    fetched_while_written: "freed_while_read", asked_after_its_answer: "leaving_by_answer",
-    asked_while_closed: "closed_servers", fatal_sent_on: "fatal_requests",
-    harmless_quarantined: "harmless_requests", asked_while_evacuated: "evacuated_domains",
-    flooded_beyond_its_limit: "limited_servers", let_in_again: "revocations_stay",
-    flooded_while_cold: "cold_servers", flooded_long_after_it_said_so: "cold_servers"}
-KINDS = {missing_event: "ask", fatal_sent_on: "ask", passed_on_late_and_cut: "long"}
+    second_run: "at_most_once", refused_though_it_ran: "refusals_not_executed",
+    refused_without_a_time: "refusals_not_executed", cut_answer: "answers_match_runs",
+    other_answer: "answers_match_runs", forged_signature: "answers_match_runs", missing_event: "events_in_order",
+    changed_body: "requests_as_sent", forwarded_key: "requests_as_sent", wrong_organisation: "requests_as_sent",
+    run_without_request: "requests_as_sent", never_answered: "requests_end_with_answer", revoked_key: "revoked_keys",
+    sent_to_draining_server: "draining_servers", cut_by_a_planned_stop: "planned_restarts_cut_nothing",
+    two_holders: "one_holder_per_fencing_token", passed_on_late_and_cut: "stops_lose_no_request",
+    read_late_and_dropped: "stops_lose_no_request", refused_late_without_a_time: "refusals_not_executed",
+    freed_under_a_fetch: "parts_freed_while_read", fetched_while_written: "parts_freed_while_read",
+    sent_after_leaving_answer: "servers_leaving_by_answer", sent_while_rejecting: "rejecting_servers",
+    fatal_sent_too_often: "fatal_requests", harmless_quarantined: "no_false_quarantine",
+    sent_while_evacuated: "evacuated_domains", sent_beyond_limit: "limited_servers",
+    accepted_revoked_key: "revocations_stay", overloaded_while_cold: "cold_servers",
+    overloaded_after_cold_record: "cold_servers"}
+KINDS = {missing_event: "ask", fatal_sent_too_often: "ask", passed_on_late_and_cut: "long"}
 
 
 PROGRAM = """import os, signal, sys, time
@@ -309,7 +310,7 @@
 """
 
 
-async def signal_guard():
+async def check_signal_guard():
     """A process is sent signals only once it holds them, however long it takes to begin."""
     fleet = types.SimpleNamespace(port=lambda: 1, processes={})
     entry = Entry(fleet, 0, domain=0, link=None)
@@ -317,29 +318,29 @@
         process = subprocess.Popen([sys.executable, "-c", PROGRAM, how], stdout=subprocess.PIPE)
         fleet.processes[entry.name] = process
         process.stdout.readline()
-        assert entry.holds_signals() == (how == "holds"), how
+        assert entry.handles_signals() == (how == "holds"), how
         process.kill()
         process.wait()
-        assert entry.holds_signals()  # Nothing is left that a signal could end.
-    await entry.loaded()
+        assert entry.handles_signals()  # Nothing is left that a signal could end.
+    await entry.wait_signals_handled()
 
 
 def main():
-    asyncio.run(signal_guard())
+    asyncio.run(check_signal_guard())
     for kind in checks.KINDS:
-        assert checks.broken_promises(FakeWorld(kind)) == [], checks.broken_promises(FakeWorld(kind))
+        assert checks.failed_checks(FakeWorld(kind)) == [], checks.failed_checks(FakeWorld(kind))
     for defect, check in DEFECTS.items():
         world = FakeWorld(KINDS.get(defect, "call"))
         defect(world)
-        found = {it.partition(":")[0] for it in checks.broken_promises(world)}
+        found = {it.partition(":")[0] for it in checks.failed_checks(world)}
         assert found == {check}, (defect.__name__, found)
     for event in ALLOWED:
         world = FakeWorld("long")
         event(world)
-        assert checks.broken_promises(world) == [], (event.__name__, checks.broken_promises(world))
-    missed = {it.__name__ for it in checks.ALL} - set(DEFECTS.values())
+        assert checks.failed_checks(world) == [], (event.__name__, checks.failed_checks(world))
+    missed = {it.__name__ for it in checks.ALL_CHECKS} - set(DEFECTS.values())
     assert not missed, missed
-    print(f"{len(DEFECTS)} defects shown by {len(checks.ALL)} checks")
+    print(f"{len(DEFECTS)} defects shown by {len(checks.ALL_CHECKS)} checks")
 
 
 if __name__ == "__main__":
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -3,21 +3,21 @@
 import asyncio
 import signal
 
-from kept_context import SOUND_TRANSFER
+from kept_context import NORMAL_TRANSFER_SECONDS
 from platform_side import BackendServer
 from proxy import FAULTS, SOUND
 
-COLD_AGAIN_SECONDS = 3.0  # For which a server is cold that was warm.
+MARKED_COLD_SECONDS = 3.0  # For which a server is cold that was warm.
 GRACE_SECONDS = 8.0  # From SIGTERM until the platform kills, as the deployments have it.
 
 
-def fault(entry=None, planned=False, kind=""):
+def new_fault(entry=None, planned=False, kind=""):
     return {"begin": 0.0, "end": None, "entry": entry, "planned": planned, "kind": kind}
 
 
 async def kill_entries(world, rng):
     some = rng.sample(world.entries, rng.randint(1, len(world.entries)))
-    world.say(f"kills {[it.name for it in some]}")
+    world.log(f"kills {[it.name for it in some]}")
     for entry in some:
         entry.kill()
     await asyncio.sleep(rng.random() * 0.5)
@@ -27,14 +27,15 @@
 
 async def stop_entry(world, rng):
     entry = rng.choice(world.entries)
-    await entry.loaded()
-    world.say(f"stops {entry.name} as planned")
+    await entry.wait_signals_handled()
+    world.log(f"stops {entry.name} as planned")
     stop = entry.stop(world.now())
     while entry.ended() is None and world.now() < stop.begin + GRACE_SECONDS:
         await asyncio.sleep(0.02)
     stop.end = world.now()
     if entry.ended() is None:
-        left = [f"{it.id} ({it.kind}, whole after {it.whole - stop.begin:.1f} s)" for it in world.unanswered(entry)]
+        left = [f"{it.id} ({it.kind}, whole after {it.fully_sent_at - stop.begin:.1f} s)"
+                for it in world.unanswered(entry)]
         world.problems.append(f"{entry.name} was still there {GRACE_SECONDS:.0f} s after SIGTERM, with {left}")
         entry.kill()
     elif entry.ended() != 0:
@@ -44,7 +45,7 @@
 
 async def pause_entry(world, rng):
     entry = rng.choice(world.entries)
-    world.say(f"pauses {entry.name}")
+    world.log(f"pauses {entry.name}")
     entry.signal(signal.SIGSTOP)
     await asyncio.sleep(0.2 + rng.random() * 4)
     entry.signal(signal.SIGCONT)
@@ -52,16 +53,16 @@
 
 async def reload_entry(world, rng):
     entry = rng.choice(world.entries)
-    await entry.loaded()
-    world.say(f"SIGHUP to {entry.name}")
+    await entry.wait_signals_handled()
+    world.log(f"SIGHUP to {entry.name}")
     entry.signal(signal.SIGHUP)
 
 
-async def spoil_link(world, rng):
+async def degrade_link(world, rng):
     """To the key-value service of one entry, or to one server of all."""
     links = [it.link for it in world.entries] + list(world.links.values())
     link, state = rng.choice(links), rng.choice(FAULTS + ("reset",))
-    world.say(f"link {links.index(link)} is {state}")
+    world.log(f"link {links.index(link)} is {state}")
     if state == "reset":
         link.reset()
         return
@@ -72,21 +73,21 @@
         link.reset()
 
 
-async def spoil_service(world, rng):
+async def degrade_service(world, rng):
     kind = rng.choice(["down", "slow", "busy", "lost", "compact"])
-    world.say(f"key-value service: {kind}")
+    world.log(f"key-value service: {kind}")
     world.kv.status = {"down": 503, "busy": 429}.get(kind, 0)
     world.kv.delay = 0.4 if kind == "slow" else 0.0
-    world.kv.lose = kind == "lost"
+    world.kv.lose_answers = kind == "lost"
     if kind == "compact":
         world.kv.compact()
     await asyncio.sleep(0.5 + rng.random() * 4)
-    world.kv.status, world.kv.delay, world.kv.lose = 0, 0.0, False
+    world.kv.status, world.kv.delay, world.kv.lose_answers = 0, 0.0, False
 
 
-async def spoil_server(world, rng):
+async def degrade_server(world, rng):
     server, kind = rng.choice(world.servers), rng.choice(BackendServer.FAULTS)
-    world.say(f"{server.id}: {kind}")
+    world.log(f"{server.id}: {kind}")
     server.faults.add(kind)
     await asyncio.sleep(0.5 + rng.random() * 3)
     server.faults.discard(kind)
@@ -97,17 +98,17 @@
     if len(staying) < 4:
         return
     server, drains = rng.choice(staying), rng.random() < 0.5
-    world.say(f"{server.id} {'drains' if drains else 'crashes'}")
+    world.log(f"{server.id} {'drains' if drains else 'crashes'}")
     await world.retire_server(server, drains)
 
 
-async def close_server(world, rng):
+async def reject_at_server(world, rng):
     """It turns everything away and wants nothing for a while."""
     server = rng.choice(world.servers)
-    world.say(f"{server.id} is closed")
-    server.is_closed = True
+    world.log(f"{server.id} is closed")
+    server.is_rejecting = True
     await asyncio.sleep(0.5 + rng.random() * 3)
-    server.is_closed = False
+    server.is_rejecting = False
 
 
 async def evacuate_domain(world, rng):
@@ -115,23 +116,23 @@
     domain = f"d{rng.randint(0, 1)}"
     if world.evacuated.get(domain, [(0, 0)])[-1][1] is None:
         return
-    world.say(f"evacuates {domain}")
+    world.log(f"evacuates {domain}")
     world.kv.put(f"op/evacuate/{domain}", {})
     world.evacuated.setdefault(domain, []).append((world.now(), None))
     await asyncio.sleep(3 + rng.random() * 4)
     for server in world.servers:
         if world.domain_of(server) == domain:
-            server.cool(COLD_AGAIN_SECONDS, is_start=False)
+            server.mark_cold(MARKED_COLD_SECONDS, is_start=False)
     world.kv.remove(f"op/evacuate/{domain}")
     world.evacuated[domain][-1] = (world.evacuated[domain][-1][0], world.now())
-    world.say(f"takes the evacuation of {domain} back")
+    world.log(f"takes the evacuation of {domain} back")
 
 
-async def cool_server(world, rng):
+async def mark_server_cold(world, rng):
     """It is cold again, and says so a heartbeat later."""
     server = rng.choice(world.servers)
-    world.say(f"{server.id} is cold again")
-    server.cool(COLD_AGAIN_SECONDS, is_start=False)
+    world.log(f"{server.id} is cold again")
+    server.mark_cold(MARKED_COLD_SECONDS, is_start=False)
 
 
 async def limit_server(world, rng):
@@ -140,7 +141,7 @@
     if server.limit is not None:
         return
     server.limit = rng.choice([0.5, 1.0, 2.1])
-    world.say(f"{server.id} takes {server.limit} a second")
+    world.log(f"{server.id} takes {server.limit} a second")
     begin = world.now()
     await asyncio.sleep(5 + rng.random() * 4)
     server.limit_times.append((begin, world.now(), server.limit))
@@ -154,11 +155,11 @@
     world.kv.status = 503
     await asyncio.sleep(0.1 + rng.random() * 2)
     world.kv.restore(age)
-    world.say(f"the key-value service is back as it was {age:.1f} s ago")
+    world.log(f"the key-value service is back as it was {age:.1f} s ago")
     if rng.random() < 0.5:
         world.kv.status = 0
         await asyncio.sleep(rng.random() * 0.5)
-    world.write_again()
+    world.rewrite_lost_keys()
     world.kv.status = 0
 
 
@@ -167,41 +168,42 @@
     if rng.random() < 0.4 and len(left) > 2:
         key = rng.choice(left)
         world.revoked[key] = world.now()
-        world.say(f"revokes {key}")
-    world._configure()
+        world.log(f"revokes {key}")
+    world.write_config()
 
 
-async def name_weights(world, _rng):
+async def publish_weights_version(world, _rng):
     world.weights += 1
-    world.say(f"names version {world.weights}")
+    world.log(f"names version {world.weights}")
     world.kv.put("op/version/m", {"model": "m", "version": world.weights})
 
 
-PLANNED = (stop_entry, reload_entry, change_config, name_weights, replace_server, close_server, evacuate_domain,
-           cool_server)
-EXTRA_PAUSE = 2.0  # At most, between two of these.
-FAULT_KINDS = (kill_entries, stop_entry, pause_entry, reload_entry, spoil_link, spoil_service, spoil_server,
-               replace_server, close_server, change_config, name_weights, evacuate_domain, cool_server)
+PLANNED_KINDS = (stop_entry, reload_entry, change_config, publish_weights_version, replace_server, reject_at_server,
+                 evacuate_domain, mark_server_cold)
+MAX_EXTRA_PAUSE_SECONDS = 2.0  # At most, between two of these.
+FAULT_KINDS = (kill_entries, stop_entry, pause_entry, reload_entry, degrade_link, degrade_service, degrade_server,
+               replace_server, reject_at_server, change_config, publish_weights_version, evacuate_domain,
+               mark_server_cold)
 
 
 async def inject(world, kind, busy, rng=None):
     """One fault from its begin to its end. One at a time meddles with processes."""
     rng = rng or world.rng
-    meddles = kind in (kill_entries, kill_pair, stop_entry, pause_entry, reload_entry)
-    note = fault(planned=kind in PLANNED + (limit_server,), kind=kind.__name__)
-    note["begin"] = world.now()
-    world.faults.append(note)
-    if meddles:
+    affects_processes = kind in (kill_entries, kill_pair, stop_entry, pause_entry, reload_entry)
+    record = new_fault(planned=kind in PLANNED_KINDS + (limit_server,), kind=kind.__name__)
+    record["begin"] = world.now()
+    world.faults.append(record)
+    if affects_processes:
         async with busy:
             await kind(world, rng)
     else:
         await kind(world, rng)
-    note["end"] = world.now()
+    record["end"] = world.now()
 
 
 async def kill_pair(world, rng):
     some = rng.sample(world.entries, 2)
-    world.say(f"kills {[it.name for it in some]}")
+    world.log(f"kills {[it.name for it in some]}")
     for entry in some:
         entry.kill()
     await asyncio.sleep(0.3 + rng.random() * 0.3)
@@ -211,24 +213,24 @@
 
 async def slow_stores(world, rng):
     """Fetches last nearly as long as entries allow."""
-    world.say("the stores are slow")
+    world.log("the stores are slow")
     for store in world.stores:
-        store.transfer = 0.5 + rng.random() * 0.7
+        store.transfer_seconds = 0.5 + rng.random() * 0.7
     await asyncio.sleep(3 + rng.random() * 3)
     for store in world.stores:
-        store.transfer = SOUND_TRANSFER
+        store.transfer_seconds = NORMAL_TRANSFER_SECONDS
 
 
 async def restart_store(world, rng):
     store = rng.choice(world.stores)
-    world.say(f"{store.name} restarts empty")
+    world.log(f"{store.name} restarts empty")
     store.restart()
     store.is_down = True
     await asyncio.sleep(rng.random())
     store.is_down = False
 
 
-async def around_new_weights(world, seconds):
+async def run_weights_faults(world, seconds):
     """Entries are killed two at a time, again and again, while engines take new weights, context of the old ones is
     freed and fetches are slow."""
     rng, busy, faults = world.rng, asyncio.Lock(), []
@@ -245,7 +247,7 @@
             slow = begin(slow_stores)
         if world.now() >= name_at:
             name_at = world.now() + 7 + rng.random() * 4
-            begin(name_weights)
+            begin(publish_weights_version)
         if rng.random() < 0.05:
             begin(restart_store)
         await asyncio.sleep(0.5 + rng.random())
@@ -254,17 +256,17 @@
     await asyncio.gather(*faults)
 
 
-async def beside(world, seconds, kinds):
+async def run_extra_faults(world, seconds, kinds):
     """Faults beside the others, by a series of their own, so that those of a seed stay the same."""
     rng, faults, busy = world.extra_rng, [], asyncio.Lock()
     end = world.now() + seconds
     while world.now() < end:
-        await asyncio.sleep(rng.random() * EXTRA_PAUSE)
+        await asyncio.sleep(rng.random() * MAX_EXTRA_PAUSE_SECONDS)
         faults.append(asyncio.ensure_future(inject(world, rng.choice(kinds), busy, rng)))
     await asyncio.gather(*faults)
 
 
-async def one_by_one(world, seconds, kinds):
+async def run_faults(world, seconds, kinds):
     faults, busy = [], asyncio.Lock()
     end = world.now() + seconds
     while world.now() < end:
--- a/tests/soak/http11.py
+++ b/tests/soak/http11.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-MAX_HEAD = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 
 
 class Broken(Exception):
@@ -100,4 +100,4 @@
         finally:
             close(writer)
 
-    return await asyncio.start_server(connection, "127.0.0.1", port, limit=MAX_HEAD)
+    return await asyncio.start_server(connection, "127.0.0.1", port, limit=MAX_HEAD_BYTES)
--- a/tests/soak/kept_context.py
+++ b/tests/soak/kept_context.py
@@ -11,12 +11,12 @@
 import http11
 from platform_side import JSON, BackendServer, now
 
-EVENTS_KEPT = 300
+MAX_EVENTS = 300
 EVENT_LOST_SHARE = 0.02
-EVENT_DELAY = 0.4        # At most, in seconds.
-SAVE_BREAKS_SHARE = 0.02
-SOUND_TRANSFER = 0.01    # Seconds for one part over a sound link.
-REPORT_AGE = 0.2         # An engine's reports are so old.
+MAX_EVENT_DELAY_SECONDS = 0.4        # At most, in seconds.
+SAVE_FAILURE_SHARE = 0.02
+NORMAL_TRANSFER_SECONDS = 0.01    # Seconds for one part over a sound link.
+REPORT_AGE_SECONDS = 0.2         # An engine's reports are so old.
 CLOCK_AT_START = 1_700_000_000
 
 
@@ -45,8 +45,8 @@
         self.epoch, self.number = 1000, 0
         self.parts, self.events = {}, []     # Key to (tokens, is whole).
         self.fetches, self.freed = [], []    # For the checks.
-        self.transfer = SOUND_TRANSFER
-        self.calls, self.most_calls, self.is_down = 0, 4, False
+        self.transfer_seconds = NORMAL_TRANSFER_SECONDS
+        self.calls, self.max_calls, self.is_down = 0, 4, False
         self.server = None
 
     async def start(self):
@@ -61,7 +61,7 @@
         """Its entry in the configuration."""
         return {"name": self.name, "kv-store-address": self.address, "zone": self.domain, "managed": True,
                 "kv-capacity-tokens": self.capacity, "link-mbps": 300000, "first_ms": 1,
-                "max-concurrent": self.most_calls}
+                "max-concurrent": self.max_calls}
 
     def restart(self):
         """Empty, and what was being read has broken off."""
@@ -72,15 +72,15 @@
         for it in self.fetches:
             it.discarded |= it.end > now()
 
-    def _transfer(self):
+    def _transfer_end(self):
         """When a transfer that begins now ends."""
-        return now() + self.transfer * (0.5 + self.rng.random())
+        return now() + self.transfer_seconds * (0.5 + self.rng.random())
 
     def fetch(self, request, key, until):
         """Begins to read a part; nothing if it is not here."""
         if self.is_down or key not in self.parts:
             return None
-        end = self._transfer()
+        end = self._transfer_end()
         self.fetches.append(Fetch(request, key, now(), min(end, until), end > until, self.parts[key][1]))
         return self.fetches[-1]
 
@@ -90,18 +90,19 @@
         if self.is_down or key in self.parts or used + tokens > self.capacity:
             return
         self.parts[key], epoch = (tokens, False), self.epoch
-        await asyncio.sleep(self._transfer() - now())
-        if self.epoch != epoch or self.rng.random() < SAVE_BREAKS_SHARE:
+        await asyncio.sleep(self._transfer_end() - now())
+        if self.epoch != epoch or self.rng.random() < SAVE_FAILURE_SHARE:
             return
         if key in self.parts:
             self.parts[key] = (tokens, True)
-        self._note("+", key, tokens)  # Also of what was freed meanwhile.
+        self._record_event("+", key, tokens)  # Also of what was freed meanwhile.
 
-    def _note(self, sign, key, tokens):
+    def _record_event(self, sign, key, tokens):
         self.number += 1
         if self.rng.random() >= EVENT_LOST_SHARE:
-            self.events.append((now() + self.rng.random() * EVENT_DELAY, [self.number, sign, *key, tokens, "m"]))
-            del self.events[:-EVENTS_KEPT]
+            self.events.append((now() + self.rng.random() * MAX_EVENT_DELAY_SECONDS,
+                                [self.number, sign, *key, tokens, "m"]))
+            del self.events[:-MAX_EVENTS]
 
     def _visible(self):
         """Events that are heard by now, none before those that come ahead of it."""
@@ -132,15 +133,15 @@
         await writer.drain()
 
     async def _changes(self, since, wait_ms):
-        if self.calls >= self.most_calls:
+        if self.calls >= self.max_calls:
             return 429, {}
         self.calls += 1
         end, epoch = now() + min(wait_ms, 1000) / 1000, self.epoch
-        while not (news := [it for it in self._visible() if it[0] > since]) and now() < end and self.epoch == epoch:
+        while not (events := [it for it in self._visible() if it[0] > since]) and now() < end and self.epoch == epoch:
             await asyncio.sleep(0.02)
         self.calls -= 1
         is_gap = bool(self.events) and self.events[0][1][0] > since + 1
-        return 200, {"next": news[-1][0] if news else min(since, self.number), "lost": is_gap, "events": news}
+        return 200, {"next": events[-1][0] if events else min(since, self.number), "lost": is_gap, "events": events}
 
     def _free(self, body):
         if body.get("epoch", self.epoch) != self.epoch or body.get("until_ms", clock_ms()) < clock_ms():
@@ -149,7 +150,7 @@
             if key in self.parts:
                 tokens, _ = self.parts.pop(key)
                 self.freed.append((now(), key))
-                self._note("-", key, tokens)
+                self._record_event("-", key, tokens)
         return 200
 
 
@@ -165,13 +166,13 @@
 
     async def start(self, port=0):
         await super().start(port)
-        asyncio.ensure_future(self._take_notes())
+        asyncio.ensure_future(self._record_reports())
         return self
 
-    async def _take_notes(self):
+    async def _record_reports(self):
         while True:
             self.reports = [*self.reports[-5:], (now(), self._report())]
-            await asyncio.sleep(REPORT_AGE / 4)
+            await asyncio.sleep(REPORT_AGE_SECONDS / 4)
 
     def _report(self):
         return {"stage": "combined", "models": [{"name": "m", "version": self.version, "adapters": []}],
@@ -179,14 +180,14 @@
                 "kv-total": 140000, "handles": 0, "clock_ms": clock_ms()}
 
     def report(self):
-        old = [it for at, it in self.reports if at <= now() - REPORT_AGE]
+        old = [it for at, it in self.reports if at <= now() - REPORT_AGE_SECONDS]
         return old[-1] if old else self._report()
 
     def _load(self, version):
         self.is_loading = True
-        asyncio.ensure_future(self._take(version))
+        asyncio.ensure_future(self._load_when_idle(version))
 
-    async def _take(self, version):
+    async def _load_when_idle(self, version):
         """Runs finish first."""
         while self.running:
             await asyncio.sleep(0.02)
--- a/tests/soak/late_callers.py
+++ b/tests/soak/late_callers.py
@@ -6,8 +6,8 @@
 import http11
 from callers import Caller
 
-CHAINERS, SLOW_SENDERS = 4, 4  # For each entry.
-PIECE_SECONDS = 0.2
+CHAINERS_PER_ENTRY, SLOW_SENDERS_PER_ENTRY = 4, 4  # For each entry.
+PIECE_INTERVAL_SECONDS = 0.2
 SLOW_HEAD_SECONDS = 2.5        # Below the limit of the configuration for a head.
 SLOW_BODY_SECONDS = 6.0
 
@@ -22,30 +22,30 @@
     async def run(self):
         while not self.world.is_over:
             try:
-                await self._one(self.entry)
+                await self._send_request(self.entry)
             except (http11.Broken, OSError, asyncio.TimeoutError):
-                self._drop(self.entry)
+                self._close_connection(self.entry)
                 await asyncio.sleep(0.05)
 
-    def _draw(self):
+    def _random_request(self):
         keys = [it for it in self.world.all_keys if it not in self.world.revoked]
-        return self._next(self.entry, "long" if self.rng.random() < 0.8 else "call", keys)
+        return self._next_request(self.entry, "long" if self.rng.random() < 0.8 else "call", keys)
 
 
 class Chainer(LateCaller):
     """Sends the next request as soon as an answer ends, or ahead of that."""
 
-    async def _one(self, entry):
+    async def _send_request(self, entry):
         reader, writer = await self._connection(entry)
-        requests = [self._draw() for _ in range(2 if self.rng.random() < 0.3 else 1)]
-        writer.write(b"".join(self._head(it) + it.body for it in requests))
+        requests = [self._random_request() for _ in range(2 if self.rng.random() < 0.3 else 1)]
+        writer.write(b"".join(self._request_head(it) + it.body for it in requests))
         await writer.drain()
         for sent in requests:
             # The entry reads one that is pipelined once the answer before it has ended.
-            sent.at = sent.whole = self.world.now()
+            sent.at = sent.fully_sent_at = self.world.now()
             self.world.sent.append(sent)
-            with self._ending(sent):
-                await self._await(sent, self._answer(sent, reader), sent.patience + 3)
+            with self._recording_end(sent):
+                await self._await_answer(sent, self._answer(sent, reader), sent.timeout + 3)
         if requests[-1].status != 200:
             await asyncio.sleep(0.1)
 
@@ -53,31 +53,31 @@
 class SlowSender(LateCaller):
     """Sends a request's head or body in pieces, for some seconds, before its last byte."""
 
-    async def _one(self, entry):
+    async def _send_request(self, entry):
         reader, writer = await self._connection(entry)
-        sent = self._draw()
+        sent = self._random_request()
         answer = asyncio.ensure_future(self._answer(sent, reader))
         try:
-            with self._ending(sent):
-                await self._trickle(writer, sent, answer)
+            with self._recording_end(sent):
+                await self._send_slowly(writer, sent, answer)
                 self.world.sent.append(sent)
-                await self._await(sent, answer, sent.patience + 3)
+                await self._await_answer(sent, answer, sent.timeout + 3)
         finally:
             answer.cancel()
             # One that was never whole is a request only if it was answered.
-            if sent.status and not sent.whole:
+            if sent.status and not sent.fully_sent_at:
                 self.world.sent.append(sent)
 
-    async def _trickle(self, writer, sent, answer):
-        head = self._head(sent)
+    async def _send_slowly(self, writer, sent, answer):
+        head = self._request_head(sent)
         in_head = self.rng.random() < 0.3
         first = len(head) // 2 if in_head else len(head)
-        pieces = int(self.rng.random() * (SLOW_HEAD_SECONDS if in_head else SLOW_BODY_SECONDS) / PIECE_SECONDS)
+        pieces = int(self.rng.random() * (SLOW_HEAD_SECONDS if in_head else SLOW_BODY_SECONDS) / PIECE_INTERVAL_SECONDS)
         data = head + sent.body
         pieces = min(pieces, len(data) - first - 1)
         writer.write(data[:first])
         for n in range(first, first + pieces):
-            await asyncio.wait([answer], timeout=PIECE_SECONDS)
+            await asyncio.wait([answer], timeout=PIECE_INTERVAL_SECONDS)
             if answer.done():
                 answer.result()
             if answer.done() or self.world.is_over:
@@ -85,13 +85,13 @@
             writer.write(data[n:n + 1])
         writer.write(data[first + pieces:])
         await writer.drain()
-        sent.at = sent.whole = self.world.now()
+        sent.at = sent.fully_sent_at = self.world.now()
 
 
 def late_callers(world):
     out = []
     for entry in world.entries:
-        for kind, count in ((Chainer, CHAINERS), (SlowSender, SLOW_SENDERS)):
+        for kind, count in ((Chainer, CHAINERS_PER_ENTRY), (SlowSender, SLOW_SENDERS_PER_ENTRY)):
             for n in range(count):
                 name = f"{kind.__name__}/{entry.name}/{n}"
                 out.append(kind(name, random.Random(f"{world.seed}/{name}"), world, entry))
--- a/tests/soak/platform_side.py
+++ b/tests/soak/platform_side.py
@@ -11,11 +11,11 @@
 
 import http11
 
-HISTORY = 400  # Changes that a watch can go back.
-COPY_SECONDS, COPIES = 0.25, 24  # Between copies that the key-value service may come back from, and how many are kept.
-LONG_PACE = 0.25  # Between the events of a long stream.
-FATAL = b"ends every server that runs it"
-CLOSED_SECONDS = 2  # For which a server that is closed wants nothing of whoever asks.
+MAX_HISTORY_EVENTS = 400  # Changes that a watch can go back.
+COPY_INTERVAL_SECONDS, MAX_COPIES = 0.25, 24  # Between copies that the key-value service may come back from, and how many are kept.
+LONG_STREAM_INTERVAL_SECONDS = 0.25  # Between the events of a long stream.
+FATAL_BODY = b"ends every server that runs it"
+RETRY_AFTER_SECONDS = 2  # For which a server that is closed wants nothing of whoever asks.
 JSON = {"Content-Type": "application/json"}
 
 
@@ -29,14 +29,14 @@
     def __init__(self):
         self.items, self.history, self.leases = {}, [], {}
         self.revision, self.compacted, self.next_lease = 1, 0, 1000
-        self.status, self.delay, self.lose = 0, 0.0, False
+        self.status, self.delay, self.lose_answers = 0, 0.0, False
         self.era, self.copies = 1, []
         self.changed = asyncio.Event()
         self.server = None
 
     async def start(self):
         self.server = await http11.serve(self._handle)
-        asyncio.ensure_future(self._lapse())
+        asyncio.ensure_future(self._expire_leases())
         return self
 
     @property
@@ -49,12 +49,12 @@
         text = value if isinstance(value, str) else json.dumps(value)
         self.items[key] = {"key": key, "value": base64.b64encode(text.encode()).decode(), "revision": self.revision,
                            "created": created, "lease": lease}
-        self._note(self.items[key])
+        self._record_event(self.items[key])
 
     def remove(self, key):
         if self.items.pop(key, None):
             self.revision += 1
-            self._note({"key": key, "revision": self.revision, "tombstone": True})
+            self._record_event({"key": key, "revision": self.revision, "tombstone": True})
 
     def compact(self):
         self.compacted = self.revision
@@ -73,21 +73,21 @@
     def _copy(self):
         return now(), dict(self.items), self.revision, dict(self.leases)
 
-    def _note(self, event):
+    def _record_event(self, event):
         self.history.append(event)
-        del self.history[:-HISTORY]
+        del self.history[:-MAX_HISTORY_EVENTS]
         self._wake()
 
     def _wake(self):
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def _lapse(self):
+    async def _expire_leases(self):
         while True:
             await asyncio.sleep(0.05)
-            if not self.copies or now() >= self.copies[-1][0] + COPY_SECONDS:
+            if not self.copies or now() >= self.copies[-1][0] + COPY_INTERVAL_SECONDS:
                 self.copies.append(self._copy())
-                del self.copies[:-COPIES]
+                del self.copies[:-MAX_COPIES]
             for lease in [it for it, (_, end) in self.leases.items() if end < now()]:
                 self._end_lease(lease)
 
@@ -105,7 +105,7 @@
         method, target, _ = request.first
         path, _, query = target.partition("?")
         status, body = await self._answer(method, path, dict(urllib.parse.parse_qsl(query)), request.body)
-        if self.lose and method == "POST":
+        if self.lose_answers and method == "POST":
             raise http11.Broken("the answer is lost")
         writer.write(http11.response(status, {**JSON, **self._era()}, json.dumps(body).encode()))
         await writer.drain()
@@ -167,7 +167,7 @@
 class Run:
     """A server began to work on a request; broke: it or its server ended without its answer, by itself."""
 
-    ended, broke = 0.0, False
+    ended, aborted = 0.0, False
 
     def __init__(self, server, request):
         self.server, self.at, self.request = server.id, now(), request
@@ -175,7 +175,7 @@
         self.body = hashlib.sha256(self.signature.encode()).hexdigest().encode()
 
 
-def events_of(request_id, kind="ask"):
+def event_count(request_id, kind="ask"):
     """How many events the stream of a request has. Three in five long ones last for 4.5 s, others from 1.5 s on."""
     number = int(hashlib.sha256(request_id.encode()).hexdigest(), 16)
     if kind == "long":
@@ -189,7 +189,7 @@
 
     FAULTS = ("lose", "cut", "extra", "error", "full", "hang")
     is_loading = False  # New weights; at once here.
-    is_leaving, is_closed = False, False
+    is_leaving, is_rejecting = False, False
     limit = None  # Requests a second that it takes from all entries together.
     cold_until = 0.0
 
@@ -203,8 +203,8 @@
         self.incarnation, self.version = incarnation, version
         self.runs, self.arrivals, self.orders, self.token = [], [], 0, 0
         self.tokens = []
-        self.said_leaving, self.said_closed = [], []  # When, and in the answer to which request.
-        self.said_limit, self.limit_times = [], []  # The same; and from when and until when it named which limit.
+        self.leaving_answers, self.rejections = [], []  # When, and in the answer to which request.
+        self.limit_answers, self.limit_times = [], []  # The same; and from when and until when it named which limit.
         self.cold_times = []  # From when and until when it is cold, and whether its first record said so.
         self.faults, self.share, self.work = set(), 0.3, 0.02
         self.counter = 0
@@ -214,7 +214,7 @@
         self.server = await http11.serve(self._handle, port)
         return self
 
-    def cool(self, seconds, is_start):
+    def mark_cold(self, seconds, is_start):
         self.cold_until = now() + seconds
         self.cold_times.append((now(), self.cold_until, is_start))
 
@@ -225,7 +225,7 @@
     def port(self):
         return self.server.sockets[0].getsockname()[1]
 
-    def _strikes(self, fault):
+    def _should_inject(self, fault):
         self.counter += 1
         return fault in self.faults and (self.counter * 7919) % 100 < self.share * 100
 
@@ -266,17 +266,17 @@
         echo = {"X-Daisytack-Request-Id": request_id}
         if self.is_leaving:
             echo["Server-Leaving"] = "1"
-            self.said_leaving.append((now(), request_id))
-        if self.is_closed:
-            self.said_closed.append((now(), request_id))
+            self.leaving_answers.append((now(), request_id))
+        if self.is_rejecting:
+            self.rejections.append((now(), request_id))
             writer.write(http11.response(503, {**echo, "X-Daisytack-Not-Executed": "1",
-                                               "Retry-After": str(CLOSED_SECONDS)}))
+                                               "Retry-After": str(RETRY_AFTER_SECONDS)}))
             return
         wanted = request.header("x-daisytack-expected-version")
         if wanted and int(wanted) != self.version:
             writer.write(http11.response(421, {**echo, "X-Daisytack-Not-Executed": "1"}))
             return
-        if self._strikes("full"):
+        if self._should_inject("full"):
             writer.write(http11.response(503, {**echo, "X-Daisytack-Not-Executed": "1", "Retry-After": "0.2"}))
             return
         run = Run(self, request)
@@ -289,56 +289,56 @@
     def end_runs(self):
         """The server goes: what it works on ends without an answer."""
         for run in self.runs:
-            run.broke |= not run.ended
+            run.aborted |= not run.ended
 
     async def _read_prompt(self, _request):
         await asyncio.sleep(self.work)
 
     async def _run(self, request, run, echo, writer):
         await self._read_prompt(request)
-        if request.body == FATAL:
+        if request.body == FATAL_BODY:
             self.crash()
-            self._break_off(run, "the server crashes")
-        if self._strikes("hang"):
+            self._abort(run, "the server crashes")
+        if self._should_inject("hang"):
             await asyncio.sleep(4)
-        if self._strikes("lose"):
-            self._break_off(run, "the answer is lost")
+        if self._should_inject("lose"):
+            self._abort(run, "the answer is lost")
         echo["X-Daisytack-Server-Signature"] = run.signature
         if self.limit is not None:
             echo["Server-Limit"] = str(self.limit)
-            self.said_limit.append((now(), request.header("x-daisytack-request-id")))
-        if self._strikes("error"):
+            self.limit_answers.append((now(), request.header("x-daisytack-request-id")))
+        if self._should_inject("error"):
             writer.write(http11.response(500, echo, b"failed"))
         elif request.first[1].startswith("/ask/"):
             await self._stream(request, run, echo, writer, "ask", self.work)
         elif request.first[1].startswith("/long/"):
-            await self._stream(request, run, echo, writer, "long", LONG_PACE)
+            await self._stream(request, run, echo, writer, "long", LONG_STREAM_INTERVAL_SECONDS)
         else:
             answer = http11.response(200, echo, run.body)
-            if self._strikes("cut"):
+            if self._should_inject("cut"):
                 writer.write(answer[:-10])
                 await writer.drain()
-                self._break_off(run, "the answer is cut")
-            writer.write(answer + (answer if self._strikes("extra") else b""))
+                self._abort(run, "the answer is cut")
+            writer.write(answer + (answer if self._should_inject("extra") else b""))
         await writer.drain()
 
     @staticmethod
-    def _break_off(run, how):
-        run.broke = True
+    def _abort(run, how):
+        run.aborted = True
         raise http11.Broken(how)
 
-    async def _stream(self, request, run, echo, writer, kind, pace):
+    async def _stream(self, request, run, echo, writer, kind, interval):
         request_id = request.header("x-daisytack-request-id")
         first = int(request.header("last-event-id", "0")) + 1
         writer.write(http11.head_of("HTTP/1.1 200 OK", {**echo, "Content-Type": "text/event-stream",
                                                         "Transfer-Encoding": "chunked"}))
-        for n in range(first, events_of(request_id, kind) + 1):
+        for n in range(first, event_count(request_id, kind) + 1):
             event = f"id: {n}\ndata: {request_id}/{n}\n\n".encode()
-            if self._strikes("cut"):
+            if self._should_inject("cut"):
                 writer.write(f"{len(event):x}\r\n".encode() + event[:7])
                 await writer.drain()
-                self._break_off(run, "the stream is cut")
+                self._abort(run, "the stream is cut")
             writer.write(f"{len(event):x}\r\n".encode() + event + b"\r\n")
             await writer.drain()
-            await asyncio.sleep(pace)
+            await asyncio.sleep(interval)
         writer.write(b"0\r\n\r\n")
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -10,8 +10,8 @@
 
 SOUND, SLOW, SILENT, DEAF, MUTE = "sound", "slow", "silent", "deaf", "mute"
 FAULTS = (SLOW, SILENT, DEAF, MUTE)
-SLOW_SECONDS = 0.15
-BLOCK = 64 * 1024
+SLOW_DELAY_SECONDS = 0.15
+BLOCK_BYTES = 64 * 1024
 
 
 class Proxy:
@@ -56,12 +56,12 @@
                     self.writers.discard(it)
                     http11.close(it)
 
-    async def _pass(self, reader, writer, lost_in):
-        while block := await reader.read(BLOCK):
-            while self.state in (SILENT, lost_in):
+    async def _pass(self, reader, writer, dropping_state):
+        while block := await reader.read(BLOCK_BYTES):
+            while self.state in (SILENT, dropping_state):
                 await asyncio.sleep(0.02)
             if self.state == SLOW:
-                await asyncio.sleep(SLOW_SECONDS)
+                await asyncio.sleep(SLOW_DELAY_SECONDS)
             writer.write(block)
             await writer.drain()
         # What was sent last must arrive before the other side closes.
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -16,8 +16,8 @@
 import checks  # noqa: E402
 import http11  # noqa: E402
 from callers import FatalCaller, callers  # noqa: E402
-from faults import (FAULT_KINDS, PLANNED, around_new_weights, beside, limit_server, one_by_one,  # noqa: E402
-                    restore_service)
+from faults import (FAULT_KINDS, PLANNED_KINDS, run_weights_faults, run_extra_faults, limit_server,  # noqa: E402
+                    run_faults, restore_service)
 from fleet import Fleet  # noqa: E402
 from kept_context import ContextStore, Engine  # noqa: E402
 from late_callers import late_callers  # noqa: E402
@@ -26,19 +26,19 @@
 
 ENTRIES = 3
 CALLERS = 8
-KEPT_ENTRIES, KEPT_CALLERS, KEPT_ENGINES, STORES = 5, 48, 10, 2
+KEPT_CONTEXT_ENTRIES, KEPT_CONTEXT_CALLERS, KEPT_CONTEXT_ENGINES, STORES = 5, 48, 10, 2
 STORE_TOKENS = 400_000
 ORGANISATIONS = {"one": ["k1", "k2"], "two": ["k3", "k4"]}
 SETTLE_SECONDS = 5      # After the last fault: leases lapse within 3 s.
 RECOVERY_SECONDS = 12   # Then every entry serves every kind of request.
-CALM_AFTER = 4.0        # A fault's effects are over so long after its end.
-HEARTBEAT = 0.4
+FAULT_EFFECT_SECONDS = 4.0        # A fault's effects are over so long after its end.
+HEARTBEAT_SECONDS = 0.4
 COLD_SECONDS = 2.0      # For which a server is cold after its start, and after an evacuation.
 LOG_LINES = 40
-WEIGHTS_SECONDS = 20    # After the last fault, for all engines to have the newest weights.
-PATIENCE = 2.5
-LONG_PATIENCE = 4.8     # What an entry reads until 3 s after SIGTERM ends within its grace period.
-KEPT_PATIENCE = 6.0     # Slow fetches take some seconds.
+WEIGHTS_TIMEOUT_SECONDS = 20    # After the last fault, for all engines to have the newest weights.
+TIMEOUT_SECONDS = 2.5
+LONG_TIMEOUT_SECONDS = 4.8     # What an entry reads until 3 s after SIGTERM ends within its grace period.
+KEPT_CONTEXT_TIMEOUT_SECONDS = 6.0     # Slow fetches take some seconds.
 
 SETTINGS = """[process]
 threads = 1
@@ -103,13 +103,13 @@
     def signal(self, number):
         self.fleet.signal(self.name, number)
 
-    async def loaded(self):
+    async def wait_signals_handled(self):
         """Before a program's main begins no signal can be held back. Gives way to nobody after the last look, since
         another fault may start the entry anew meanwhile."""
-        while not self.holds_signals():
+        while not self.handles_signals():
             await asyncio.sleep(0.01)
 
-    def holds_signals(self):
+    def handles_signals(self):
         """Whether SIGHUP and SIGTERM are blocked or caught, or there is no process that they could end: on a busy
         machine it takes more than 0.1 s from the start of a process to its main."""
         try:
@@ -171,7 +171,7 @@
     def now(self):
         return asyncio.get_event_loop().time()
 
-    def say(self, text):
+    def log(self, text):
         print(f"  {self.now() - self.began:7.2f} {text}", flush=True)
 
     async def start(self):
@@ -180,11 +180,11 @@
         for n in range(STORES if self.has_kept_context else 0):
             rng = random.Random(f"{self.seed}/store/{n}")
             self.stores.append(await ContextStore(f"kept{n}", f"d{n}", STORE_TOKENS, rng).start())
-        self._configure()
-        engines = KEPT_ENGINES if self.has_kept_context else 3
+        self.write_config()
+        engines = KEPT_CONTEXT_ENGINES if self.has_kept_context else 3
         for n, service in enumerate(["plain", "plain"] + ["engines"] * engines):
             await self.add_server(f"{service}{n}", service)
-        for n in range(KEPT_ENTRIES if self.has_kept_context else ENTRIES):
+        for n in range(KEPT_CONTEXT_ENTRIES if self.has_kept_context else ENTRIES):
             self.entries.append(Entry(self.fleet, n, n % self.domains, await Proxy(self.kv.port).start()))
         seeds = ",".join(f"127.0.0.1:{it.ports['peers']}" for it in self.entries)
         for entry in self.entries:
@@ -202,13 +202,13 @@
             await asyncio.sleep(0.05)
 
     async def wait_loaded(self):
-        end = self.now() + WEIGHTS_SECONDS
+        end = self.now() + WEIGHTS_TIMEOUT_SECONDS
         while any(it.version < self.weights for it in self.servers if it.service == "engines"):
             if self.now() > end:
                 return  # Recovery names them.
             await asyncio.sleep(0.1)
 
-    def _configure(self):
+    def write_config(self):
         self.config_version += 1
         keys = {name: [it for it in all_keys if it not in self.revoked] for name, all_keys in ORGANISATIONS.items()}
         engine = {"slots": 64, "kv-capacity-tokens": 140000, "models": [{"name": "m"}], "kv-token-bytes": 35136,
@@ -217,7 +217,7 @@
         kept_route = {"target-latency-ms": 6000, "timeout-ms": 8000} if self.has_kept_context else {
             "target-latency-ms": 400}
         route = {"host": "a.example", "timeout-ms": 3000, "attempts": 2, "public": False}
-        cold = {"cold-start-s": COLD_SECONDS, "cold-per-s": checks.COLD_RATE}
+        cold = {"cold-start-s": COLD_SECONDS, "cold-per-s": checks.COLD_REQUESTS_PER_SECOND}
         self.config = {
             "version": self.config_version,
             "routes": [
@@ -237,7 +237,7 @@
             "tenants": [{"name": name, "api-keys": all_keys} for name, all_keys in keys.items()]}
         self.kv.put("op/config", self.config)
 
-    def write_again(self):
+    def rewrite_lost_keys(self):
         """What the operator and the servers wrote, as far as the key-value service has lost it."""
         self.kv.put("op/config", self.config)
         if self.weights > 1:
@@ -263,7 +263,7 @@
             self.links[name] = await Proxy(server.port).start()
         self.links[name].target = server.port
         if incarnation > 1:
-            server.cool(COLD_SECONDS, is_start=True)
+            server.mark_cold(COLD_SECONDS, is_start=True)
         self.servers.append(server)
         self.all_servers.append(server)
         self.record(server)
@@ -283,7 +283,7 @@
 
     async def _heartbeats(self):
         while True:
-            await asyncio.sleep(HEARTBEAT)
+            await asyncio.sleep(HEARTBEAT_SECONDS)
             for server in self.servers:
                 if server.id not in self.leaving:
                     self.record(server)
@@ -321,37 +321,38 @@
     def entry_of(self, request_id):
         return next((it.entry for it in self.sent if it.id == request_id), None)
 
-    def in_touch(self, entry, begin, end):
+    def ran_undisturbed(self, entry, begin, end):
         """Whether the entry ran all the while, and nothing but planned work went on."""
         stops = next(it for it in self.entries if it.name == entry).stops
-        return not any(it.begin <= end and begin <= it.end for it in stops) and self.was_calm(begin, end, entry, True)
+        return (not any(it.begin <= end and begin <= it.end for it in stops)
+                and self.had_no_faults(begin, end, entry, True))
 
-    def was_calm(self, begin, end, entry=None, planned=False):
+    def had_no_faults(self, begin, end, entry=None, planned=False):
         """Whether no fault that touches the entry was under way or had just ended."""
         for fault in self.faults:
             touches = entry is None or fault["entry"] in (None, entry)
-            over = (fault["end"] or end) + CALM_AFTER
+            over = (fault["end"] or end) + FAULT_EFFECT_SECONDS
             if touches and fault["begin"] <= end and over >= begin and not (planned and fault["planned"]):
                 return False
         return True
 
-    def ran_through(self, begin, end, entry):
+    def ran_without_restart(self, begin, end, entry):
         """Whether one process of the entry ran all the while."""
         stops = next(it for it in self.entries if it.name == entry).stops
         kills = [it for it in self.faults if it["kind"] in ("kill_entries", "kill_pair")]
         times = [(it.begin, it.end) for it in stops] + [(it["begin"], it["end"] or end) for it in kills]
         return not any(first <= end and begin <= last for first, last in times)
 
-    def links_were_sound(self, begin, end):
+    def had_sound_links(self, begin, end):
         """Whether no link held up what was sent, so that it arrived together."""
-        over = [it for it in self.faults if it["kind"] == "spoil_link"]
-        return not any(it["begin"] <= end and (it["end"] or end) + CALM_AFTER >= begin for it in over)
+        over = [it for it in self.faults if it["kind"] == "degrade_link"]
+        return not any(it["begin"] <= end and (it["end"] or end) + FAULT_EFFECT_SECONDS >= begin for it in over)
 
-    def patience(self, kind):
+    def request_timeout(self, kind):
         """Seconds that a caller tells."""
         if kind == "ask" and self.has_kept_context:
-            return KEPT_PATIENCE
-        return LONG_PATIENCE if kind == "long" else PATIENCE
+            return KEPT_CONTEXT_TIMEOUT_SECONDS
+        return LONG_TIMEOUT_SECONDS if kind == "long" else TIMEOUT_SECONDS
 
     def planned_stop(self, entry, at):
         """When the entry was asked to end, if that was shortly before."""
@@ -359,7 +360,7 @@
         return next((it.begin for it in stops if it.begin <= at <= it.begin + 8), None)
 
     def unanswered(self, entry):
-        return [it for it in self.sent if it.entry == entry.name and it.whole and not it.ended]
+        return [it for it in self.sent if it.entry == entry.name and it.fully_sent_at and not it.ended]
 
     def stop_during(self, entry, begin, end):
         """The planned stop of the process that a request from begin to end was sent to."""
@@ -380,7 +381,7 @@
     await asyncio.gather(*rest, return_exceptions=True)
 
 
-async def one_seed(seed, seconds, fleet):
+async def run_seed(seed, seconds, fleet):
     world = World(fleet, seed)
     try:
         return await soak(world, seconds)
@@ -390,18 +391,19 @@
 
 async def soak(world, seconds):
     await world.start()
-    some = callers(world, KEPT_CALLERS) if world.has_kept_context else callers(world, CALLERS) + late_callers(world)
+    some = (callers(world, KEPT_CONTEXT_CALLERS) if world.has_kept_context
+            else callers(world, CALLERS) + late_callers(world))
     if world.seed % 8 in (0, 1):
         some.append(FatalCaller(world))
     tasks = [asyncio.ensure_future(it.run()) for it in some]
     # Some seeds are planned work alone, so that what planned work may not do is seen.
     is_planned = world.seed % 4 == 0
     extra = asyncio.ensure_future(
-        beside(world, seconds, (limit_server,) if is_planned else (limit_server, restore_service)))
+        run_extra_faults(world, seconds, (limit_server,) if is_planned else (limit_server, restore_service)))
     if world.has_kept_context:
-        await around_new_weights(world, seconds)
+        await run_weights_faults(world, seconds)
     else:
-        await one_by_one(world, seconds, PLANNED if is_planned else FAULT_KINDS)
+        await run_faults(world, seconds, PLANNED_KINDS if is_planned else FAULT_KINDS)
     await extra
     await world.wait_ready("after the last fault")
     if world.has_kept_context:
@@ -415,7 +417,7 @@
     for entry in world.entries:
         if entry.ended() is not None:
             world.problems.append(f"{entry.name} ended by itself with {entry.ended()}")
-    world.problems += checks.broken_promises(world)
+    world.problems += checks.failed_checks(world)
     answered = sum(it.status == 200 for it in world.sent)
     print(f"seed {world.seed}: {len(world.sent)} requests, {answered} answered, {len(world.faults)} faults, "
           f"{sum(len(it.fetches) for it in world.stores)} fetches, {len(world.problems)} problems", flush=True)
@@ -429,10 +431,10 @@
                     and it.key not in world.revoked]
             served = sum(it.status == 200 for it in good)
             if len(good) >= 4 and served * 2 < len(good):
-                statuses = sorted({it.status or it.broken for it in good if it.status != 200}, key=str)
+                statuses = sorted({it.status or it.failure for it in good if it.status != 200}, key=str)
                 world.problems.append(f"{entry.name} serves {served} of {len(good)} {kind} after recovery: {statuses}")
     behind = [it.id for it in world.servers if it.service == "engines" and it.version < world.weights]
-    if behind and world.was_calm(since - 1, since):
+    if behind and world.had_no_faults(since - 1, since):
         world.problems.append(f"old weights after recovery: {behind}")
 
 
@@ -463,7 +465,7 @@
     failed = []
     for seed in seeds_of(options):
         with Fleet() as fleet:
-            problems = asyncio.run(one_seed(seed, options.seconds, fleet))
+            problems = asyncio.run(run_seed(seed, options.seconds, fleet))
             if problems:
                 failed.append(seed)
                 print(*[f"  PROBLEM {it}" for it in problems[:20]], sep="\n", flush=True)
