--- a/scripts/bench_loopback.py
+++ b/scripts/bench_loopback.py
@@ -1,4 +1,4 @@
-"""Figures of the path on loopback: added time, requests a second, many slow streams, memory."""
+"""Benchmarks entries and agents on loopback: added latency, requests per second, many slow streams and memory."""
 
 import json
 import os
@@ -18,20 +18,20 @@
 
 
 def load(port, pid=0, **flags):
-    """Runs the load generator; its figures."""
+    """Runs the load generator and returns its figures."""
     arguments = [str(BUILD / "bench_loopback"), f"--target={HOST}:{port}", f"--key={key_of('agora')}", f"--pid={pid}"]
     arguments += [f"--{name}={value}" for name, value in flags.items()]
     return json.loads(subprocess.run(arguments, check=True, capture_output=True, text=True).stdout)
 
 
 def cpu_seconds(fleet, name):
-    """Processor time that a process has used."""
+    """Returns the CPU time that the process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{fleet.processes[name].pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def measure_rate(d, agents, requests=40000):
-    """Requests a second through one entry, and each process's processor time for one request."""
+    """Measures requests per second through one entry and the CPU time of each process per request."""
     names = [d.entries[0].name] + [a.name for a in d.agents]
     before = {name: cpu_seconds(d.fleet, name) for name in names}
     figures = load(d.entries[0].work, mode="throughput", requests=requests, at_once=64)
@@ -46,7 +46,7 @@
 
 
 def measure_overhead():
-    """Added time and rate, direct and through entry and agent by turns."""
+    """Measures added latency and throughput, alternating direct requests with requests through entry and agent."""
     with Fleet() as fleet:
         d = Deployment(fleet, entries=1, agents=1, services=0, stores=0, engine_flags=INSTANT).start()
         engine, entry = d.agents[0].server, d.entries[0]
@@ -66,7 +66,7 @@
 
 
 def measure_rates():
-    """The rate with several agents behind one entry."""
+    """Measures throughput of one entry with several agents."""
     threads = {"entry": {"process": {"threads": 6}}, "agent": {"process": {"threads": 2}}}
     with Fleet() as fleet:
         d = Deployment(fleet, entries=1, agents=3, services=0, stores=0, engine_flags=INSTANT, settings=threads).start()
@@ -74,7 +74,7 @@
 
 
 def measure_streams(streams):
-    """Many open streams through one entry; a server runs 64 at a time, so the others wait accepted."""
+    """Opens many streams through one entry. A server runs 64 at a time; the others wait in the agent's queue."""
     objects = default_objects()
     objects["class/default"]["deadline"] = "30m"
     with Fleet() as fleet:
--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,8 +1,8 @@
-"""Works out docs/CAPACITY.md: slopes measured here, multiplied by the size that decides the design.
+"""Computes the tables of docs/CAPACITY.md: slopes measured on this machine, multiplied by the design size.
 
 usage: scripts/capacity [--spread FILE] [--print]
 
-FILE holds the output of an earlier scripts/bench-spread, whose figures are then shown beside the computed ones.
+FILE holds the output of an earlier run of scripts/bench-spread, which is shown beside the computed figures.
 """
 
 import argparse
@@ -18,7 +18,7 @@
 
 PAGE = ROOT / "docs" / "CAPACITY.md"
 
-# The size that decides the design.
+# The deployment size that the design is sized for. REQUESTS and TOKENS are rates per second.
 ENTRIES, AGENTS, DOMAINS, REGIONS = 1300, 10000, 14, 4
 ACCELERATORS, ORGANISATIONS, MODELS = 80000, 7900, 8
 REQUESTS, TOKENS = 180000, 42e6
@@ -27,7 +27,7 @@
 DAY = 86400
 MEMBERS = ENTRIES + AGENTS
 
-# Budgets for control, of one node.
+# Budgets of the control part on one node: share of a core, memory in bytes, bytes sent per second.
 CPU_SHARE, MEMORY, BYTES = 0.048, 128e6, 5000
 
 # Defaults of the control part: src/control/gossip.h and src/runtime/control_runtime.h.
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Slope:
-    """One measured figure: value in the unit, how it was measured, at which sizes, worst misfit of a straight line."""
+    """A measured figure: value and unit, how and at which sizes it was measured, worst misfit of a linear fit."""
 
     value: float
     unit: str
@@ -52,7 +52,7 @@
 
 
 def fit(xs, ys):
-    """Least squares: intercept, slope and the worst misfit as a share of the largest value."""
+    """Fits a line by least squares; returns intercept, slope and the worst misfit as a share of the largest value."""
     n, sx, sy = len(xs), sum(xs), sum(ys)
     slope = (n * sum(x * y for x, y in zip(xs, ys)) - sx * sy) / (n * sum(x * x for x in xs) - sx * sx)
     intercept = (sy - slope * sx) / n
@@ -65,7 +65,7 @@
 
 
 def control_slopes():
-    """Memory, processor time and payloads of the control part, from bench_slopes at three sizes."""
+    """Returns memory, CPU time and payload sizes of the control part, from bench_slopes at three sizes."""
     pattern = {
         "total_mb": r"in all ([\d.]+) MB", "merge_us": r"([\d.]+) us to merge a change",
         "build_us": r"([\d.]+) us with the new snapshot", "member_us": r"([\d.]+) us for a change of members",
@@ -120,7 +120,7 @@
 
 
 def request_slopes():
-    """Processor time of entry and agent per request and per streamed chunk, memory per stream."""
+    """Returns the request rate of one entry and the CPU time of entry and agent per request and per streamed chunk."""
     out, request_us, stream_us = {}, {}, {"entry": [], "agent": []}
     instant = ("--prefill_rate=0", "--decode_rate=0", "--slots=100000", "--cache_pieces=0")
     with Fleet() as fleet:
@@ -166,7 +166,7 @@
 
 
 def control_rows(s):
-    """What one node pays for control at full size, beside its budget."""
+    """Yields the costs of the control part on one node at full size, with their budgets."""
     changes = CHANGES_A_DAY / DAY
     member_changes = (REPLACED_A_DAY * 3 + FAILED_A_DAY * 2) / DAY
     change_traffic = (changes * (s["change_bytes"].value + IP_AND_SEAL) +
@@ -181,7 +181,7 @@
 
 
 def role_rows(s):
-    """Per role: what it carries at full size."""
+    """Yields the load of each role at full size."""
     per_entry, per_agent = REQUESTS / ENTRIES, REQUESTS / AGENTS
     chunks_entry, chunks_agent = TOKENS / ENTRIES, TOKENS / AGENTS
     links = AGENTS * (1 - math.exp(-per_entry * LINK_IDLE_SECONDS / AGENTS))
--- a/scripts/causes.py
+++ b/scripts/causes.py
@@ -8,7 +8,7 @@
 import json
 import sys
 
-# A first byte that took this much longer than predicted was delayed by something that the entry did not know.
+# If the first byte is later than predicted by at least this much, the delay had a cause unknown to the entry.
 UNEXPECTED_DELAY_MS = 100
 
 
@@ -28,7 +28,7 @@
 
 
 def cause_of_lateness(sent, ended):
-    """From the lines of the request's attempts, in order."""
+    """Returns why an answered request was late, from the log lines of its attempts in order."""
     if len(sent) > 1:
         first = ended[0]["result"] if ended else "not logged"
         return "sent again: " + first
@@ -47,7 +47,7 @@
 
 
 def cause_of_end(end, sent, ended):
-    """What kind of bad end a request had and why; None for one that was answered in time."""
+    """Returns how a request ended badly and why, or None if it was answered in time."""
     if is_late(end):
         return "late", cause_of_lateness(sent, ended)
     if end["outcome"] == "answered":
@@ -59,7 +59,7 @@
 
 
 def count(lines):
-    """Requests by route, and bad ends by route, kind and cause."""
+    """Counts requests by route, and bad ends by route, kind and cause."""
     sent = collections.defaultdict(list)
     ended = collections.defaultdict(list)
     requests = collections.Counter()
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration behind scripts/demo: two entries, three agents with engines, a plain service, two stores."""
+"""The demonstration of scripts/demo: two entries, three agents with engines, a plain service and two stores."""
 
 import signal
 import sys
@@ -14,7 +14,7 @@
 
 
 def show(title, answer, text):
-    """One line of an answer with its measures."""
+    """Prints one line for an answer; returns the share of its prompt that was recomputed."""
     first = int(answer.headers["X-Daisytack-First-Token-Us"]) / 1000
     prompt = int(answer.headers["X-Daisytack-Prompt-Tokens"])
     recomputed = int(answer.headers["X-Daisytack-Recomputed-Tokens"])
@@ -23,7 +23,7 @@
 
 
 def send(deployment, title, prompt, at=None):
-    """A prompt answered whole; the share of it that was recomputed."""
+    """Sends a prompt and checks the whole answer; returns the share of the prompt that was recomputed."""
     answer = deployment.complete(prompt, at=at, max_tokens=TOKENS)
     check(answer.status == 200, f"{title}: {answer.status} {answer.body}")
     text = answer.json()["choices"][0]["text"]
@@ -32,7 +32,7 @@
 
 
 def show_returning_prompt(deployment):
-    """The same prompt again, from the engine's cache and after its eviction from there."""
+    """Sends a prompt again: once while the engine's cache holds its context, once after the cache was cleared."""
     prompt = prompt_of("notice desk", PIECES)
     check(send(deployment, "prompt, the first time", prompt) == 1, "all of a new prompt is recomputed")
     wait_for("the context is kept in a store", lambda: sum(stats(s).get("commits", 0) for s in deployment.stores) >= PIECES)
@@ -40,14 +40,14 @@
     check(recomputed < 0.2, "an engine's cache or a store is used")
     for engine in deployment.engines():
         set_faults(engine, clear_cache=True)
-    # A prompt that returns at once may still meet the belief that its context is there: events of the cache are late.
+    # Events of the engine's cache arrive late; until then the evicted context still counts as cached.
     time.sleep(EVENT_LAG_SECONDS)
     evicted = send(deployment, "again, evicted from the engine", prompt)
     check(evicted < 0.2, "the context comes from the store")
 
 
 def show_stream(deployment):
-    """A streamed chat."""
+    """Streams a chat answer and checks its events."""
     body = {"model": "m", "messages": [{"role": "user", "content": "bulletin, please"}], "max_tokens": TOKENS,
             "stream": True}
     stream = Stream(deployment.entries[0].work, "/v1/chat/completions", body, deployment.headers())
@@ -58,7 +58,7 @@
 
 
 def show_refusal(deployment):
-    """A deadline that can't be met."""
+    """Sends a request whose deadline can't be met and checks the refusal."""
     answer = deployment.complete(prompt_of("too late", 2 * PIECES),
                                  headers=deployment.headers(X_Daisytack_Deadline_Ms=SHORT_DEADLINE_MS))
     problem = problem_of(answer, "deadline_too_short", "not_run")
@@ -66,7 +66,7 @@
 
 
 def show_service(deployment):
-    """One call to a plain service, sent twice with the same ticket and run once."""
+    """Sends a call to a plain service twice with the same ticket and checks that it ran once."""
     entry = deployment.entries[0]
     ticket = request(entry.work, "POST", "/v1/tickets", {"service": "registry"}, deployment.headers())
     check(ticket.status in (200, 201), f"ticket: {ticket.status} {ticket.body}")
--- a/scripts/deployment.py
+++ b/scripts/deployment.py
@@ -1,4 +1,4 @@
-"""A small deployment on loopback: the platform's stand-ins, entries, agents and their backend servers."""
+"""A small deployment on loopback: stand-ins for the platform, entries, agents and their backend servers."""
 
 import hashlib
 import json
@@ -13,7 +13,7 @@
 
 
 def key_of(organisation):
-    """The bearer key of an organisation."""
+    """Returns the bearer key of an organisation."""
     return f"key-of-{organisation}"
 
 
@@ -22,20 +22,20 @@
 
 
 def prompt_of(name, pieces=0):
-    """A prompt that begins with its name and fills that many whole pieces."""
+    """Returns a prompt that begins with the name and fills at least the given number of whole pieces."""
     filling = f"{name} style guide. "
     text = filling * (pieces * PIECE_BYTES // len(filling) + 1) if pieces else ""
     return f"{name}: {text}"
 
 
 def answer_of(prompt, tokens, first=0):
-    """The answer that the stand-in engine gives."""
+    """Returns the stand-in engine's answer to a prompt, from token number first up to tokens."""
     word = hashlib.sha256(prompt.encode()).hexdigest()[:8]
     return "".join(f"{word}.{n} " for n in range(first, tokens))
 
 
 def default_objects():
-    """Configuration to start from, by key."""
+    """Returns the initial configuration objects by key."""
     objects = {
         "model/m": {"version": "v1", "min_servers": 1},
         "class/default": {"priority": 5, "deadline": "60s", "keep": "always"},
@@ -51,7 +51,7 @@
 
 
 class Instance:
-    """One process of daisytack with its addresses."""
+    """One entry or agent process and its ports. server is the port of an agent's backend server, 0 for none."""
 
     def __init__(self, name, role, number, fleet):
         self.name, self.role, self.number = name, role, number
@@ -60,14 +60,14 @@
         self.serves, self.server = "", 0
 
     def list_entry(self, state="live"):
-        """What the platform's list says of it."""
+        """Returns the record of this process in the platform's instance list."""
         return {"name": self.name, "role": self.role, "state": state, "region": "riga", "failure_domain": self.domain,
                 "serves": self.serves, "service": self.serves == "registry", "work": f"{HOST}:{self.work}",
                 "peer": f"{HOST}:{self.peer}"}
 
 
 class Deployment:
-    """Starts in the order that any platform would: services first, then all else at once."""
+    """A whole deployment. start() starts the stand-ins first, then all agents and entries at once."""
 
     def __init__(self, fleet, entries=2, agents=3, stores=2, services=1, engine_flags=(), objects=None, settings=None):
         self.fleet = fleet
@@ -81,7 +81,7 @@
         self.store_count = stores
 
     def start(self):
-        """Starts everything and waits until every process is ready."""
+        """Starts all processes and waits until they are ready and every entry answers prompts."""
         fleet = self.fleet
         values = {f"/daisytack/config/{key}": value for key, value in self.objects.items()}
         self.kv = fleet.start_standin("kv", "kv", f"--file={fleet.write('config.json', json.dumps(values))}")
@@ -101,7 +101,7 @@
         return self
 
     def start_instance(self, instance):
-        """Starts one entry or agent, without waiting."""
+        """Starts one entry or agent without waiting for it."""
         path = self.fleet.write(f"{instance.name}.ini", self.settings_of(instance))
         self.fleet.start(instance.name, f"daisytack-{instance.role}", f"--config={path}")
 
@@ -112,13 +112,13 @@
             self.fleet.wait_listens(instance.name, instance.work)
 
     def wait_routed(self, *entries):
-        """Waits until the entries, or all of them, have prompts answered."""
+        """Waits until the given entries answer prompts; without arguments, until all entries do."""
         for entry in entries or self.entries:
             wait_for(f"{entry.name} answers prompts",
                      lambda at=entry: self.complete("ready?", at=at, max_tokens=1).status == 200)
 
     def settings_of(self, instance):
-        """The instance's settings as INI text."""
+        """Returns the settings of the instance as INI text."""
         sections = {
             "instance": {"name": instance.name, "region": "riga", "failure_domain": instance.domain,
                          "work": f"{HOST}:{instance.work}", "peer": f"{HOST}:{instance.peer}"},
@@ -140,42 +140,42 @@
         return "".join(f"[{name}]\n" + "".join(f"{k} = {v}\n" for k, v in values.items()) + "\n"
                        for name, values in sections.items())
 
-    # Callers.
+    # Requests of callers.
 
     def headers(self, organisation="agora", **more):
-        """Headers of a caller; further ones with _ for -."""
+        """Returns the headers of a caller. Keyword arguments add headers, with "_" in place of "-"."""
         out = {"Authorization": f"Bearer {key_of(organisation)}", "Content-Type": "application/json"}
         out.update({name.replace("_", "-"): str(value) for name, value in more.items()})
         return out
 
     def complete(self, prompt, at=None, headers=None, **more):
-        """One prompt, answered whole."""
+        """Sends a prompt; returns the whole answer."""
         body = {"model": "m", "prompt": prompt, "max_tokens": 16, **more}
         return request((at or self.entries[0]).work, "POST", "/v1/completions", body, headers or self.headers())
 
     def stream(self, prompt, at=None, headers=None, **more):
-        """One prompt, answered as a stream."""
+        """Sends a prompt; returns the stream of its answer."""
         body = {"model": "m", "prompt": prompt, "max_tokens": 16, "stream": True, **more}
         return Stream((at or self.entries[0]).work, "/v1/completions", body, headers or self.headers())
 
-    # Operators.
+    # Requests of operators.
 
     def command(self, text, at=None, kind="command"):
-        """An operator's command or query; the answer."""
+        """Sends an operator's command or query; returns the answer."""
         return request((at or self.entries[0]).operators, "POST", f"/v1/{kind}", {"text": text},
                        {"Authorization": f"Bearer {OPERATOR_KEY}"})
 
     def engines(self):
-        """Ports of the model engines."""
+        """Returns the ports of the model engines."""
         return [a.server for a in self.agents if a.serves == "m"]
 
     def engine_stats(self, counter):
-        """A counter over all engines."""
+        """Returns a counter summed over all engines."""
         return sum(stats(port).get(counter, 0) for port in self.engines())
 
 
 def text_of(events):
-    """The text that a stream carried; whole tells whether it ended properly."""
+    """Returns the text of a stream's events. is_whole() checks whether the stream is complete."""
     text = ""
     for event in events:
         if event.get("data") in (None, "[DONE]") or event.get("event") == "error":
@@ -190,7 +190,7 @@
 
 
 def problem_of(answer, kind=None, outcome=None):
-    """Checks that the answer is an honest refusal; its problem."""
+    """Checks that the answer is a problem of the given kind and outcome; returns the problem."""
     problem = json.loads(answer.body)
     check("problem+json" in answer.headers["Content-Type"], f"no problem+json: {answer.body}")
     check(problem["remedy"], f"no remedy: {problem}")
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,7 +1,7 @@
-"""Starts daisytack's processes on loopback and ends them by pid.
+"""Starts daisytack's processes on loopback and stops them by pid.
 
-Used by scripts/demo, the numbered examples and tests/process. Ports come in blocks that are locked against every other
-run on the machine; every wait is bounded polling on an outcome.
+Used by scripts/demo, the numbered examples and tests/process. Each run locks a block of ports against other runs on the
+machine. Every wait polls for a result with a timeout.
 """
 
 import fcntl
@@ -26,17 +26,17 @@
 
 
 class Failure(Exception):
-    """Something was not as promised."""
+    """A check failed or a wait timed out."""
 
 
 def check(condition, text):
-    """Fails with the text unless the condition holds."""
+    """Raises Failure with the text if the condition is false."""
     if not condition:
         raise Failure(text)
 
 
 def wait_for(what, probe, seconds=WAIT_SECONDS):
-    """Polls until the probe gives something true, which is returned."""
+    """Polls until the probe returns a true value and returns it; raises Failure after the timeout."""
     end = time.monotonic() + seconds
     while True:
         try:
@@ -51,7 +51,7 @@
 
 
 class Answer:
-    """A whole HTTP response."""
+    """An HTTP response with its whole body."""
 
     def __init__(self, response):
         self.status = response.status
@@ -63,7 +63,7 @@
 
 
 def request(port, method, path, body=None, headers=None, timeout=WAIT_SECONDS):
-    """One HTTP request; the whole answer."""
+    """Sends an HTTP request; returns the whole answer."""
     connection = http.client.HTTPConnection(HOST, port, timeout=timeout)
     try:
         connection.request(method, path, body if isinstance(body, (str, bytes, type(None))) else json.dumps(body),
@@ -74,7 +74,7 @@
 
 
 class Stream:
-    """A streamed answer, read event by event."""
+    """An answer with server-sent events, read one by one."""
 
     def __init__(self, port, path, body, headers=None, timeout=WAIT_SECONDS):
         self.connection = http.client.HTTPConnection(HOST, port, timeout=timeout)
@@ -85,7 +85,7 @@
         self.events = []
 
     def next(self):
-        """The next event as a dict of its fields; None at the end or when the connection broke."""
+        """Returns the next event as a dict of its fields, or None at the end or after a connection failure."""
         event = {}
         while True:
             try:
@@ -103,7 +103,7 @@
                 event[name] = value.removeprefix(" ")
 
     def rest(self):
-        """All further events."""
+        """Reads the stream to its end; returns all events read so far."""
         while self.next():
             pass
         return self.events
@@ -113,7 +113,7 @@
 
 
 class Fleet:
-    """Processes of one run. Leaving the context ends them all."""
+    """The processes of one run. Leaving the context stops them all."""
 
     def __init__(self):
         self.directory = pathlib.Path(tempfile.mkdtemp(prefix="daisytack-"))
@@ -156,13 +156,13 @@
         return True
 
     def port(self):
-        """A port of this run's own."""
+        """Returns an unused port from the block of this run."""
         self.used += 1
         check(self.used <= BLOCK_PORTS, "too many ports for one run")
         return self.base + self.used - 1
 
     def write(self, name, text):
-        """Writes a file that lives as long as the run; its path."""
+        """Writes a file into the directory of this run; returns its path."""
         path = self.directory / name
         path.write_text(text)
         return str(path)
@@ -174,14 +174,14 @@
                                                     stdin=subprocess.DEVNULL)
 
     def start_standin(self, mode, name, *arguments):
-        """Starts a stand-in and waits until it serves; its port."""
+        """Starts a stand-in and waits until it serves; returns its port."""
         port = self.port()
         self.start(name, "daisytack-standin", mode, f"--listen={HOST}:{port}", f"--name={name}", *arguments)
         self.wait_up(name, port, "/standin/stats")
         return port
 
     def check_runs(self, name):
-        """Fails when the process has ended."""
+        """Raises Failure if the process has ended."""
         code = self.processes[name].poll()
         check(code is None, f"{name} ended with {code}")
 
@@ -205,18 +205,18 @@
         self.processes[name].send_signal(number)
 
     def kill(self, name):
-        """Ends one process at once."""
+        """Kills one process with SIGKILL."""
         self.signal(name, signal.SIGKILL)
         self.processes.pop(name).wait()
 
     def terminate(self, name, seconds=WAIT_SECONDS):
-        """Asks one process to end; its exit code."""
+        """Sends SIGTERM to one process and waits for its end; returns its exit code."""
         process = self.processes.pop(name)
         process.send_signal(signal.SIGTERM)
         return process.wait(timeout=seconds)
 
     def stop(self):
-        """Ends everything."""
+        """Stops all processes: SIGTERM first, SIGKILL after a timeout."""
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
             process.terminate()
@@ -231,24 +231,24 @@
             self.lock.close()
 
     def show_logs(self):
-        """Prints the last lines of every log."""
+        """Prints the last lines of each log file."""
         for log in sorted(self.directory.glob("*.log")):
             lines = log.read_text(errors="replace").splitlines()[-15:]
             print(f"--- {log.name}", *lines, sep="\n")
 
 
 def set_faults(port, **switches):
-    """Sets fault switches of a stand-in; all switches in force."""
+    """Sets fault switches of a stand-in; returns all its switches."""
     answer = request(port, "POST", "/standin/faults", switches)
     check(answer.status == 200, f"switches {switches}: {answer.body}")
     return answer.json()
 
 
 def stats(port):
-    """Counters of a stand-in."""
+    """Returns the counters of a stand-in."""
     return request(port, "GET", "/standin/stats").json()
 
 
 def numbers_in(text):
-    """All whole numbers in a text."""
+    """Returns all integers in a text."""
     return [int(found) for found in re.findall(r"\d+", text)]
--- a/scripts/playground.py
+++ b/scripts/playground.py
@@ -1,4 +1,4 @@
-"""The deployment behind scripts/playground and what its commands find in the environment."""
+"""Starts the deployment of scripts/playground and sets the environment variables of its commands."""
 
 import os
 import subprocess
@@ -11,7 +11,7 @@
 
 
 def environment_of(deployment):
-    """Addresses and keys, as the numbered examples use them."""
+    """Returns the environment with the addresses and keys that the numbered examples use."""
     entries, agents = deployment.entries, deployment.agents
     return {
         **os.environ,
--- a/tests/extra.cmake
+++ b/tests/extra.cmake
@@ -1,18 +1,18 @@
-# Tests that run real processes; each takes a block of ports of its own.
+# Tests that run real processes; each locks its own block of ports.
 find_package(Python3 REQUIRED COMPONENTS Interpreter)
 file(GLOB ProcessTests CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/tests/process/*_test.py)
 foreach(script ${ProcessTests})
   get_filename_component(name ${script} NAME_WE)
   add_test(NAME process.${name} COMMAND ${Python3_EXECUTABLE} ${script})
-  # One deployment at a time: each is up to two dozen processes.
+  # One deployment at a time, since each has up to two dozen processes.
   set_tests_properties(process.${name} PROPERTIES TIMEOUT 180 RESOURCE_LOCK deployment
     ENVIRONMENT "DAISYTACK_BUILD=${CMAKE_BINARY_DIR};PYTHONDONTWRITEBYTECODE=1")
 endforeach()
 
-# Where the example settings are.
+# Directory of the example settings.
 target_compile_definitions(test_examples PRIVATE DAISYTACK_EXAMPLES="${CMAKE_SOURCE_DIR}/examples")
 
-# Fuzz targets: a fixed corpus for every compiler, and libFuzzer with clang (scripts/fuzz).
+# Fuzz targets: replay of a fixed corpus with any compiler, and libFuzzer with clang (scripts/fuzz).
 option(DAISYTACK_FUZZ "Build the libFuzzer targets; needs clang" OFF)
 set(FuzzDirectory ${CMAKE_SOURCE_DIR}/tests/fuzz)
 add_library(fuzz_targets STATIC ${FuzzDirectory}/targets.cpp)
@@ -33,19 +33,19 @@
   endforeach()
 endif()
 
-# The fault soak: that its checks show defects, and a short run of fixed seeds (the first ones, and every one that ever
-# failed, tests/soak/failed_seeds.txt).
+# The fault soak: a test that its checks detect defects, and a short run with fixed seeds and every seed that failed in
+# the past (tests/soak/failed_seeds.txt).
 add_test(NAME process.soak_checks COMMAND ${Python3_EXECUTABLE} ${CMAKE_SOURCE_DIR}/tests/soak/checks_test.py)
 add_test(NAME process.soak_short COMMAND ${Python3_EXECUTABLE} ${CMAKE_SOURCE_DIR}/tests/soak/soak.py
   --seeds=1,4 --failed-seeds=${CMAKE_SOURCE_DIR}/tests/soak/failed_seeds.txt --seconds=6)
-# Kept context around new weights.
+# The soak of kept context while engines load new weights (seed 2).
 add_test(NAME process.soak_context COMMAND ${Python3_EXECUTABLE} ${CMAKE_SOURCE_DIR}/tests/soak/soak.py
   --seeds=2 --seconds=10)
 set_tests_properties(process.soak_checks process.soak_short process.soak_context PROPERTIES TIMEOUT 600
   ENVIRONMENT "DAISYTACK_BUILD=${CMAKE_BINARY_DIR};PYTHONDONTWRITEBYTECODE=1")
 set_tests_properties(process.soak_short process.soak_context PROPERTIES RESOURCE_LOCK deployment)
 
-# What process.stop_test and process.suspend_test preload into an entry.
+# Libraries that process.stop_test and process.suspend_test preload into an entry.
 foreach(name stuck_threads suspended)
   add_library(${name} SHARED ${CMAKE_SOURCE_DIR}/tests/process/preload/${name}.cpp)
   target_link_libraries(${name} PRIVATE ${CMAKE_DL_LIBS})
