--- a/tests/process/cases.py
+++ b/tests/process/cases.py
@@ -1,4 +1,5 @@
-"""What the process tests share: a deployment per file, cases one after another, outcomes and never timing."""
+"""Helpers of the process tests. Each file runs its cases one after another over one deployment; cases check outcomes,
+never timing."""
 
 import concurrent.futures
 import pathlib
@@ -14,7 +15,7 @@
 
 
 def run_cases(*cases, **options):
-    """Runs the cases over one deployment; the first failure ends the run with its logs."""
+    """Runs the cases over one deployment. The first failure ends the run and prints the logs."""
     options.setdefault("engine_flags", SLOW_ENGINE)
     with Fleet() as fleet:
         deployment = Deployment(fleet, **options).start()
@@ -25,7 +26,7 @@
 
 
 def agent_running(deployment):
-    """The agent whose engine has a run."""
+    """Waits until an engine has a run; returns its agent."""
     def probe():
         for agent in deployment.agents:
             if agent.serves == "m" and stats(agent.server)["running"] > 0:
@@ -35,12 +36,12 @@
 
 
 def wait_engines_idle(deployment):
-    """Until no engine has a run left, so that cases don't mix."""
+    """Waits until no engine has a run, so that cases don't affect each other."""
     wait_for("engines are idle", lambda: deployment.engine_stats("running") + deployment.engine_stats("waiting") == 0)
 
 
 def restart(deployment, instance):
-    """Starts a killed instance again and waits until it serves."""
+    """Restarts a killed instance and waits until it serves."""
     deployment.start_instance(instance)
     deployment.wait_ready(instance)
     if instance.role == "entry":
@@ -48,7 +49,7 @@
 
 
 def start_long_stream(deployment, prompt, events=3, **more):
-    """A stream of which that many events have come."""
+    """Starts a stream and reads the given number of events."""
     stream = deployment.stream(prompt, max_tokens=LONG_TOKENS, **more)
     check(stream.status == 200, f"stream: {stream.status} {stream.response.read()[:300] if stream.status != 200 else ''}")
     for _ in range(events):
@@ -57,13 +58,13 @@
 
 
 def check_whole(events, prompt, tokens=LONG_TOKENS):
-    """The events are the prompt's answer, whole and once."""
+    """Checks that the events are the complete answer to the prompt, without duplicates."""
     text, want = text_of(events), answer_of(prompt, tokens)
     check(text == want, f"another text: got {len(text)} bytes {text[-60:]!r}, wanted {len(want)}; last {events[-1:]}")
     check(is_whole(events), f"no proper end: {events[-1:]}")
 
 
 def in_parallel(calls):
-    """Results of the calls, all made at once."""
+    """Makes all calls at once; returns their results in order."""
     with concurrent.futures.ThreadPoolExecutor(len(calls)) as pool:
         return [future.result() for future in [pool.submit(call) for call in calls]]
--- a/tests/process/causes_test.py
+++ b/tests/process/causes_test.py
@@ -1,4 +1,4 @@
-"""scripts/causes names the cause of each request that did not end well, from log lines alone."""
+"""scripts/causes names the cause of each request that was late, refused, failed or aborted, from log lines alone."""
 import io
 import json
 import pathlib
@@ -23,7 +23,7 @@
             "target_ms": 500.0, **fields}
 
 
-# A request's lines, and what they should be put down to.
+# The log lines of a request, and its expected end and cause.
 CASES = [
     ([sent("a"), ended("a", first_byte_ms=90.0), end("a", first_byte_ms=91.0)], None),
     ([end("b", "refused", reason="overloaded")], ("refused", "overloaded, no server was asked")),
@@ -39,7 +39,7 @@
      ("late", "sent again: failed")),
     ([sent("h"), ended("h", result="failed"), end("h", "failed", reason="backend_failed")], ("failed", "backend_failed")),
     ([sent("i"), ended("i", result="abandoned"), end("i", "broken_off")], ("broken_off", "abandoned")),
-    ([end("j", first_byte_ms=700.0)], ("late", "no attempt logged")),  # Lines over the bound are left out.
+    ([end("j", first_byte_ms=700.0)], ("late", "no attempt logged")),  # Entries omit lines above their log rate limit.
 ]
 
 
--- a/tests/process/crash_test.py
+++ b/tests/process/crash_test.py
@@ -1,4 +1,4 @@
-"""Processes that are killed, paused or asked to end in full flow."""
+"""Kills, pauses and terminates processes while streams run."""
 
 import signal
 
@@ -70,7 +70,7 @@
 
 
 def concurrent_streams(d, prompts, entry):
-    """Streams of distinct prompts through one entry; each whole, or refused as not run."""
+    """Returns functions that each stream a different prompt through one entry."""
     def one(prompt):
         stream = d.stream(prompt, at=entry, max_tokens=LONG_TOKENS // 3)
         if stream.status != 200:
@@ -89,7 +89,7 @@
 
 
 def terminate_during_streams(d, instance, entry):
-    """SIGTERM while streams run; none is cut off and the exit code is 0."""
+    """Sends SIGTERM while streams run: none is cut off and the exit code is 0."""
     codes = []
 
     def terminate():
--- a/tests/process/drain_test.py
+++ b/tests/process/drain_test.py
@@ -1,4 +1,4 @@
-"""A caller that reads slowly still gets its whole answer from an entry that is asked to end."""
+"""A caller that reads slowly still gets its whole answer from an entry that is stopped with SIGTERM."""
 
 import json
 import socket
@@ -28,7 +28,7 @@
     codes = []
     ending = threading.Thread(target=lambda: codes.append(d.fleet.terminate(entry.name)))
     ending.start()
-    time.sleep(2)  # The entry may be through with all but the writing.
+    time.sleep(2)  # By now the entry may have only the write of the answer left.
     while part := caller.recv(65536):
         got += part
     ending.join()
@@ -38,7 +38,7 @@
     check(codes == [0], f"exit codes {codes}")
 
 
-# An agent that has seen no answer yet predicts a long one cautiously.
+# Before its first answer an agent predicts a long run time for long answers, hence the long deadline.
 long_deadline_objects = default_objects()
 long_deadline_objects["class/default"]["deadline"] = "20h"
 run_cases(slow_reader_of_whole_answer, services=0, agents=1, entries=1, stores=0, objects=long_deadline_objects,
--- a/tests/process/engine_test.py
+++ b/tests/process/engine_test.py
@@ -1,4 +1,4 @@
-"""Engines that answer for another request, twice, in part or not at all."""
+"""Engines that send answers of other requests, duplicate chunks, partial answers or no answer."""
 
 from cases import (LONG_TOKENS, agent_running, answer_of, check, check_whole, in_parallel, run_cases, start_long_stream,
                    text_of, wait_engines_idle)
@@ -14,7 +14,7 @@
 
 
 def crossed_answers(d):
-    """A caller gets its own answer or an error, never another's."""
+    """A caller gets its own answer or an error, never the answer of another request."""
     set_all(d, cross_answers=1)
     prompts = [f"crossed {n}" for n in range(12)]
     headers = d.headers(X_Daisytack_Deadline_Ms=DEADLINE_MS)
@@ -40,7 +40,7 @@
 
 
 def engine_fails_mid_stream(d):
-    """One engine breaks off; the answer is finished elsewhere."""
+    """One engine fails during a stream; another one completes the answer."""
     stream = start_long_stream(d, "broken off")
     set_faults(agent_running(d).server, fail_after_chunks=20)
     check_whole(stream.rest(), "broken off")
@@ -48,10 +48,10 @@
 
 
 def every_engine_fails(d):
-    """Nobody can finish it: the end is honest."""
+    """No engine can complete the stream: its end shows that it is incomplete."""
     set_all(d, fail_after_chunks=5)
     events = d.stream("hopeless", max_tokens=LONG_TOKENS, headers=d.headers(X_Daisytack_Deadline_Ms=DEADLINE_MS)).rest()
-    check(not is_whole(events), "a broken answer must not look whole")
+    check(not is_whole(events), "an incomplete answer must not look complete")
     check(answer_of("hopeless", LONG_TOKENS).startswith(text_of(events)), f"text: {text_of(events)}")
     set_all(d, fail_after_chunks=0)
     wait_engines_idle(d)
--- a/tests/process/examples_test.py
+++ b/tests/process/examples_test.py
@@ -1,4 +1,4 @@
-"""The numbered examples do what they say, one after another over one deployment."""
+"""Runs the numbered examples one after another over one deployment; each must exit with 0."""
 
 import pathlib
 import subprocess
--- a/tests/process/input_test.py
+++ b/tests/process/input_test.py
@@ -1,4 +1,4 @@
-"""Bad input is met with a clear refusal and costs nobody else anything."""
+"""Bad input is refused with a specific problem and doesn't affect other requests."""
 
 import json
 import socket
@@ -9,7 +9,7 @@
 
 
 def send_raw(entry, data, end_sending=False):
-    """Whatever the entry answers to those bytes until it closes."""
+    """Sends the bytes; returns all that the entry answers until it closes the connection."""
     with socket.create_connection((HOST, entry.work), timeout=60) as connection:
         connection.sendall(data)
         if end_sending:
@@ -26,7 +26,7 @@
 
 
 def bad_input_during_stream(d):
-    """Every kind of bad input while a stream runs, which must not notice."""
+    """Sends every kind of bad input during a stream, which must not be affected."""
     good = {"model": "m", "prompt": "p"}
     entry = d.entries[0]
     stream = start_long_stream(d, "beside bad input")
@@ -55,7 +55,7 @@
 
 
 def openai_answer_fields(d):
-    """Whole and streamed, completion and chat, have the fields that common clients read."""
+    """Answers to completions, chats and streams have the fields that common clients read."""
     answer = d.complete("shape").json()
     check(answer["object"] == "text_completion" and answer["choices"][0]["finish_reason"], f"completion: {answer}")
     check(answer["usage"]["prompt_tokens"] > 0 and answer["usage"]["completion_tokens"] == 16, f"usage: {answer}")
@@ -70,7 +70,7 @@
 
 
 def peer_port_rejects_garbage(d):
-    """Bytes that are no frame close the connection and nothing else."""
+    """Bytes that aren't a frame close their connection and have no other effect."""
     for port in (d.agents[0].work, d.agents[0].peer, d.entries[0].peer):
         with socket.create_connection((HOST, port), timeout=60) as connection:
             connection.sendall(b"\xff" * 4096)
--- a/tests/process/once_test.py
+++ b/tests/process/once_test.py
@@ -1,4 +1,4 @@
-"""A call that may not be repeated runs at most once, whatever dies."""
+"""A call that may not be repeated runs at most once, whichever process or connection fails."""
 
 import http.client
 import threading
@@ -48,7 +48,7 @@
 
 
 def answer_lost(d):
-    """The service ran the call and broke the connection."""
+    """The service runs the call and closes the connection without an answer."""
     key, before = ticket(d), total_runs(d)
     set_faults(service(d).server, lose_answers=1)
     problem_of(call(d, "three", key), outcome="may_have_run")
@@ -89,7 +89,7 @@
 
 
 def without_key(d):
-    """One submission is one attempt."""
+    """A call without a key is attempted only once."""
     before = total_runs(d)
     set_faults(service(d).server, lose_answers=1)
     problem_of(call(d, "six"), outcome="may_have_run")
--- a/tests/process/operations_page_test.py
+++ b/tests/process/operations_page_test.py
@@ -1,4 +1,4 @@
-"""docs/OPERATIONS.md names every event that the direct path logs, and no other."""
+"""docs/OPERATIONS.md lists every event that src/gateway and the decision log write, and no others."""
 import pathlib
 import re
 import sys
@@ -12,7 +12,7 @@
     for path in sorted((ROOT / "src/gateway").glob("*.cpp")):
         text = path.read_text()
         for call in re.finditer(r"[Ll]og\.write\(", text):
-            # The event is what stands before the fields.
+            # The event name stands before the fields.
             head = text[call.end():].split("{", 1)[0]
             out.update(NAME.findall(head))
     text = (ROOT / "src/base/decision_log.cpp").read_text()
--- a/tests/process/operator_test.py
+++ b/tests/process/operator_test.py
@@ -1,4 +1,4 @@
-"""The operators' client against a deployment: what docs/OPERATORS.md tells a newcomer to do."""
+"""The operators' client against a deployment: the commands that docs/OPERATORS.md explains."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 
 
 def client(deployment, *arguments, entries=None, key=OPERATOR_KEY, stdin=None):
-    """Runs the client; exit code and what it printed."""
+    """Runs the client; returns its exit code and its output."""
     entries = entries or ",".join(f"{HOST}:{e.operators}" for e in deployment.entries)
     environment = {**os.environ, "DAISYTACK_ENTRIES": entries, "DAISYTACK_KEY": key}
     done = subprocess.run([BUILD / "daisytack", *arguments], env=environment, input=stdin, text=True,
@@ -21,14 +21,14 @@
 
 
 def expect(deployment, code, *arguments, has="", **options):
-    """Runs the client and checks its exit code and a part of its text; the text."""
+    """Runs the client, checks its exit code and a part of its output, and returns the output."""
     got, text = client(deployment, *arguments, **options)
     check(got == code and has in text, f"{arguments}: exit {got}, wanted {code} with {has!r}:\n{text}")
     return text
 
 
 def rows_of(deployment, statement):
-    """The rows of a query as dicts."""
+    """Returns the rows of a query as dicts."""
     code, text = client(deployment, "--json", "query", statement)
     check(code == 0, f"{statement}: exit {code}: {text}")
     answer = json.loads(text)
@@ -37,7 +37,7 @@
 
 
 def help_matches_page(_):
-    """Flags and exit codes of --help are those of docs/OPERATORS.md."""
+    """docs/OPERATORS.md lists the flags and exit codes of --help."""
     text = subprocess.run([BUILD / "daisytack", "--help"], text=True, capture_output=True, check=True).stdout
     page = (ROOT / "docs" / "OPERATORS.md").read_text()
     flags = {word.strip(" =[]").split("=")[0] for word in text.split() if word.startswith("--")}
@@ -53,7 +53,7 @@
 
 
 def exit_codes(d):
-    """Each way to fail has its own."""
+    """Each kind of failure has its own exit code."""
     expect(d, 0, "show", "servers", has="agent-0")
     expect(d, 1, "show", "nothing", has="column 6")
     expect(d, 1, "frobnicate", has="--help")
@@ -65,13 +65,13 @@
 
 
 def statements_from_a_pipe(d):
-    """Without words the client reads statements until the end of its input."""
+    """Without arguments the client reads statements from standard input until its end."""
     text = expect(d, 0, stdin="show classes\n\nshow versions\n")
     check("bulletin" in text and "on_version" in text, text)
 
 
 def running_request_is_shown(d):
-    """A running request shows at its entry and its server; its time line touches both."""
+    """A running request is listed with its entry and server; its time line has events of both."""
     stream = start_long_stream(d, "look at me")
     row = wait_for("the request shows as running", lambda: rows_of(d, "show running"))[0]
     check(row["organisation"] == "agora" and row["instance"].startswith("agent-"), f"{row}")
@@ -87,7 +87,7 @@
 
 
 def stop_a_request(d):
-    """The caller is told; nothing runs on."""
+    """A stopped request ends with an error at the caller, and its run ends."""
     stream = start_long_stream(d, "stop me")
     row = wait_for("the request runs", lambda: rows_of(d, "show running"))[0]
     expect(d, 0, "stop", row["request"], has="stopped 1")
@@ -98,7 +98,7 @@
 
 
 def drain_under_load(d):
-    """What was accepted finishes; nothing new goes there."""
+    """A drained server finishes accepted requests and gets no new ones."""
     stream = start_long_stream(d, "drain me")
     row = wait_for("the request runs", lambda: rows_of(d, "show running"))[0]
     text = expect(d, 0, "--wait=30s", "drain", row["instance"], has="applied")
@@ -112,7 +112,7 @@
 
 
 def versions_are_counted(d):
-    """The version that the servers report is counted."""
+    """Servers are counted by the version that they report."""
     for n in range(8):
         d.complete(f"version {n}")
     row = rows_of(d, "show versions where model = m")[0]
@@ -121,7 +121,7 @@
 
 
 def configure(d):
-    """Objects are made, changed, refused and deleted; no hash shows."""
+    """Configuration objects are created, changed and deleted, bad changes are refused, and key hashes are hidden."""
     expect(d, 0, "--wait=30s", "admit", "class", "quotes", "priority=9", "deadline=2s", has="in force")
     expect(d, 2, "admit", "class", "quotes", has="exists")
     expect(d, 0, "--wait=30s", "set", "class", "quotes", "deadline=3s")
@@ -134,14 +134,14 @@
 
 
 def purge(d):
-    """The epoch grows in every process."""
+    """A purge increments the epoch in every process."""
     expect(d, 0, "--wait=30s", "purge", "agora", has="in force in")
     check(rows_of(d, "show organisations where organisation = agora")[0]["epoch"] == 1, "the epoch")
     expect(d, 2, "set", "reuse", "agora:*", "epoch=0", has="forbidden")
 
 
 def service_down(d):
-    """Commands say that nothing was changed; requests go on."""
+    """While the key-value service is down, commands fail and requests are still served."""
     request(d.kv, "POST", "/standin/faults", {"down": True})
     code, text = client(d, "drain", "agent-0")
     check(code in (2, 4), f"exit {code}: {text}")
@@ -151,7 +151,7 @@
 
 
 def measures_are_exported(d):
-    """The three measures are counted per model and class."""
+    """First-token time, prompt tokens and recomputed tokens are exported per model and class."""
     text = request(d.entries[0].operators, "GET", "/metrics").body
     for name in ("daisytack_first_token_seconds_count", "daisytack_prompt_tokens_total",
                  "daisytack_prompt_tokens_recomputed_total"):
--- a/tests/process/platform_names_test.py
+++ b/tests/process/platform_names_test.py
@@ -1,4 +1,4 @@
-"""Only platform/ may name what the users' platform calls things."""
+"""Names that belong to the users' platform (headers, paths, settings) occur only in platform/."""
 import pathlib
 import re
 import sys
--- a/tests/process/platform_test.py
+++ b/tests/process/platform_test.py
@@ -1,4 +1,4 @@
-"""The key-value service is down, slow, or loses answers."""
+"""Commands and prompts while the key-value service is down, loses answers or drops watches."""
 
 from cases import check, check_whole, run_cases, start_long_stream, wait_for
 from fleet import set_faults
@@ -9,7 +9,7 @@
 
 
 def config_shows(d, entry, text):
-    """Whether the entry shows that text among its configuration."""
+    """Returns whether the entry's classes contain the text."""
     answer = d.command("show classes", at=entry, kind="query")
     return answer.status == 200 and text in answer.body
 
@@ -26,7 +26,7 @@
 
 
 def answer_lost(d):
-    """The write took effect and its answer is lost: applied once, and said so."""
+    """A write takes effect but its answer is lost: the command reads it back and succeeds."""
     set_faults(d.kv, lose_answers=1)
     answer = d.command("set class bulletin priority = 6")
     check(answer.status == 200, f"the change is read back: {answer.status} {answer.body}")
@@ -43,7 +43,7 @@
 
 
 def started_from_peers(d):
-    """A new entry starts while the service is down."""
+    """An entry that starts while the service is down takes the configuration from its peers."""
     entry = d.entries[1]
     d.fleet.kill(entry.name)
     set_faults(d.kv, down=True)
--- a/tests/process/preload/stuck_threads.cpp
+++ b/tests/process/preload/stuck_threads.cpp
@@ -1,5 +1,6 @@
 // Preloaded into an entry by stop_test.py: threads that a library starts while
-// the program is being loaded never run, as if nothing could wake them.
+// the program is being loaded never run, as on a platform that never wakes
+// them.
 #include <dlfcn.h>
 #include <pthread.h>
 #include <unistd.h>
@@ -27,7 +28,7 @@
 
 extern "C" {
 
-/// The C library calls it once all libraries are loaded.
+/// Called by the program's start code after all libraries have been loaded.
 int __libc_start_main(Main *main, int argc, char **argv, void (*init)(),
                       void (*fini)(), void (*unload)(), void *stackEnd) {
   IsLoaded = true;
--- a/tests/process/preload/suspended.cpp
+++ b/tests/process/preload/suspended.cpp
@@ -1,6 +1,6 @@
-// Preloaded into an entry by suspend_test.py: on SIGUSR1 the machine seems to
-// have been suspended for ten seconds. The steady clock has not counted them,
-// the clock that counts suspension and the time of day have.
+// Preloaded into an entry by suspend_test.py: each SIGUSR1 makes the machine
+// appear to have been suspended for ten seconds. CLOCK_BOOTTIME and
+// CLOCK_REALTIME advance by them, CLOCK_MONOTONIC doesn't.
 #include <csignal>
 #include <ctime>
 #include <dlfcn.h>
--- a/tests/process/settings_test.py
+++ b/tests/process/settings_test.py
@@ -1,4 +1,4 @@
-"""The example settings pass --check, and each kind of mistake in one is reported with its remedy."""
+"""The example settings pass --check. Each mistake is reported by its key, alone and together with the others."""
 
 import pathlib
 import subprocess
--- a/tests/process/standin_test.py
+++ b/tests/process/standin_test.py
@@ -1,4 +1,4 @@
-"""The stand-ins behave as docs/PROTOCOL.md says."""
+"""The stand-ins follow docs/PROTOCOL.md."""
 
 import base64
 import hashlib
--- a/tests/process/stop_test.py
+++ b/tests/process/stop_test.py
@@ -1,13 +1,13 @@
-"""A stopped entry ends in time, with the right code, its last log lines and without an announcement, whatever it meets.
-
-Seen: entries that were asked to end logged that they had stopped and stayed until they were killed at the end of the
-grace period. The last step reached was the destructor of the log library's static object. That library starts four
-threads while the program is being loaded, and its destructor waits for each to end; on a platform that takes over the
-waits of a process after its libraries were loaded, nothing wakes them. The threads' stacks and the steps written with
-plain write(2) showed that. Here they never run at all (preload/stuck_threads.cpp).
-
-Seen beside it: the key of a stopped entry stayed until its lease lapsed, since the call that ends the lease was queued
-and the process ended before it was sent; and a second signal lost the log lines of the last tenth of a second.
+"""A stopped entry exits in time with the right code, after writing its last log lines and removing its announcement.
+
+Guards against three failures:
+- Stopped entries hung until they were killed at the end of the grace period. The log library starts four threads while
+  the program is loaded, and the destructor of its static object joins them. On a platform that takes over the waits of
+  a process after its libraries were loaded, nothing wakes these threads. Here they never run
+  (preload/stuck_threads.cpp).
+- The key of a stopped entry stayed until its lease expired, since the process exited before the queued call that ends
+  the lease was sent.
+- A second signal lost the log lines of the last tenth of a second.
 """
 
 import asyncio
@@ -38,7 +38,7 @@
 
 
 async def send(entry, path, request_id):
-    """Sends a request; the connection's reader and writer."""
+    """Sends a request; returns the reader and writer of its connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", entry.ports["callers"])
     headers = {"Host": "a.example", "X-Daisytack-Request-Id": request_id, "X-Api-Key": "k1", "Content-Length": "0",
                "X-Daisytack-Deadline-Milliseconds": "2900"}
@@ -53,12 +53,12 @@
 
 
 def announcements(world, entry):
-    """Keys under a lease that name the entry's address for its peers."""
+    """Returns the keys under a lease that contain the entry's name."""
     return [key for key, it in world.kv.items.items() if it["lease"] and entry.name in key]
 
 
 async def check_ends(world, entry, code, case):
-    """The entry ends with the code in time, and its log with the line that says so."""
+    """Checks that the entry exits with the code in time and logs that it stopped; returns its log."""
     await until(f"{entry.name} ends, {case}", lambda: entry.ended() is not None, END_SECONDS)
     check(entry.ended() == code, f"{case}: exit code {entry.ended()} instead of {code}")
     lines = log_of(world, entry)
@@ -107,7 +107,7 @@
 
 
 def start_with_pipes(world, entry):
-    """Starts the entry with its outputs in pipes; the ends of each, the reader's first."""
+    """Starts the entry with pipes as its outputs; returns the (read, write) ends of stdout and stderr."""
     settings = world.fleet.directory / f"{entry.name}.ini"
     out, err = os.pipe(), os.pipe()
     world.fleet.processes[entry.name] = subprocess.Popen([str(BUILD / "daisytack-entry"), f"--config={settings}"],
@@ -116,7 +116,7 @@
 
 
 def fill(pipe):
-    """Writes until the pipe takes no more, and leaves it as blocking or not as it was."""
+    """Fills the pipe; its blocking mode is the same afterwards."""
     before = os.get_blocking(pipe)
     os.set_blocking(pipe, False)
     try:
@@ -128,7 +128,7 @@
 
 
 async def log_pipe_full(world, entry):
-    """Whoever reads its outputs has stopped to."""
+    """The entry ends although nothing reads its full output pipes."""
     entry.kill()
     out, err = start_with_pipes(world, entry)
     await world.wait_ready("with its outputs in pipes")
@@ -142,14 +142,14 @@
 
 
 async def second_signal(world, entry):
-    """Two signals at once while a server is at work: the lines of the last moment are out as well."""
+    """Two signals at once while a server works on a request: the last log lines are still written."""
     for server in world.servers:
         server.work = LONG_WORK_SECONDS
     runs = sum(len(it.runs) for it in world.servers)
     connection = await send(entry, "/call/long", "long")
     await until("a server is at work", lambda: sum(len(it.runs) for it in world.servers) > runs)
     entry.signal(signal.SIGTERM)
-    # Signals that wait together may be handled in either order, and only an interrupt ends a drain.
+    # Pending signals may be handled in either order, and only SIGINT ends a drain.
     for _ in range(END_SECONDS * 100):
         entry.signal(signal.SIGINT)
         await asyncio.sleep(0.01)
--- a/tests/process/suspend_test.py
+++ b/tests/process/suspend_test.py
@@ -1,9 +1,9 @@
-"""An entry whose machine was suspended believes nothing longer than it may.
+"""After its machine was suspended, an entry counts the suspended time in all timeouts.
 
-Seen: nothing by callers; by reading, every decision took its time from the steady clock, which stands still while a machine is
-suspended. What was confirmed before a suspension of ten seconds counted as confirmed just now: an entry cut off from the
-key-value service refused, for good, keys that may have been added meanwhile, held its lease for too long, and let requests
-run on past their time. Here the clocks behave as after a suspension (preload/suspended.cpp).
+Guards against decisions by the steady clock, which stands still during a suspension; found by reading the code. State
+confirmed before a suspension of ten seconds then counted as just confirmed: an entry cut off from the key-value service
+refused with 401 keys that might have been added since, held its lease for too long, and let requests run past their
+deadlines. Here the clocks behave as after a suspension (preload/suspended.cpp).
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 async def status_of(entry, path, key):
-    """Of the answer to one request."""
+    """Sends a request; returns the status of its answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", entry.ports["callers"])
     headers = {"Host": "a.example", "X-Daisytack-Request-Id": "r", "X-Api-Key": key, "Content-Length": "0",
                "X-Daisytack-Deadline-Milliseconds": "8000"}
@@ -33,8 +33,9 @@
 
 
 async def stale_key_set_is_not_final(entry):
-    """An unknown key is refused for good only by an entry that heard from the service within 2.5 s."""
-    check(await status_of(entry, "/call/x", "unknown") == 401, "an entry that knows doesn't refuse for good")
+    """An entry answers 401 to an unknown key only if it reached the key-value service in the last 2.5 s, else 503."""
+    check(await status_of(entry, "/call/x", "unknown") == 401,
+          "an entry with current keys must answer 401 to an unknown key")
     entry.link.state = SILENT
     entry.signal(signal.SIGUSR1)
     status = await status_of(entry, "/call/x", "unknown")
@@ -42,7 +43,7 @@
 
 
 async def request_deadline_passes(world, entry):
-    """The time of a request that runs is over when the machine is back."""
+    """A running request whose deadline passed during the suspension ends with 504."""
     for server in world.servers:
         server.work = WORK_SECONDS
     answer = asyncio.ensure_future(status_of(entry, "/call/y", "k1"))
@@ -52,7 +53,7 @@
         status = await asyncio.wait_for(answer, 1.5)
     except asyncio.TimeoutError:
         status = "no answer"
-    check(status == 504, f"a request whose time is over by far has {status}")
+    check(status == 504, f"a request long past its deadline got {status}")
 
 
 async def run(fleet):
@@ -63,7 +64,7 @@
         for other in world.entries[1:]:
             other.kill()
         await request_deadline_passes(world, entry)
-        await asyncio.sleep(3)  # It hears from the service again.
+        await asyncio.sleep(3)  # The entry reaches the key-value service again.
         await stale_key_set_is_not_final(entry)
     finally:
         await soak.end_everything(world)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak, and what each of their requests came to."""
+"""Callers of the soak. Each records the requests that it sends and how they end."""
 
 import asyncio
 import contextlib
@@ -18,8 +18,11 @@
 
 @dataclasses.dataclass
 class SentRequest:
-    """One request of a caller. Times are the soak's clock; at: read by the entry at the earliest; whole: when its last
-    byte was sent, 0 if never; patience: seconds that the entry is told."""
+    """One request of a caller and its result. Times are in seconds of the soak's clock.
+
+    at: the earliest time at which the entry may have read the request. fully_sent_at: when its last byte was sent, 0 if
+    it never was. timeout: the deadline in seconds that the request header carries.
+    """
 
     id: str
     kind: str
@@ -35,14 +38,14 @@
     signature: str = ""
     answer: bytes = b""
     ended: float = 0.0
-    abandoned: bool = False     # The caller gave up.
-    failure: str = ""       # Why there is no whole answer.
+    abandoned: bool = False  # The caller gave up before the deadline, as part of the test.
+    failure: str = ""        # Why there is no complete answer.
     wrong_id: bool = False
     retry_after: str = ""
 
 
 class Caller:
-    """Keeps connections open and goes on using them until their entry is gone."""
+    """Keeps connections open and reuses them until their entry closes them."""
 
     keeps_connections = True
     min_pause, pause_spread = 0.0, 0.04  # Seconds between two requests.
@@ -122,7 +125,7 @@
 
     @contextlib.contextmanager
     def _recording_end(self, sent):
-        """Notes how and when the request ended."""
+        """Records how and when the request ended."""
         try:
             yield
         except (http11.Broken, OSError) as error:
@@ -148,7 +151,7 @@
 
 
 class FatalCaller(Caller):
-    """Sends the one request that ends every server that runs it, again and again, at any entry."""
+    """Repeatedly sends the request that crashes every server that runs it, each time to a random entry."""
 
     keeps_connections = False
     min_pause, pause_spread = 0.1, 0.4
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,23 +1,24 @@
-"""The promises, checked on what callers and backend servers have seen. Each check gives texts of what broke it."""
+"""Checks of the guarantees, on what callers and backend servers recorded. Each check yields a text per violation."""
 
 from callers import KINDS
 from platform_side import RETRY_AFTER_SECONDS, FATAL_BODY, event_count
 
 STATUSES_NOT_EXECUTED = (408, 421, 429, 503)
-REVOKED_SECONDS = 5.0   # A revoked key is refused after this, as the deployment's bounds have it.
-CROSSING_SECONDS = 0.5  # A request that meets the close of its connection is sent at most so long before.
-DRAIN_SECONDS = 2.0     # A leaving server gets nothing new after this.
-PROPAGATION_SECONDS = 3.0    # After which entries know what others saw, and an entry that starts what it must.
-FATAL_CRASH_LIMIT = 3       # That end under a request before it is passed on no more,
-MAX_FATAL_SENDS = 3        # but for so many sends.
-REJECTION_DELAY_SECONDS = 0.5      # After a server's word it gets what was on its way,
-MAX_SENDS_AFTER_REJECTION = 2     # and then so much of one entry at most.
-EVACUATION_SECONDS = 3.0  # Nothing reaches servers of an evacuated domain after this.
-LIMIT_WINDOW_SECONDS, LIMIT_FACTOR, LIMIT_SLACK = 4.0, 1.5, 5  # In so many seconds a limited server gets so much of its limit,
-LIMIT_DELAY_SECONDS = 0.5     # of entries that passed on an answer with it so long before.
-REVOCATION_VISIBLE_SECONDS = 0.25  # A process that knew a revocation still knows it after this.
-COLD_REQUESTS_PER_SECOND = 4.0         # Requests a second that a cold server bears;
-COLD_MAX_REQUESTS = 4.0 * 1.5 + 3  # what all entries together may send it in one second.
+REVOKED_SECONDS = 5.0  # Entries refuse a revoked key after this delay; the bound of the deployments.
+CROSSING_SECONDS = 0.5  # A request may cross the close of its connection if it was sent at most this long before.
+DRAIN_SECONDS = 2.0  # A leaving server gets no new requests after this delay.
+PROPAGATION_SECONDS = 3.0  # After this delay all entries have each other's observations, also an entry that starts.
+FATAL_CRASH_LIMIT = 3  # Entries stop sending a request after it crashed this many servers,
+MAX_FATAL_SENDS = 3  # except for at most this many sends.
+REJECTION_DELAY_SECONDS = 0.5  # Requests already under way still reach a rejecting server within this time;
+MAX_SENDS_AFTER_REJECTION = 2  # after it, one entry sends at most this many.
+EVACUATION_SECONDS = 3.0  # No request reaches servers of an evacuated failure domain after this delay.
+# In each window a limited server gets at most FACTOR * limit * WINDOW + SLACK requests.
+LIMIT_WINDOW_SECONDS, LIMIT_FACTOR, LIMIT_SLACK = 4.0, 1.5, 5
+LIMIT_DELAY_SECONDS = 0.5  # A limit binds an entry this long after it passed on the first answer with the limit.
+REVOCATION_VISIBLE_SECONDS = 0.25  # From this delay on, a process that refused a key with 401 must still refuse it.
+COLD_REQUESTS_PER_SECOND = 4.0  # Request rate that a cold server can take (setting cold-per-s).
+COLD_MAX_REQUESTS = 4.0 * 1.5 + 3  # Maximum that all entries together may send to a cold server in one second.
 
 
 def runs_by_id(world):
@@ -39,7 +40,7 @@
         if sent.status in STATUSES_NOT_EXECUTED and not sent.signature and sent.id in runs:
             yield f"{sent.id} ({sent.kind}) was answered {sent.status} and ran at {runs[sent.id][0].server}"
         if sent.status == 503 and not sent.signature and not sent.retry_after:
-            yield f"{sent.id} was refused without a time to come back"
+            yield f"{sent.id} was refused with 503 and without Retry-After"
 
 
 def answers_match_runs(world, runs):
@@ -48,11 +49,11 @@
             yield f"{sent.id} got another request's answer"
         if not sent.signature:
             if sent.status == 200:
-                yield f"{sent.id} got a success of no server"
+                yield f"{sent.id} got a success without a server signature"
             continue
         run = next((it for it in runs.get(sent.id, []) if it.signature == sent.signature), None)
         if not run:
-            yield f"{sent.id} got a signature that no run of it gave"
+            yield f"{sent.id} got a server signature of none of its runs"
         elif sent.status == 200 and not was_cut(sent):
             expected = run.body if sent.kind in ("call", "safe") else stream_text(sent.id, sent.kind)
             if sent.answer != expected:
@@ -60,7 +61,7 @@
 
 
 def was_cut(sent):
-    """Whether the caller could see that its answer is not whole."""
+    """Returns whether the caller could see that its answer is incomplete."""
     return sent.abandoned or bool(sent.failure and "the entry closes" not in sent.failure)
 
 
@@ -90,7 +91,7 @@
             if run.request.header("x-daisytack-tenant") != world.organisation_of.get(sent.key):
                 yield f"{request_id} ran for {run.request.header('x-daisytack-tenant')!r}"
             if run.request.header("x-api-key") or run.request.header("x-daisytack-hold"):
-                yield f"{request_id} ran with a header that is not the caller's to set"
+                yield f"{request_id} ran with a header that callers may not set"
             wanted = "engines" if sent.kind == "ask" else "plain"
             if not run.server.startswith(wanted):
                 yield f"{request_id} ({sent.kind}) ran at {run.server}"
@@ -119,7 +120,7 @@
 
 
 def servers_leaving_by_answer(world, _runs):
-    """Whoever passed an answer on that says that its server leaves sends nothing new there."""
+    """An entry that passed on an answer with Server-Leaving sends no new requests to that server."""
     for server in world.all_servers:
         first_answer = {}
         for at, request_id in server.leaving_answers:
@@ -132,14 +133,14 @@
 
 
 def rejecting_servers(world, _runs):
-    """A server that turned a request away and named a time gets next to nothing of that entry until then."""
+    """After a rejection with Retry-After, the entry sends the server at most a few requests until that time."""
     for server in world.all_servers:
         for rejected_at, rejected_id in server.rejections:
             entry = world.entry_of(rejected_id)
             begin, end = rejected_at + REJECTION_DELAY_SECONDS, rejected_at + RETRY_AFTER_SECONDS
             late = [it for at, it in server.arrivals if begin < at < end and world.entry_of(it) == entry]
             if len(late) > MAX_SENDS_AFTER_REJECTION and world.ran_undisturbed(entry, rejected_at, end):
-                yield f"{server.id} got {late} from {entry} after it had closed itself to it"
+                yield f"{server.id} got {late} from {entry} after it had rejected a request with Retry-After"
 
 
 def evacuated_domains(world, _runs):
@@ -152,8 +153,11 @@
 
 
 def cold_servers(world, _runs):
-    """Summed over all entries. Those that start cold say so before anybody knows of them; others are believed once what
-    they say has come round."""
+    """A cold server gets at most COLD_MAX_REQUESTS in a second from all entries together.
+
+    A server that starts is cold in its first record, so the limit holds from its first request. One that becomes cold
+    later is limited once the entries have its new record.
+    """
     for server in world.all_servers:
         for begin, end, is_start in server.cold_times:
             known = begin if is_start else begin + PROPAGATION_SECONDS / 2
@@ -168,7 +172,7 @@
 
 
 def limited_servers(world, _runs):
-    """Summed over the entries that passed on an answer with the limit, once it has stood for a while."""
+    """The entries that passed on an answer with a server's limit together keep to it, after a propagation delay."""
     for server in world.all_servers:
         for begin, end, limit in server.limit_times:
             first_answer = {}
@@ -189,7 +193,7 @@
 
 
 def revocations_stay(world, runs):
-    """A process that has refused a key for good lets nobody in by it later, whatever the key-value service says."""
+    """A process that refused a key with 401 never accepts it later, even if the key-value service was rolled back."""
     refused = {}
     for sent in sorted(world.sent, key=lambda it: it.ended):
         if sent.status == 401:
@@ -202,7 +206,7 @@
 
 
 def fatal_requests(world, _runs):
-    """A request under which servers ended is not sent to many more."""
+    """A request that crashed FATAL_CRASH_LIMIT servers reaches only a few more."""
     if len(world.fatal_ends) < FATAL_CRASH_LIMIT:
         return
     known = sorted(world.fatal_ends)[FATAL_CRASH_LIMIT - 1] + PROPAGATION_SECONDS
@@ -210,18 +214,18 @@
     late = [(at, it) for server in world.all_servers for at, it in server.arrivals if at > known and it in fatal]
     late = [it for at, it in late if world.ran_undisturbed(fatal[it], at - PROPAGATION_SECONDS, at)]
     if len(late) > MAX_FATAL_SENDS:
-        yield f"{late} reached servers though {FATAL_CRASH_LIMIT} had ended under what they repeat"
+        yield f"{late} reached servers after the same request had crashed {FATAL_CRASH_LIMIT} servers"
 
 
 def no_false_quarantine(world, _runs):
-    """No other request is taken for it."""
+    """No request other than the fatal one is quarantined."""
     for sent in world.sent:
         if sent.body != FATAL_BODY and b"request_quarantined" in sent.answer:
             yield f"{sent.id} ({sent.kind}) at {sent.entry} was quarantined"
 
 
 def planned_restarts_cut_nothing(world, _runs):
-    """Around a SIGTERM alone no request that the entry has read ends without an answer."""
+    """If SIGTERM is the only disturbance, every request that the entry has read is answered."""
     for sent in world.sent:
         if not sent.failure or sent.status or sent.abandoned or sent.kind == "ask":
             continue
@@ -231,8 +235,8 @@
 
 
 def stops_lose_no_request(world, runs):
-    """From SIGTERM to the end of the process, or its kill at the end of the grace period, what was read whole is
-    answered whole, whenever it came; what is not answered was neither passed on nor left lying."""
+    """A stopping entry answers every request that it has read completely, until it exits or is killed after the grace
+    period. A request without a complete answer was neither sent to a server nor kept waiting."""
     for sent in world.sent:
         if (not sent.fully_sent_at or not was_cut(sent) or sent.abandoned
                 or sent.ended > sent.fully_sent_at + sent.timeout - 0.3):
@@ -241,7 +245,7 @@
         if not stop or not world.had_no_faults(sent.at - 3, sent.ended, sent.entry, planned=True):
             continue
         request_runs = runs.get(sent.id, [])
-        when = (f"{sent.id} ({sent.kind} of {sent.caller}), whole {sent.fully_sent_at - stop.begin:.1f} s "
+        when = (f"{sent.id} ({sent.kind} of {sent.caller}), sent completely {sent.fully_sent_at - stop.begin:.1f} s "
                 f"after SIGTERM of {sent.entry},")
         if request_runs and not any(it.aborted for it in request_runs):
             yield f"{when} was passed on to {request_runs[-1].server} and cut off at {sent.ended - stop.begin:.1f} s"
@@ -250,13 +254,13 @@
 
 
 def parts_freed_while_read(world, _runs):
-    """No engine uses a part that was freed, or was not whole, while it fetched it."""
+    """No engine uses a part that was incomplete, or that was freed during the fetch."""
     for store in world.stores:
         for fetch in store.fetches:
             if fetch.discarded:
                 continue
             if not fetch.was_whole:
-                yield f"{fetch.request} read {fetch.key} of {store.name} before it was whole"
+                yield f"{fetch.request} read {fetch.key} of {store.name} before it was complete"
             for at, key in store.freed:
                 if key == fetch.key and fetch.begin <= at < fetch.end:
                     yield (f"{fetch.request} read {key} of {store.name} for {fetch.end - fetch.begin:.2f} s, and it "
--- a/tests/soak/checks_test.py
+++ b/tests/soak/checks_test.py
@@ -1,4 +1,4 @@
-"""Each check of the soak fails on the defect it is for, and only there."""
+"""Each check of the soak reports its own seeded defects and no others."""
 
 import asyncio
 import dataclasses
@@ -17,7 +17,7 @@
 
 
 class FakeWorld:
-    """A world in which one request was served well, and nothing failed."""
+    """A world with one request that was answered correctly, and no faults."""
 
     def __init__(self, kind="call"):
         self.server = BackendServer("engines0" if kind == "ask" else "plain0", "service")
@@ -171,7 +171,7 @@
 def sent_within_cold_limit(world):
     world.server.cold_times += [(90.0, 92.0, True), (95.0, 98.0, False)]
     world.server.arrivals += [(90.5 + n * 0.12, ID) for n in range(12)]
-    world.server.arrivals += [(95.1 + n * 0.05, ID) for n in range(20)]  # Not heard of yet.
+    world.server.arrivals += [(95.1 + n * 0.05, ID) for n in range(20)]  # Entries don't have the record yet.
     world.server.arrivals += [(98.1 + n * 0.01, ID) for n in range(20)]  # Warm.
 
 
@@ -184,9 +184,9 @@
 def sent_within_limit(world):
     world.server.limit_times.append((90.0, 98.0, 1.0))
     world.server.limit_answers.append((90.1, ID))
-    world.server.arrivals += [(90.2 + n * 0.01, ID) for n in range(30)]  # Not told yet.
+    world.server.arrivals += [(90.2 + n * 0.01, ID) for n in range(30)]  # The limit doesn't bind the entry yet.
     world.server.arrivals += [(91.0 + n, ID) for n in range(7)]
-    world.server.arrivals += [(98.1 + n * 0.01, ID) for n in range(30)]  # It names none any more.
+    world.server.arrivals += [(98.1 + n * 0.01, ID) for n in range(30)]  # The server no longer names a limit.
 
 
 def accepted_revoked_key(world):
@@ -221,7 +221,7 @@
 
 
 def passed_on_late_and_cut(world):
-    """The caller's next request, on a connection that was open at the stop; killed at the end of the grace period."""
+    """A request on a connection that was open at the stop, cut off by the kill at the end of the grace period."""
     world.stops.append(Stop(95.0, 103.0))
     world.change(fully_sent_at=100.0, timeout=4.8, ended=103.0, failure="gone", answer=world.sent[0].answer[:-2])
 
@@ -311,7 +311,7 @@
 
 
 async def check_signal_guard():
-    """A process is sent signals only once it holds them, however long it takes to begin."""
+    """handles_signals() is true only once the process blocks or catches signals, or has ended."""
     fleet = types.SimpleNamespace(port=lambda: 1, processes={})
     entry = Entry(fleet, 0, domain=0, link=None)
     for how in ("holds", "starts", "starts a thread"):
@@ -321,7 +321,7 @@
         assert entry.handles_signals() == (how == "holds"), how
         process.kill()
         process.wait()
-        assert entry.handles_signals()  # Nothing is left that a signal could end.
+        assert entry.handles_signals()  # No process is left that a signal could end.
     await entry.wait_signals_handled()
 
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of the soak, and its planned work: one at a time, and the series around new weights."""
+"""Faults and planned operations of the soak: single ones, and the series while engines load new weights."""
 
 import asyncio
 import signal
@@ -7,8 +7,8 @@
 from platform_side import BackendServer
 from proxy import FAULTS, SOUND
 
-MARKED_COLD_SECONDS = 3.0  # For which a server is cold that was warm.
-GRACE_SECONDS = 8.0  # From SIGTERM until the platform kills, as the deployments have it.
+MARKED_COLD_SECONDS = 3.0  # How long a warm server is cold after it is marked cold.
+GRACE_SECONDS = 8.0  # From SIGTERM until the platform sends SIGKILL; the value of the deployments.
 
 
 def new_fault(entry=None, planned=False, kind=""):
@@ -34,9 +34,9 @@
         await asyncio.sleep(0.02)
     stop.end = world.now()
     if entry.ended() is None:
-        left = [f"{it.id} ({it.kind}, whole after {it.fully_sent_at - stop.begin:.1f} s)"
+        left = [f"{it.id} ({it.kind}, sent completely after {it.fully_sent_at - stop.begin:.1f} s)"
                 for it in world.unanswered(entry)]
-        world.problems.append(f"{entry.name} was still there {GRACE_SECONDS:.0f} s after SIGTERM, with {left}")
+        world.problems.append(f"{entry.name} still ran {GRACE_SECONDS:.0f} s after SIGTERM, with unanswered {left}")
         entry.kill()
     elif entry.ended() != 0:
         world.problems.append(f"{entry.name} ended with {entry.ended()} after SIGTERM")
@@ -59,7 +59,7 @@
 
 
 async def degrade_link(world, rng):
-    """To the key-value service of one entry, or to one server of all."""
+    """Degrades the link of one entry to the key-value service, or the link of all entries to one server."""
     links = [it.link for it in world.entries] + list(world.links.values())
     link, state = rng.choice(links), rng.choice(FAULTS + ("reset",))
     world.log(f"link {links.index(link)} is {state}")
@@ -103,16 +103,19 @@
 
 
 async def reject_at_server(world, rng):
-    """It turns everything away and wants nothing for a while."""
+    """Makes a server reject all requests, with a Retry-After, for a while."""
     server = rng.choice(world.servers)
-    world.log(f"{server.id} is closed")
+    world.log(f"{server.id} rejects all requests")
     server.is_rejecting = True
     await asyncio.sleep(0.5 + rng.random() * 3)
     server.is_rejecting = False
 
 
 async def evacuate_domain(world, rng):
-    """Now and then taken back as another one begins. Its servers are cold at the end."""
+    """Evacuates a failure domain for a while. Its servers are cold when the evacuation ends.
+
+    Evacuations of the two domains may overlap, so that one may end as the other begins.
+    """
     domain = f"d{rng.randint(0, 1)}"
     if world.evacuated.get(domain, [(0, 0)])[-1][1] is None:
         return
@@ -125,23 +128,23 @@
             server.mark_cold(MARKED_COLD_SECONDS, is_start=False)
     world.kv.remove(f"op/evacuate/{domain}")
     world.evacuated[domain][-1] = (world.evacuated[domain][-1][0], world.now())
-    world.log(f"takes the evacuation of {domain} back")
+    world.log(f"evacuation of {domain} ends")
 
 
 async def mark_server_cold(world, rng):
-    """It is cold again, and says so a heartbeat later."""
+    """Makes a server cold. Its record says so from the next heartbeat on."""
     server = rng.choice(world.servers)
     world.log(f"{server.id} is cold again")
     server.mark_cold(MARKED_COLD_SECONDS, is_start=False)
 
 
 async def limit_server(world, rng):
-    """It names a limit on requests in its answers for a while."""
+    """Makes a server name a request rate limit in its answers for a while."""
     server = rng.choice(world.servers)
     if server.limit is not None:
         return
     server.limit = rng.choice([0.5, 1.0, 2.1])
-    world.log(f"{server.id} takes {server.limit} a second")
+    world.log(f"{server.id} names a limit of {server.limit} requests a second")
     begin = world.now()
     await asyncio.sleep(5 + rng.random() * 4)
     server.limit_times.append((begin, world.now(), server.limit))
@@ -149,13 +152,13 @@
 
 
 async def restore_service(world, rng):
-    """The key-value service is away for a moment and comes back from a copy; the operator and the servers write anew
-    what they wrote since."""
+    """Stops the key-value service for a moment and restores it from an older copy. The operator and the servers then
+    rewrite what was lost."""
     age = 0.5 + rng.random() * 4
     world.kv.status = 503
     await asyncio.sleep(0.1 + rng.random() * 2)
     world.kv.restore(age)
-    world.log(f"the key-value service is back as it was {age:.1f} s ago")
+    world.log(f"the key-value service is restored to its state {age:.1f} s ago")
     if rng.random() < 0.5:
         world.kv.status = 0
         await asyncio.sleep(rng.random() * 0.5)
@@ -174,20 +177,20 @@
 
 async def publish_weights_version(world, _rng):
     world.weights += 1
-    world.log(f"names version {world.weights}")
+    world.log(f"publishes weights version {world.weights}")
     world.kv.put("op/version/m", {"model": "m", "version": world.weights})
 
 
 PLANNED_KINDS = (stop_entry, reload_entry, change_config, publish_weights_version, replace_server, reject_at_server,
                  evacuate_domain, mark_server_cold)
-MAX_EXTRA_PAUSE_SECONDS = 2.0  # At most, between two of these.
+MAX_EXTRA_PAUSE_SECONDS = 2.0  # Maximum pause between two extra faults.
 FAULT_KINDS = (kill_entries, stop_entry, pause_entry, reload_entry, degrade_link, degrade_service, degrade_server,
                replace_server, reject_at_server, change_config, publish_weights_version, evacuate_domain,
                mark_server_cold)
 
 
 async def inject(world, kind, busy, rng=None):
-    """One fault from its begin to its end. One at a time meddles with processes."""
+    """Runs one fault from begin to end. Faults that signal or kill processes run one at a time."""
     rng = rng or world.rng
     affects_processes = kind in (kill_entries, kill_pair, stop_entry, pause_entry, reload_entry)
     record = new_fault(planned=kind in PLANNED_KINDS + (limit_server,), kind=kind.__name__)
@@ -212,7 +215,7 @@
 
 
 async def slow_stores(world, rng):
-    """Fetches last nearly as long as entries allow."""
+    """Makes fetches take nearly as long as entries allow."""
     world.log("the stores are slow")
     for store in world.stores:
         store.transfer_seconds = 0.5 + rng.random() * 0.7
@@ -231,8 +234,8 @@
 
 
 async def run_weights_faults(world, seconds):
-    """Entries are killed two at a time, again and again, while engines take new weights, context of the old ones is
-    freed and fetches are slow."""
+    """Repeatedly kills two entries at a time while engines load new weights, context of the old weights is freed and
+    fetches are slow."""
     rng, busy, faults = world.rng, asyncio.Lock(), []
 
     def begin(kind):
@@ -240,7 +243,7 @@
         return faults[-1]
 
     end = world.now() + seconds
-    await asyncio.sleep(min(3, seconds / 4))  # Context of the first weights is kept by then.
+    await asyncio.sleep(min(3, seconds / 4))  # Time in which stores save context of the first weights.
     name_at, slow = 0.0, None
     while world.now() < end:
         if not slow or slow.done():
@@ -257,7 +260,8 @@
 
 
 async def run_extra_faults(world, seconds, kinds):
-    """Faults beside the others, by a series of their own, so that those of a seed stay the same."""
+    """Runs extra faults beside the main series. They draw from their own random numbers, so that the main faults of a
+    seed stay the same."""
     rng, faults, busy = world.extra_rng, [], asyncio.Lock()
     end = world.now() + seconds
     while world.now() < end:
--- a/tests/soak/http11.py
+++ b/tests/soak/http11.py
@@ -1,4 +1,4 @@
-"""As much of HTTP/1.1 over asyncio as the soak's stand-ins and callers need."""
+"""The subset of HTTP/1.1 over asyncio that the soak's stand-ins and callers need."""
 
 import asyncio
 
@@ -6,11 +6,11 @@
 
 
 class Broken(Exception):
-    """The peer closed, reset, or sent what is no HTTP."""
+    """The peer closed or reset the connection, or sent invalid HTTP."""
 
 
 class Message:
-    """One request or response: its first line's words, lower-case header names, and the body."""
+    """A request or response: the words of its first line, the headers by lower-case name, and the body."""
 
     def __init__(self, first, headers, body=b""):
         self.first = first
@@ -22,7 +22,7 @@
 
 
 async def read_head(reader):
-    """The first line's words and the headers."""
+    """Reads a message head; returns the words of its first line and the headers."""
     try:
         raw = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, OSError) as error:
@@ -44,7 +44,7 @@
 
 
 async def read_chunk(reader):
-    """The next chunk of a body; empty at its end."""
+    """Reads the next chunk of a body; returns an empty one at the end."""
     try:
         line = await reader.readuntil(b"\r\n")
     except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, OSError) as error:
@@ -58,7 +58,7 @@
 
 
 async def read_body(reader, headers):
-    """The whole body of a message that has a length or comes in chunks."""
+    """Reads the whole body of a message, by its Content-Length or in chunks."""
     if headers.get("transfer-encoding", "").lower() == "chunked":
         out = b""
         while chunk := await read_chunk(reader):
@@ -81,7 +81,7 @@
 
 
 def close(writer):
-    """Closes at once, whatever is unsent."""
+    """Aborts the connection; unsent data is dropped."""
     try:
         writer.transport.abort()
     except (OSError, RuntimeError):
@@ -89,7 +89,7 @@
 
 
 async def serve(handle, port=0):
-    """Serves each connection with handle(request, writer) until it raises Broken or closes."""
+    """Calls handle(request, writer) for each request, until it raises Broken or closes the connection."""
 
     async def connection(reader, writer):
         try:
--- a/tests/soak/kept_context.py
+++ b/tests/soak/kept_context.py
@@ -1,7 +1,7 @@
-"""Stand-ins for a managed store of kept context, and for engines that fetch from it and save to it.
+"""Stand-ins for managed stores of kept context and for the engines that fetch from and save to them.
 
-A store never drops anything by itself and does not know its readers: what is freed is gone at once, also under a fetch.
-Its events come late, and a few never do; after a restart it is empty and has another epoch.
+A store never evicts anything by itself and doesn't track readers: a freed part is gone at once, even during a fetch.
+Its events arrive late, and a few are lost. After a restart it is empty and has a new epoch.
 """
 
 import asyncio
@@ -13,38 +13,38 @@
 
 MAX_EVENTS = 300
 EVENT_LOST_SHARE = 0.02
-MAX_EVENT_DELAY_SECONDS = 0.4        # At most, in seconds.
+MAX_EVENT_DELAY_SECONDS = 0.4
 SAVE_FAILURE_SHARE = 0.02
-NORMAL_TRANSFER_SECONDS = 0.01    # Seconds for one part over a sound link.
-REPORT_AGE_SECONDS = 0.2         # An engine's reports are so old.
+NORMAL_TRANSFER_SECONDS = 0.01  # Mean transfer time of one part while the store is not slow.
+REPORT_AGE_SECONDS = 0.2  # Age of the reports that an engine returns.
 CLOCK_AT_START = 1_700_000_000
 
 
 def clock_ms():
-    """The servers' clock."""
+    """Returns the time of the servers' clock in milliseconds."""
     return int((CLOCK_AT_START + now()) * 1000)
 
 
 @dataclasses.dataclass
 class Fetch:
-    """An engine reads a part: which one, and when, on the soak's clock."""
+    """One fetch of a part by an engine: the part's key, and begin and end on the soak's clock."""
 
     request: str
     key: tuple
     begin: float
     end: float
-    discarded: bool  # The engine does not use what it has read.
+    discarded: bool  # The engine doesn't use the data.
     was_whole: bool
 
 
 class ContextStore:
-    """Parts under [scope, id]. How slow its link is, and whether it answers, is switched from outside."""
+    """A store of parts by (scope, id). Faults set transfer_seconds and is_down from outside."""
 
     def __init__(self, name, domain, capacity, rng):
         self.name, self.domain, self.capacity, self.rng = name, domain, capacity, rng
         self.epoch, self.number = 1000, 0
-        self.parts, self.events = {}, []     # Key to (tokens, is whole).
-        self.fetches, self.freed = [], []    # For the checks.
+        self.parts, self.events = {}, []     # parts: key to (tokens, is complete).
+        self.fetches, self.freed = [], []  # Recorded for the checks.
         self.transfer_seconds = NORMAL_TRANSFER_SECONDS
         self.calls, self.max_calls, self.is_down = 0, 4, False
         self.server = None
@@ -58,13 +58,13 @@
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def service(self):
-        """Its entry in the configuration."""
+        """Returns the store's service in the configuration."""
         return {"name": self.name, "kv-store-address": self.address, "zone": self.domain, "managed": True,
                 "kv-capacity-tokens": self.capacity, "link-mbps": 300000, "first_ms": 1,
                 "max-concurrent": self.max_calls}
 
     def restart(self):
-        """Empty, and what was being read has broken off."""
+        """Drops all parts and events and breaks off running fetches."""
         self.epoch += 1
         self.number = 0
         self.parts.clear()
@@ -73,11 +73,11 @@
             it.discarded |= it.end > now()
 
     def _transfer_end(self):
-        """When a transfer that begins now ends."""
+        """Returns the end time of a transfer that begins now."""
         return now() + self.transfer_seconds * (0.5 + self.rng.random())
 
     def fetch(self, request, key, until):
-        """Begins to read a part; nothing if it is not here."""
+        """Begins to fetch a part, until the given time at most; returns None if the store doesn't have it."""
         if self.is_down or key not in self.parts:
             return None
         end = self._transfer_end()
@@ -85,7 +85,7 @@
         return self.fetches[-1]
 
     async def save(self, key, tokens):
-        """Space is reserved at once, or the part is lost."""
+        """Saves a part. Its space is reserved at the begin; without space the part is dropped."""
         used = sum(it for it, _ in self.parts.values())
         if self.is_down or key in self.parts or used + tokens > self.capacity:
             return
@@ -95,7 +95,7 @@
             return
         if key in self.parts:
             self.parts[key] = (tokens, True)
-        self._record_event("+", key, tokens)  # Also of what was freed meanwhile.
+        self._record_event("+", key, tokens)  # Also sent if the part was freed during the save.
 
     def _record_event(self, sign, key, tokens):
         self.number += 1
@@ -105,7 +105,7 @@
             del self.events[:-MAX_EVENTS]
 
     def _visible(self):
-        """Events that are heard by now, none before those that come ahead of it."""
+        """Returns the events that are due, in order: one that is not due yet holds back those after it."""
         out = []
         for at, event in self.events:
             if at > now():
@@ -155,7 +155,8 @@
 
 
 class Engine(BackendServer):
-    """Keeps nothing of its own, so that each prompt is fetched, or read and saved. New weights take it some time."""
+    """An engine without a cache: each part of a prompt is fetched from a store, or prefilled and saved. Loading new
+    weights takes LOAD_SECONDS."""
 
     LOAD_SECONDS = 1.3
     TOKENS_PER_SECOND = 112_000
@@ -188,7 +189,7 @@
         asyncio.ensure_future(self._load_when_idle(version))
 
     async def _load_when_idle(self, version):
-        """Runs finish first."""
+        """Loads new weights after all runs have finished."""
         while self.running:
             await asyncio.sleep(0.02)
         await asyncio.sleep(self.LOAD_SECONDS)
@@ -220,7 +221,7 @@
                 asyncio.ensure_future(self.stores[address].save(key, int(part[1])))
 
     def _fetch(self, request, keys, until):
-        """Of the parts for which a store is named; what follows one that is missing there can't be used."""
+        """Begins to fetch the parts for which a store is named. Parts after a missing one can't be used."""
         out = []
         for key, source in zip(keys, request.header("x-daisytack-kv-source").split(",")):
             store = self.stores.get(source.partition("/")[0])
--- a/tests/soak/late_callers.py
+++ b/tests/soak/late_callers.py
@@ -1,4 +1,4 @@
-"""Callers whose requests reach an entry late in a planned stop: on connections that were open before it."""
+"""Callers that send requests to a stopping entry, on connections that were open before the stop."""
 
 import asyncio
 import random
@@ -6,14 +6,14 @@
 import http11
 from callers import Caller
 
-CHAINERS_PER_ENTRY, SLOW_SENDERS_PER_ENTRY = 4, 4  # For each entry.
+CHAINERS_PER_ENTRY, SLOW_SENDERS_PER_ENTRY = 4, 4
 PIECE_INTERVAL_SECONDS = 0.2
-SLOW_HEAD_SECONDS = 2.5        # Below the limit of the configuration for a head.
+SLOW_HEAD_SECONDS = 2.5  # Below the configured header-timeout-ms.
 SLOW_BODY_SECONDS = 6.0
 
 
 class LateCaller(Caller):
-    """Stays with one entry, and asks for long streams most of the time."""
+    """Sends all requests to one entry; most of them are for long streams."""
 
     def __init__(self, name, rng, world, entry):
         super().__init__(name, rng, world)
@@ -33,7 +33,7 @@
 
 
 class Chainer(LateCaller):
-    """Sends the next request as soon as an answer ends, or ahead of that."""
+    """Sends the next request as soon as an answer ends, or pipelines two requests."""
 
     async def _send_request(self, entry):
         reader, writer = await self._connection(entry)
@@ -41,7 +41,7 @@
         writer.write(b"".join(self._request_head(it) + it.body for it in requests))
         await writer.drain()
         for sent in requests:
-            # The entry reads one that is pipelined once the answer before it has ended.
+            # The entry reads a pipelined request only after the previous answer has ended.
             sent.at = sent.fully_sent_at = self.world.now()
             self.world.sent.append(sent)
             with self._recording_end(sent):
@@ -51,7 +51,7 @@
 
 
 class SlowSender(LateCaller):
-    """Sends a request's head or body in pieces, for some seconds, before its last byte."""
+    """Sends the head or body of a request in small pieces over some seconds."""
 
     async def _send_request(self, entry):
         reader, writer = await self._connection(entry)
@@ -64,7 +64,7 @@
                 await self._await_answer(sent, answer, sent.timeout + 3)
         finally:
             answer.cancel()
-            # One that was never whole is a request only if it was answered.
+            # A request that was never sent completely counts only if it was answered.
             if sent.status and not sent.fully_sent_at:
                 self.world.sent.append(sent)
 
--- a/tests/soak/platform_side.py
+++ b/tests/soak/platform_side.py
@@ -1,6 +1,6 @@
-"""What the entries meet on the platform, as stand-ins: the key-value service and backend servers.
+"""Stand-ins for the platform: the key-value service and backend servers.
 
-Each keeps what it has seen, with the soak's clock, for the checks.
+Each records what it has received, with times of the soak's clock, for the checks.
 """
 
 import asyncio
@@ -11,11 +11,11 @@
 
 import http11
 
-MAX_HISTORY_EVENTS = 400  # Changes that a watch can go back.
-COPY_INTERVAL_SECONDS, MAX_COPIES = 0.25, 24  # Between copies that the key-value service may come back from, and how many are kept.
-LONG_STREAM_INTERVAL_SECONDS = 0.25  # Between the events of a long stream.
+MAX_HISTORY_EVENTS = 400  # Number of past changes that a watch can start from.
+COPY_INTERVAL_SECONDS, MAX_COPIES = 0.25, 24  # Copies that the key-value service may be restored from.
+LONG_STREAM_INTERVAL_SECONDS = 0.25  # Interval between the events of a long stream.
 FATAL_BODY = b"ends every server that runs it"
-RETRY_AFTER_SECONDS = 2  # For which a server that is closed wants nothing of whoever asks.
+RETRY_AFTER_SECONDS = 2  # Retry-After of a server that rejects all requests.
 JSON = {"Content-Type": "application/json"}
 
 
@@ -24,7 +24,8 @@
 
 
 class KeyValueService:
-    """Keys with revisions, watches and leases. Fault switches: status answered to all, delay, answers lost."""
+    """Keys with revisions, watches and leases. Fault switches: status returned to all requests (0 for none), delay in
+    seconds, and lose_answers, which drops the answers to POST requests after they took effect."""
 
     def __init__(self):
         self.items, self.history, self.leases = {}, [], {}
@@ -62,8 +63,7 @@
         self._wake()
 
     def restore(self, age):
-        """Comes back from a copy of so many seconds ago: what was written since is gone, leases too, and revisions are
-        given out again."""
+        """Restores a copy of the given age in seconds. Later writes and leases are lost, and revisions are reused."""
         earlier = [it for it in self.copies if it[0] <= now() - age] or self.copies[:1] or [self._copy()]
         _, self.items, self.revision, self.leases = earlier[-1]
         self.copies.clear()
@@ -165,7 +165,7 @@
 
 
 class Run:
-    """A server began to work on a request; broke: it or its server ended without its answer, by itself."""
+    """A request that a server began to execute. aborted: the run or its server ended without a complete answer."""
 
     ended, aborted = 0.0, False
 
@@ -176,7 +176,8 @@
 
 
 def event_count(request_id, kind="ask"):
-    """How many events the stream of a request has. Three in five long ones last for 4.5 s, others from 1.5 s on."""
+    """Returns the number of events in the stream of a request. Three in five long streams last 4.5 s, others at least
+    1.5 s."""
     number = int(hashlib.sha256(request_id.encode()).hexdigest(), 16)
     if kind == "long":
         return 18 if number % 5 < 3 else 6 + number % 12
@@ -184,18 +185,19 @@
 
 
 class BackendServer:
-    """A plain service's server or an engine. Fault switches: see FAULTS. Ends as it runs a request with the body FATAL;
-    says in its answers that it leaves, and for how long it wants nothing."""
+    """A server of a plain service, or an engine. Fault switches: see FAULTS. Crashes when it runs a request with
+    FATAL_BODY. Its answers say whether it is leaving, name its rate limit, and carry Retry-After while it rejects
+    requests."""
 
     FAULTS = ("lose", "cut", "extra", "error", "full", "hang")
-    is_loading = False  # New weights; at once here.
+    is_loading = False  # Loads new weights; here they load at once.
     is_leaving, is_rejecting = False, False
-    limit = None  # Requests a second that it takes from all entries together.
+    limit = None  # Maximum requests per second from all entries together; None for no limit.
     cold_until = 0.0
 
     @staticmethod
     def crash():
-        """Set by whoever can end it."""
+        """Replaced by the owner of the server with a function that ends it."""
 
     def __init__(self, name, service, incarnation=1, version=1):
         self.name, self.service = name, service
@@ -203,9 +205,9 @@
         self.incarnation, self.version = incarnation, version
         self.runs, self.arrivals, self.orders, self.token = [], [], 0, 0
         self.tokens = []
-        self.leaving_answers, self.rejections = [], []  # When, and in the answer to which request.
-        self.limit_answers, self.limit_times = [], []  # The same; and from when and until when it named which limit.
-        self.cold_times = []  # From when and until when it is cold, and whether its first record said so.
+        self.leaving_answers, self.rejections = [], []  # Each: (time, id of the answered request).
+        self.limit_answers, self.limit_times = [], []  # (time, request id); (begin, end, limit).
+        self.cold_times = []  # (begin, end, whether cold since its first record).
         self.faults, self.share, self.work = set(), 0.3, 0.02
         self.counter = 0
         self.server = None
@@ -287,7 +289,7 @@
             run.ended = now()
 
     def end_runs(self):
-        """The server goes: what it works on ends without an answer."""
+        """Marks unfinished runs as aborted, since the server ends."""
         for run in self.runs:
             run.aborted |= not run.ended
 
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,7 +1,7 @@
-"""A TCP proxy on loopback that spoils what passes through it.
+"""A TCP proxy on loopback that injects link faults.
 
-A link is sound, slow, silent (both ways, connections stay open), deaf (what the caller sends is lost) or mute (what the
-server sends is lost). reset() ends its open connections.
+A link is sound, slow, silent (no data in either direction, connections stay open), deaf (no data from the client to the
+server) or mute (no data from the server to the client). reset() closes its open connections.
 """
 
 import asyncio
@@ -64,5 +64,5 @@
                 await asyncio.sleep(SLOW_DELAY_SECONDS)
             writer.write(block)
             await writer.drain()
-        # What was sent last must arrive before the other side closes.
+        # The last block must arrive before the connection to the receiver is closed.
         await asyncio.sleep(0.01)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -29,16 +29,16 @@
 KEPT_CONTEXT_ENTRIES, KEPT_CONTEXT_CALLERS, KEPT_CONTEXT_ENGINES, STORES = 5, 48, 10, 2
 STORE_TOKENS = 400_000
 ORGANISATIONS = {"one": ["k1", "k2"], "two": ["k3", "k4"]}
-SETTLE_SECONDS = 5      # After the last fault: leases lapse within 3 s.
-RECOVERY_SECONDS = 12   # Then every entry serves every kind of request.
-FAULT_EFFECT_SECONDS = 4.0        # A fault's effects are over so long after its end.
+SETTLE_SECONDS = 5  # Wait after the last fault; longer than the lease term of 3 s.
+RECOVERY_SECONDS = 12  # Timeout for all entries to become ready, at the start and after the last fault.
+FAULT_EFFECT_SECONDS = 4.0  # Effects of a fault are over this long after its end.
 HEARTBEAT_SECONDS = 0.4
-COLD_SECONDS = 2.0      # For which a server is cold after its start, and after an evacuation.
+COLD_SECONDS = 2.0  # How long a server is cold after its start or an evacuation (setting cold-start-s).
 LOG_LINES = 40
-WEIGHTS_TIMEOUT_SECONDS = 20    # After the last fault, for all engines to have the newest weights.
+WEIGHTS_TIMEOUT_SECONDS = 20  # Timeout for all engines to load the newest weights after the last fault.
 TIMEOUT_SECONDS = 2.5
-LONG_TIMEOUT_SECONDS = 4.8     # What an entry reads until 3 s after SIGTERM ends within its grace period.
-KEPT_CONTEXT_TIMEOUT_SECONDS = 6.0     # Slow fetches take some seconds.
+LONG_TIMEOUT_SECONDS = 4.8  # A request read until 3 s after SIGTERM ends within the grace period of 8 s.
+KEPT_CONTEXT_TIMEOUT_SECONDS = 6.0  # Slow fetches take some seconds.
 
 SETTINGS = """[process]
 threads = 1
@@ -74,14 +74,14 @@
 
 @dataclasses.dataclass
 class Stop:
-    """From SIGTERM to the end of the process."""
+    """A planned stop: the time from SIGTERM to the end of the process."""
 
     begin: float
     end: float = float("inf")
 
 
 class Entry:
-    """A real entry process with a link of its own to the key-value service."""
+    """A real entry process with its own link to the key-value service."""
 
     def __init__(self, fleet, number, domain, link):
         self.name, self.fleet, self.link, self.domain = f"entry-{number}", fleet, link, domain
@@ -95,7 +95,7 @@
         self.fleet.start(self.name, "daisytack-entry", "--config=" + self.fleet.write(f"{self.name}.ini", text))
 
     def stop(self, now):
-        """As planned."""
+        """Begins a planned stop with SIGTERM."""
         self.signal(signal.SIGTERM)
         self.stops.append(Stop(now))
         return self.stops[-1]
@@ -104,14 +104,14 @@
         self.fleet.signal(self.name, number)
 
     async def wait_signals_handled(self):
-        """Before a program's main begins no signal can be held back. Gives way to nobody after the last look, since
-        another fault may start the entry anew meanwhile."""
+        """Waits until the process blocks or catches signals: before main() a signal would end it. Doesn't yield to
+        other tasks after the last check, since another fault might restart the entry."""
         while not self.handles_signals():
             await asyncio.sleep(0.01)
 
     def handles_signals(self):
-        """Whether SIGHUP and SIGTERM are blocked or caught, or there is no process that they could end: on a busy
-        machine it takes more than 0.1 s from the start of a process to its main."""
+        """Returns whether SIGHUP and SIGTERM are blocked or caught, or there is no process that they could end. On a
+        busy machine a process takes more than 0.1 s from its start to main()."""
         try:
             status = pathlib.Path(f"/proc/{self.fleet.processes[self.name].pid}/status").read_text()
         except OSError:
@@ -120,8 +120,8 @@
         if lines["State"].split()[0] in "ZX":
             return True
         blocked, caught = int(lines["SigBlk"], 16), int(lines["SigCgt"], 16)
-        # Before main the log library creates threads, and while one is created everything is blocked for a moment. A
-        # mask that leaves other signals open is the program's own.
+        # Before main() the log library creates threads, and all signals are blocked for a moment while one is created.
+        # Only a mask that leaves other signals unblocked is set by the program itself.
         if blocked >> (signal.SIGUSR1 - 1) & 1:
             blocked = 0
         held = blocked | caught
@@ -131,7 +131,7 @@
         self.fleet.kill(self.name)
 
     def ended(self):
-        """Its exit code once it has ended by itself or as it was asked to."""
+        """Returns the exit code of the process, or None while it runs."""
         return self.fleet.processes[self.name].poll()
 
     async def is_ready(self):
@@ -147,21 +147,21 @@
 
 
 class World:
-    """One run: processes, stand-ins, the faults so far, and what was seen."""
+    """One run: processes, stand-ins, the faults so far, and the recorded requests and problems."""
 
     def __init__(self, fleet, seed):
         self.fleet, self.seed, self.rng = fleet, seed, random.Random(seed)
         self.extra_rng = random.Random(f"{seed}/beside")
         self.kv = KeyValueService()
         self.has_kept_context = seed % 4 == 2
-        # In one failure domain two entries read the key-value service for the others.
+        # If there is only one failure domain, two entries read the key-value service for the others.
         self.domains = 1 if seed % 5 == 0 else 2
         self.entries, self.servers, self.all_servers, self.links = [], [], [], {}
         self.stores = []
         self.sent, self.problems, self.faults = [], [], []
         self.revoked, self.leaving = {}, {}
-        self.evacuated = {}  # By failure domain: when it was evacuated and taken back, the latest last.
-        self.fatal_ends = []  # When servers ended under the fatal request.
+        self.evacuated = {}  # By failure domain: (begin, end) of each evacuation; end is None while it lasts.
+        self.fatal_ends = []  # Times at which servers crashed on the fatal request.
         self.organisation_of = {key: name for name, keys in ORGANISATIONS.items() for key in keys}
         self.all_keys = list(self.organisation_of)
         self.config_version, self.weights = 0, 1
@@ -205,7 +205,7 @@
         end = self.now() + WEIGHTS_TIMEOUT_SECONDS
         while any(it.version < self.weights for it in self.servers if it.service == "engines"):
             if self.now() > end:
-                return  # Recovery names them.
+                return  # check_recovery() reports the engines with old weights.
             await asyncio.sleep(0.1)
 
     def write_config(self):
@@ -213,7 +213,7 @@
         keys = {name: [it for it in all_keys if it not in self.revoked] for name, all_keys in ORGANISATIONS.items()}
         engine = {"slots": 64, "kv-capacity-tokens": 140000, "models": [{"name": "m"}], "kv-token-bytes": 35136,
                   "link-mbps": 1100000, "managed": self.has_kept_context}
-        # So late a target that slow fetches go on.
+        # The latency target is late enough that slow fetches are not given up.
         kept_route = {"target-latency-ms": 6000, "timeout-ms": 8000} if self.has_kept_context else {
             "target-latency-ms": 400}
         route = {"host": "a.example", "timeout-ms": 3000, "attempts": 2, "public": False}
@@ -238,7 +238,7 @@
         self.kv.put("op/config", self.config)
 
     def rewrite_lost_keys(self):
-        """What the operator and the servers wrote, as far as the key-value service has lost it."""
+        """Writes again what the operator and the servers had written and the key-value service has lost."""
         self.kv.put("op/config", self.config)
         if self.weights > 1:
             self.kv.put("op/version/m", {"model": "m", "version": self.weights})
@@ -289,7 +289,7 @@
                     self.record(server)
 
     async def retire_server(self, server, drains):
-        """It leaves, and an instance of another id comes in its place."""
+        """Replaces a server by one with a new id, with a drain or without."""
         if drains:
             self.record(server, "draining")
             self.leaving[server.id] = self.now()
@@ -306,7 +306,7 @@
         await self.add_server(server.name, server.service, server.incarnation + 1)
 
     async def crash_server(self, server):
-        """Under the fatal request; an instance of another id comes a moment later."""
+        """Ends a server that ran the fatal request and starts one with a new id a moment later."""
         if server not in self.servers:
             return
         self.fatal_ends.append(self.now())
@@ -322,13 +322,14 @@
         return next((it.entry for it in self.sent if it.id == request_id), None)
 
     def ran_undisturbed(self, entry, begin, end):
-        """Whether the entry ran all the while, and nothing but planned work went on."""
+        """Returns whether the entry was not stopped and no fault other than planned work was active."""
         stops = next(it for it in self.entries if it.name == entry).stops
         return (not any(it.begin <= end and begin <= it.end for it in stops)
                 and self.had_no_faults(begin, end, entry, True))
 
     def had_no_faults(self, begin, end, entry=None, planned=False):
-        """Whether no fault that touches the entry was under way or had just ended."""
+        """Returns whether no fault that affects the entry was active or had just ended. If planned, planned work is
+        ignored."""
         for fault in self.faults:
             touches = entry is None or fault["entry"] in (None, entry)
             over = (fault["end"] or end) + FAULT_EFFECT_SECONDS
@@ -337,25 +338,25 @@
         return True
 
     def ran_without_restart(self, begin, end, entry):
-        """Whether one process of the entry ran all the while."""
+        """Returns whether the same process of the entry ran all the time."""
         stops = next(it for it in self.entries if it.name == entry).stops
         kills = [it for it in self.faults if it["kind"] in ("kill_entries", "kill_pair")]
         times = [(it.begin, it.end) for it in stops] + [(it["begin"], it["end"] or end) for it in kills]
         return not any(first <= end and begin <= last for first, last in times)
 
     def had_sound_links(self, begin, end):
-        """Whether no link held up what was sent, so that it arrived together."""
+        """Returns whether no link fault may have delayed requests so that they arrived in a burst."""
         over = [it for it in self.faults if it["kind"] == "degrade_link"]
         return not any(it["begin"] <= end and (it["end"] or end) + FAULT_EFFECT_SECONDS >= begin for it in over)
 
     def request_timeout(self, kind):
-        """Seconds that a caller tells."""
+        """Returns the deadline of a request in seconds."""
         if kind == "ask" and self.has_kept_context:
             return KEPT_CONTEXT_TIMEOUT_SECONDS
         return LONG_TIMEOUT_SECONDS if kind == "long" else TIMEOUT_SECONDS
 
     def planned_stop(self, entry, at):
-        """When the entry was asked to end, if that was shortly before."""
+        """Returns the begin of a planned stop of the entry at most 8 s before the given time, or None."""
         stops = next(it for it in self.entries if it.name == entry).stops
         return next((it.begin for it in stops if it.begin <= at <= it.begin + 8), None)
 
@@ -363,13 +364,13 @@
         return [it for it in self.sent if it.entry == entry.name and it.fully_sent_at and not it.ended]
 
     def stop_during(self, entry, begin, end):
-        """The planned stop of the process that a request from begin to end was sent to."""
+        """Returns the planned stop of the entry that overlaps the time from begin to end, or None."""
         stops = next(it for it in self.entries if it.name == entry).stops
         return next((it for it in stops if it.begin <= end and begin <= it.end), None)
 
 
 async def end_everything(world):
-    """The entries first, so that nobody connects to what closes."""
+    """Stops the entries before the stand-ins, so that no entry connects to a closed stand-in."""
     world.fleet.stop()
     for link in [it.link for it in world.entries] + list(world.links.values()):
         link.stop()
@@ -396,7 +397,7 @@
     if world.seed % 8 in (0, 1):
         some.append(FatalCaller(world))
     tasks = [asyncio.ensure_future(it.run()) for it in some]
-    # Some seeds are planned work alone, so that what planned work may not do is seen.
+    # Some seeds run planned work only, to check that it disturbs no requests.
     is_planned = world.seed % 4 == 0
     extra = asyncio.ensure_future(
         run_extra_faults(world, seconds, (limit_server,) if is_planned else (limit_server, restore_service)))
@@ -450,7 +451,7 @@
 
 
 def show_logs(fleet):
-    """What the entries decided last; beliefs change several times a second."""
+    """Prints the last log lines of each entry, without belief_changed events: several are logged each second."""
     for log in sorted(fleet.directory.glob("*.log")):
         lines = [it for it in log.read_text(errors="replace").splitlines() if '"belief_changed"' not in it]
         print(f"--- {log.name}", *lines[-LOG_LINES:], sep="\n")
