--- a/tests/matrix/world.cpp
+++ b/tests/matrix/cluster.cpp
@@ -1,5 +1,5 @@
 /// World: set-up.
-#include "world.h"
+#include "cluster.h"
 
 #include "base/digest.h"
 
--- a/tests/matrix/world_faults.cpp
+++ b/tests/matrix/cluster_faults.cpp
@@ -1,5 +1,5 @@
 /// World: where faults strike, and how they end.
-#include "world.h"
+#include "cluster.h"
 
 namespace daisytack::matrix {
 
--- a/tests/matrix/world_links.cpp
+++ b/tests/matrix/cluster_links.cpp
@@ -1,5 +1,5 @@
 /// World: processes and the messages between them.
-#include "world.h"
+#include "cluster.h"
 
 #include "wire/codec.h"
 
--- a/tests/matrix/world_story.cpp
+++ b/tests/matrix/cluster_workload.cpp
@@ -1,5 +1,5 @@
 /// World: what callers and operators do, and what is checked in the end.
-#include "world.h"
+#include "cluster.h"
 
 #include "base/digest.h"
 
--- a/tests/matrix/control_host.h
+++ b/tests/matrix/control_host.h
@@ -8,8 +8,8 @@
 #include "control/control_state.h"
 #include "control/gossip.h"
 #include "control/readers.h"
+#include "invariants.h"
 #include "platform.h"
-#include "promises.h"
 #include "steps.h"
 
 #include <functional>
--- a/tests/matrix/engine.h
+++ b/tests/matrix/engine.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "event_queue.h"
-#include "promises.h"
+#include "invariants.h"
 #include "serve/agent_messages.h"
 
 #include <functional>
--- a/tests/matrix/promises.cpp
+++ b/tests/matrix/invariants.cpp
@@ -1,4 +1,4 @@
-#include "promises.h"
+#include "invariants.h"
 
 namespace daisytack::matrix {
 
--- a/tests/matrix/table.h
+++ b/tests/matrix/table.h
@@ -1,7 +1,7 @@
 /// Runs the cells of the matrix and shows them as a table.
 #pragma once
 
-#include "world.h"
+#include "cluster.h"
 
 #include <string>
 #include <string_view>
