--- a/tests/matrix/agent_host.cpp
+++ b/tests/matrix/agent_host.cpp
@@ -30,27 +30,29 @@
 } // namespace
 
 AgentHost::AgentHost(std::string name, Incarnation process, std::string serves,
-                     bool isService, Engine &engine, Platform &platform,
-                     PromiseCheck &check, Hooks hooks)
+                     bool isService, Engine &engine, FakePlatform &platform,
+                     InvariantChecker &check, Hooks hooks)
     : Name(std::move(name)), Serves(std::move(serves)), IsService(isService),
-      Server(engine), Outside(platform), Check(check), On(std::move(hooks)),
-      Core(makeSettings(Name, process, Serves, isService), On.Random) {}
+      Server(engine), Platform(platform), Checker(check),
+      Callbacks(std::move(hooks)),
+      Core(makeSettings(Name, process, Serves, isService), Callbacks.Random) {}
 
-void AgentHost::start() { apply(TimerFired{On.Wall()}); }
+void AgentHost::start() { apply(TimerFired{Callbacks.Wall()}); }
 
 void AgentHost::apply(AgentInput input) {
-  for (AgentAction &action : Core.apply(std::move(input), On.Now()))
-    carryOut(std::move(action));
+  for (AgentAction &action : Core.apply(std::move(input), Callbacks.Now()))
+    performAction(std::move(action));
   auto next = Core.nextTimer();
-  if (next && (!Armed || *next < *Armed)) {
-    Armed = next;
-    Duration delay = std::max(
-        Duration(0), std::chrono::duration_cast<Duration>(*next - On.Now()));
-    On.After(delay, [this, at = *next] {
-      if (Armed != at)
+  if (next && (!ArmedTimer || *next < *ArmedTimer)) {
+    ArmedTimer = next;
+    Duration delay =
+        std::max(Duration(0),
+                 std::chrono::duration_cast<Duration>(*next - Callbacks.Now()));
+    Callbacks.Schedule(delay, [this, at = *next] {
+      if (ArmedTimer != at)
         return;
-      Armed.reset();
-      apply(TimerFired{On.Wall()});
+      ArmedTimer.reset();
+      apply(TimerFired{Callbacks.Wall()});
     });
   }
   checkExit();
@@ -91,7 +93,7 @@
   if (Draining)
     return;
   Draining = true;
-  On.Reached(Step::Drain);
+  Callbacks.StepReached(Step::Drain);
   if (!IgnoresDrain)
     apply(DrainRequested{});
   if (ExitsAtOnce)
@@ -102,11 +104,11 @@
   if (!Draining || Exited || (!Core.isDrained() && !ExitsAtOnce))
     return;
   Exited = true;
-  Check.exited(Name, Accepted.size());
-  On.After(Duration(0), [this] { On.Exit(); });
+  Checker.onExited(Name, Accepted.size());
+  Callbacks.Schedule(Duration(0), [this] { Callbacks.Exit(); });
 }
 
-void AgentHost::carryOut(AgentAction action) {
+void AgentHost::performAction(AgentAction action) {
   std::visit(
       [this](auto &it) {
         if constexpr (requires { on(std::move(it)); })
@@ -119,7 +121,7 @@
   uint32_t link = action.Link.Index;
   if (const auto *accepted = std::get_if<wire::Accepted>(&action.Body)) {
     Accepted.emplace(accepted->Id, link);
-    On.Reached(Step::Accept);
+    Callbacks.StepReached(Step::Accept);
   } else if (const auto *end = std::get_if<wire::Finished>(&action.Body)) {
     Accepted.erase(end->Id);
   } else if (const auto *refused = std::get_if<wire::Refused>(&action.Body)) {
@@ -127,22 +129,23 @@
     if (it != Accepted.end() && it->second == link)
       Accepted.erase(it);
   } else if (std::holds_alternative<wire::Chunk>(action.Body)) {
-    On.Reached(Step::Stream);
+    Callbacks.StepReached(Step::Stream);
   }
-  On.Send(link, std::move(action.Body));
+  Callbacks.Send(link, std::move(action.Body));
 }
 
 void AgentHost::on(const StartRun &action) {
-  On.Reached(Step::Run);
-  Check.acceptedNew(Name, On.OfferedAt(action.Run.Id));
+  Callbacks.StepReached(Step::Run);
+  Checker.onNewWorkAccepted(Name, Callbacks.OfferedAt(action.Run.Id));
   if (ImportsUnverified)
     for (const PieceKey &key : action.Offer->Pieces)
       Server.importPiece({0, key, std::make_shared<const std::string>("torn")});
-  On.After(EngineLatency, [this, action] { Server.start(action); });
+  Callbacks.Schedule(EngineLatency, [this, action] { Server.start(action); });
 }
 
 void AgentHost::on(const CancelRun &action) {
-  On.After(EngineLatency, [this, action] { Server.cancel(action.Run); });
+  Callbacks.Schedule(EngineLatency,
+                     [this, action] { Server.cancel(action.Run); });
 }
 
 void AgentHost::on(const SuspendRun & /*action*/) {}
@@ -151,55 +154,58 @@
 void AgentHost::on(const PollStatus & /*action*/) {
   // The status is of the moment it is asked for, and arrives late.
   AgentInput status = Server.status();
-  On.After(EngineLatency, [this, status] { apply(status); });
+  Callbacks.Schedule(EngineLatency, [this, status] { apply(status); });
 }
 
 void AgentHost::on(const PollCacheEvents &action) {
   AgentInput events = Server.cacheEvents(action.From);
-  On.After(EngineLatency, [this, events] { apply(events); });
+  Callbacks.Schedule(EngineLatency, [this, events] { apply(events); });
 }
 
 void AgentHost::on(const ExportPiece &action) {
-  On.After(EngineLatency,
-           [this, action] { apply(Server.exportPiece(action)); });
+  Callbacks.Schedule(EngineLatency,
+                     [this, action] { apply(Server.exportPiece(action)); });
 }
 
 void AgentHost::on(const ImportPiece &action) {
-  On.Reached(Step::Import);
-  On.After(EngineLatency,
-           [this, action] { apply(Server.importPiece(action)); });
+  Callbacks.StepReached(Step::Import);
+  Callbacks.Schedule(EngineLatency,
+                     [this, action] { apply(Server.importPiece(action)); });
 }
 
 void AgentHost::on(const SendOrder &action) {
-  On.Reached(Step::Load);
-  On.After(EngineLatency, [this, action] { apply(Server.order(action)); });
+  Callbacks.StepReached(Step::Load);
+  Callbacks.Schedule(EngineLatency,
+                     [this, action] { apply(Server.order(action)); });
 }
 
 void AgentHost::on(const CallStore &action) {
   if (std::holds_alternative<ReadPiece>(action.Request))
-    On.Reached(Step::Fetch);
+    Callbacks.StepReached(Step::Fetch);
   StoreCalls[action.Call] = action.Store;
-  Duration latency = Outside.storeLatency();
+  Duration latency = Platform.storeLatency();
   if (action.Timeout.count() > 0 && latency > action.Timeout) {
-    On.After(action.Timeout, [this, call = action.Call] {
-      answerStore(call, Error{ErrorKind::ServerLost, "no answer in time"});
+    Callbacks.Schedule(action.Timeout, [this, call = action.Call] {
+      completeStoreCall(call,
+                        Error{ErrorKind::ServerLost, "no answer in time"});
     });
     return;
   }
-  On.After(latency, [this, action] {
+  Callbacks.Schedule(latency, [this, action] {
     if (StoreCalls.contains(action.Call))
-      answerStore(action.Call, Outside.callStore(action.Store, action.Request));
+      completeStoreCall(action.Call,
+                        Platform.callStore(action.Store, action.Request));
   });
 }
 
 void AgentHost::on(const CancelStoreCall &action) {
-  On.After(Duration(0), [this, call = action.Call] {
-    answerStore(call, Error{ErrorKind::Cancelled, "stopped"});
+  Callbacks.Schedule(Duration(0), [this, call = action.Call] {
+    completeStoreCall(call, Error{ErrorKind::Cancelled, "stopped"});
   });
 }
 
 /// Each call is answered exactly once.
-void AgentHost::answerStore(CallId call, StoreResult result) {
+void AgentHost::completeStoreCall(CallId call, StoreResult result) {
   auto it = StoreCalls.find(call);
   if (it == StoreCalls.end())
     return;
@@ -210,38 +216,38 @@
 
 void AgentHost::on(const RecordEvent &action) {
   if (action.What.Kind == EventKind::TicketRecorded)
-    On.Reached(Step::Record);
+    Callbacks.StepReached(Step::Record);
 }
 
-void AgentHost::tellSlot(uint64_t number,
-                         decltype(swap::SlotResult::Response) result) {
-  On.After(Duration(0), [this, number, result = std::move(result)] {
+void AgentHost::completeSlotCall(uint64_t number,
+                                 decltype(swap::SlotResult::Response) result) {
+  Callbacks.Schedule(Duration(0), [this, number, result = std::move(result)] {
     apply(SlotAnswer{{number, result}});
   });
 }
 
 void AgentHost::on(const CallSlot &action) {
   const swap::SlotCall &call = action.Call;
-  auto tell = [this, number = call.Number](const auto &result) {
-    tellSlot(number, result);
+  auto complete = [this, number = call.Number](const auto &result) {
+    completeSlotCall(number, result);
   };
-  auto onLease = [this, tell](auto act) {
-    Outside.call<edge::KvLeaseResult>(act, tell);
+  auto onLease = [this, complete](auto operation) {
+    Platform.call<edge::KvLeaseResult>(operation, complete);
   };
   if (const auto *range = std::get_if<edge::KvRange>(&call.Operation))
-    Outside.call<edge::KvRangeResult>(
+    Platform.call<edge::KvRangeResult>(
         [range = *range](test::FakeKv &kv, TimePoint now) {
           return kv.range(range, now);
         },
-        tell);
+        complete);
   else if (const auto *write =
                std::get_if<edge::KvTransaction>(&call.Operation)) {
-    On.Reached(Step::Lease);
-    Outside.call<edge::KvTransactionResult>(
+    Callbacks.StepReached(Step::Lease);
+    Platform.call<edge::KvTransactionResult>(
         [write = *write](test::FakeKv &kv, TimePoint now) {
           return kv.commit(write, now);
         },
-        tell);
+        complete);
   } else if (const auto *grant = std::get_if<swap::GrantLease>(&call.Operation))
     onLease([time = grant->TimeToLive](test::FakeKv &kv, TimePoint now) {
       return kv.grant(time, now);
--- a/tests/matrix/agent_host.h
+++ b/tests/matrix/agent_host.h
@@ -18,17 +18,17 @@
   struct Hooks {
     std::function<TimePoint()> Now;
     std::function<WallTime()> Wall;
-    std::function<void(Duration, std::function<void()>)> After;
+    std::function<void(Duration, std::function<void()>)> Schedule;
     std::function<void(uint32_t link, wire::Message message)> Send;
-    std::function<void(Step)> Reached;
+    std::function<void(Step)> StepReached;
     /// When the request was first offered to this agent.
     std::function<TimePoint(const RequestId &)> OfferedAt;
     std::function<void()> Exit; ///< The drained process ends.
     RandomSource Random;
   };
   AgentHost(std::string name, Incarnation process, std::string serves,
-            bool isService, Engine &engine, Platform &platform,
-            PromiseCheck &check, Hooks hooks);
+            bool isService, Engine &engine, FakePlatform &platform,
+            InvariantChecker &check, Hooks hooks);
 
   void start();
   void apply(serve::AgentInput input);
@@ -46,7 +46,7 @@
   bool ImportsUnverified = false; ///< Gives the engine half-read pieces.
 
 private:
-  void carryOut(serve::AgentAction action);
+  void performAction(serve::AgentAction action);
   void on(serve::SendMessage action);
   void on(const serve::StartRun &action);
   void on(const serve::CancelRun &action);
@@ -61,19 +61,20 @@
   void on(const serve::CallStore &action);
   void on(const serve::CancelStoreCall &action);
   void on(const serve::RecordEvent &action);
-  void answerStore(serve::CallId call, serve::StoreResult result);
-  void tellSlot(uint64_t number, decltype(swap::SlotResult::Response) result);
+  void completeStoreCall(serve::CallId call, serve::StoreResult result);
+  void completeSlotCall(uint64_t number,
+                        decltype(swap::SlotResult::Response) result);
   void checkExit();
 
   std::string Name;
   std::string Serves;
   bool IsService;
   Engine &Server;
-  Platform &Outside;
-  PromiseCheck &Check;
-  Hooks On;
+  FakePlatform &Platform;
+  InvariantChecker &Checker;
+  Hooks Callbacks;
   serve::AgentCore Core;
-  std::optional<TimePoint> Armed;
+  std::optional<TimePoint> ArmedTimer;
   bool Draining = false;
   bool Exited = false;
   std::map<serve::CallId, serve::StoreHandle> StoreCalls; ///< Not answered yet.
--- a/tests/matrix/cluster.cpp
+++ b/tests/matrix/cluster.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Duration StoryLength{60'000'000};
+constexpr Duration WorkloadDuration{60'000'000};
 
 std::string keyHash(const std::string &organisation) {
   return hexDigest(sha256("key of " + organisation));
@@ -20,8 +20,8 @@
   return out;
 }
 
-uint64_t seedOf(const Plan &plan) {
-  uint64_t out = 1 + static_cast<uint64_t>(plan.At);
+uint64_t seedOf(const FaultPlan &plan) {
+  uint64_t out = 1 + static_cast<uint64_t>(plan.TriggerStep);
   for (Fault it : plan.Faults)
     out = out * 31 + static_cast<uint64_t>(it);
   return out;
@@ -29,8 +29,8 @@
 
 } // namespace
 
-World::World(Plan plan)
-    : What(std::move(plan)), Outside(Queue), Random(seedOf(What)), Links(1) {
+SimulatedCluster::SimulatedCluster(FaultPlan plan)
+    : Plan(std::move(plan)), Platform(Queue), Random(seedOf(Plan)), Links(1) {
   configure();
   addProcess("e0", true, "");
   addProcess("e1", true, "");
@@ -40,40 +40,43 @@
     addProcess(name, false, "portal");
 }
 
-Outcomes World::run() {
+RunResult SimulatedCluster::run() {
   for (auto &[name, process] : Processes)
     startProcess(process);
-  schedule();
-  Queue.runUntil(Queue.now() + StoryLength);
+  scheduleWorkload();
+  Queue.runUntil(Queue.now() + WorkloadDuration);
   finalChecks();
-  Outcomes out{
-      Check.verdict(), {}, Struck, Check.submissions(), Check.completed()};
-  for (size_t i = 0; i < Promises; ++i)
-    out.Broken[i] = Check.isBroken(static_cast<Promise>(i));
+  RunResult out{Checker.firstViolation(),
+                {},
+                Injected,
+                Checker.submissions(),
+                Checker.completed()};
+  for (size_t i = 0; i < InvariantCount; ++i)
+    out.Violated[i] = Checker.isViolated(static_cast<Invariant>(i));
   return out;
 }
 
-void World::configure() {
+void SimulatedCluster::configure() {
   for (const char *name : {"growers", "wholesalers"})
-    Outside.preset(makeOrganisation(name));
-  Outside.preset(Model{"market", "v1", "", 1});
-  RequestClass usual;
-  usual.Name = "default";
-  usual.Deadline = Duration(12'000'000);
-  usual.Keep = KeepRule::Always;
-  Outside.preset(usual);
-  RequestClass bulletin = usual;
+    Platform.putConfig(makeOrganisation(name));
+  Platform.putConfig(Model{"market", "v1", "", 1});
+  RequestClass standard;
+  standard.Name = "default";
+  standard.Deadline = Duration(12'000'000);
+  standard.Keep = KeepRule::Always;
+  Platform.putConfig(standard);
+  RequestClass bulletin = standard;
   bulletin.Name = "bulletin";
-  Outside.preset(bulletin);
+  Platform.putConfig(bulletin);
   PlainService portal;
   portal.Name = "portal";
   portal.Deadline = Duration(12'000'000);
-  Outside.preset(portal);
-  KvSeen = Outside.Kv.revision();
+  Platform.putConfig(portal);
+  KvSeen = Platform.Kv.revision();
 }
 
-void World::addProcess(const std::string &name, bool isEntry,
-                       const std::string &serves) {
+void SimulatedCluster::addProcess(const std::string &name, bool isEntry,
+                                  const std::string &serves) {
   Process &process = Processes[name];
   process.Name = name;
   process.IsEntry = isEntry;
@@ -88,27 +91,27 @@
   member.Work = {"127.0.0.1", 1};
   member.Peer = {"127.0.0.1", static_cast<uint16_t>(1000 + Processes.size())};
   ByPeer[member.Peer] = name;
-  Outside.list(member);
+  Platform.addMember(member);
   if (!isEntry)
-    process.Server = std::make_unique<Engine>(name, member.IsService, Check,
+    process.Server = std::make_unique<Engine>(name, member.IsService, Checker,
                                               engineHooks(name));
-  if (What.Seeded == Defect::KeysByOldVersion && process.Server)
-    process.Server->MixesVersions = true;
+  if (Plan.Seeded == Defect::KeepsOldPieceKeys && process.Server)
+    process.Server->KeepsCacheOnLoad = true;
 }
 
-RandomSource World::random() {
+RandomSource SimulatedCluster::randomSource() {
   return [this] { return Random(); };
 }
 
-Engine::Hooks World::engineHooks(const std::string &name) {
+Engine::Hooks SimulatedCluster::engineHooks(const std::string &name) {
   Engine::Hooks out;
-  out.After = [this](Duration delay, EventQueue::Action action) {
-    Queue.after(delay, std::move(action));
+  out.Schedule = [this](Duration delay, EventQueue::Action action) {
+    Queue.schedule(delay, std::move(action));
   };
-  out.Tell = [this, name](serve::AgentInput input) {
+  out.Notify = [this, name](serve::AgentInput input) {
     Process &process = Processes.at(name);
-    after(name, process.Life, Duration(500),
-          [this, name, input] { Processes.at(name).Agent->apply(input); });
+    scheduleIn(name, process.Generation, Duration(500),
+               [this, name, input] { Processes.at(name).Agent->apply(input); });
   };
   out.SubmissionOf = [this](const RequestId &id) {
     auto it = SubmissionOf.find(id);
@@ -118,50 +121,53 @@
   return out;
 }
 
-void World::startProcess(Process &process) {
-  ++process.Life;
+void SimulatedCluster::startProcess(Process &process) {
+  ++process.Generation;
   process.Alive = true;
   process.Leaving = false;
   constexpr Duration StartTime{5'000'000};
-  process.DisturbedUntil =
+  process.UnstableUntil =
       std::max(Queue.now(), process.PausedUntil) + StartTime;
   const std::string name = process.Name;
-  uint64_t life = process.Life;
+  uint64_t generation = process.Generation;
   process.Control = std::make_unique<ControlHost>(
-      process.Self, seeds(), Incarnation{Random(), life}, Outside, Check,
-      controlHooks(name, life));
+      process.Self, seeds(), Incarnation{Random(), generation}, Platform,
+      Checker, controlHooks(name, generation));
   if (process.IsEntry)
     startEntry(process);
   else
     startAgent(process);
-  seed(process);
+  applyDefect(process);
   process.Control->start();
   if (process.Agent)
     process.Agent->start();
 }
 
-std::vector<Endpoint> World::seeds() const {
+std::vector<Endpoint> SimulatedCluster::seeds() const {
   std::vector<Endpoint> out;
   for (const auto &[peer, name] : ByPeer)
     out.push_back(peer);
   return out;
 }
 
-ControlHost::Hooks World::controlHooks(const std::string &name, uint64_t life) {
+ControlHost::Hooks SimulatedCluster::controlHooks(const std::string &name,
+                                                  uint64_t generation) {
   ControlHost::Hooks hooks;
   hooks.Now = [this] { return Queue.now(); };
-  hooks.After = [this, name, life](Duration delay, EventQueue::Action action) {
-    after(name, life, delay, std::move(action));
+  hooks.Schedule = [this, name, generation](Duration delay,
+                                            EventQueue::Action action) {
+    scheduleIn(name, generation, delay, std::move(action));
   };
-  hooks.Send = [this, name, life](const Endpoint &peer, std::string bytes) {
+  hooks.Send = [this, name, generation](const Endpoint &peer,
+                                        std::string bytes) {
     const Process &self = Processes.at(name);
-    if (self.Alive && self.Life == life)
+    if (self.Alive && self.Generation == generation)
       sendPeer(name, ByPeer.at(peer), std::move(bytes));
   };
   hooks.Fetch = [this, name,
-                 life](const Endpoint &peer, control::Pull pull,
-                       std::function<void(control::StateUpdate)> done) {
-    fetch(name, life, ByPeer.at(peer), pull, std::move(done));
+                 generation](const Endpoint &peer, control::Pull pull,
+                             std::function<void(control::StateUpdate)> done) {
+    fetch(name, generation, ByPeer.at(peer), pull, std::move(done));
   };
   hooks.Published = [this, name](const Snapshot &snapshot) {
     Process &it = Processes.at(name);
@@ -170,22 +176,23 @@
     if (it.Agent)
       it.Agent->onConfig(snapshot);
   };
-  hooks.Reached = [this, name](Step step) { reached(step, name); };
-  hooks.Random = random();
+  hooks.StepReached = [this, name](Step step) { onStepReached(step, name); };
+  hooks.Random = randomSource();
   return hooks;
 }
 
-void World::startEntry(Process &process) {
+void SimulatedCluster::startEntry(Process &process) {
   const std::string name = process.Name;
-  uint64_t life = process.Life;
+  uint64_t generation = process.Generation;
   EntryHost::Hooks hooks;
   hooks.Now = [this] { return Queue.now(); };
   hooks.Wall = [this, name] {
     return WallTime(Queue.now().time_since_epoch() +
                     Processes.at(name).WallOffset);
   };
-  hooks.After = [this, name, life](Duration delay, EventQueue::Action action) {
-    after(name, life, delay, std::move(action));
+  hooks.Schedule = [this, name, generation](Duration delay,
+                                            EventQueue::Action action) {
+    scheduleIn(name, generation, delay, std::move(action));
   };
   hooks.Connect = [this, name](const std::string &server) {
     connect(name, server);
@@ -194,40 +201,41 @@
     sendToAgent(name, server, message);
   };
   hooks.RequestQuota = [this, name](const std::string &owner,
-                                    QuotaRequest ask) {
-    after(owner, Processes.at(owner).Life, Duration(1'000),
-          [this, name, owner, ask] {
-            QuotaGrant grant = Processes.at(owner).Entry->grant(ask);
-            after(name, Processes.at(name).Life, Duration(1'000),
-                  [this, name, grant] {
-                    Processes.at(name).Entry->onGrant(grant);
-                  });
-          });
+                                    QuotaRequest request) {
+    scheduleIn(owner, Processes.at(owner).Generation, Duration(1'000),
+               [this, name, owner, request] {
+                 QuotaGrant grant = Processes.at(owner).Entry->grant(request);
+                 scheduleIn(name, Processes.at(name).Generation,
+                            Duration(1'000), [this, name, grant] {
+                              Processes.at(name).Entry->onGrant(grant);
+                            });
+               });
   };
-  hooks.Reached = [this, name](Step step) { reached(step, name); };
+  hooks.StepReached = [this, name](Step step) { onStepReached(step, name); };
   hooks.Exit = [this, name] {
-    Outside.setState(name, MemberState::Gone);
+    Platform.setMemberState(name, MemberState::Gone);
     kill(Processes.at(name));
   };
-  hooks.Random = random();
-  process.Entry = std::make_unique<EntryHost>(name, Outside, Check,
+  hooks.Random = randomSource();
+  process.Entry = std::make_unique<EntryHost>(name, Platform, Checker,
                                               *process.Control, hooks);
 }
 
-void World::startAgent(Process &process) {
+void SimulatedCluster::startAgent(Process &process) {
   const std::string name = process.Name;
-  uint64_t life = process.Life;
+  uint64_t generation = process.Generation;
   AgentHost::Hooks hooks;
   hooks.Now = [this] { return Queue.now(); };
-  hooks.After = [this, name, life](Duration delay, EventQueue::Action action) {
-    after(name, life, delay, std::move(action));
+  hooks.Schedule = [this, name, generation](Duration delay,
+                                            EventQueue::Action action) {
+    scheduleIn(name, generation, delay, std::move(action));
   };
   hooks.Send = [this, name](uint32_t link, const wire::Message &message) {
     sendToEntry(name, link, message);
   };
-  hooks.Reached = [this, name](Step step) { reached(step, name); };
+  hooks.StepReached = [this, name](Step step) { onStepReached(step, name); };
   hooks.Exit = [this, name] {
-    Outside.setState(name, MemberState::Gone);
+    Platform.setMemberState(name, MemberState::Gone);
     kill(Processes.at(name));
   };
   hooks.Wall = [this, name] {
@@ -237,20 +245,20 @@
   hooks.OfferedAt = [this, name](const RequestId &id) {
     return OfferedAt[{name, id}];
   };
-  hooks.Random = random();
+  hooks.Random = randomSource();
   process.Agent = std::make_unique<AgentHost>(
-      name, Incarnation{Random(), life}, process.Serves,
-      process.Serves == "portal", *process.Server, Outside, Check, hooks);
+      name, Incarnation{Random(), generation}, process.Serves,
+      process.Serves == "portal", *process.Server, Platform, Checker, hooks);
 }
 
-void World::seed(Process &process) {
-  Defect it = What.Seeded;
+void SimulatedCluster::applyDefect(Process &process) {
+  Defect it = Plan.Seeded;
   if (process.Entry) {
-    process.Entry->MixesCallers = it == Defect::MixesCallers;
-    process.Entry->KeysByOldVersion = it == Defect::KeysByOldVersion;
+    process.Entry->AnswersWrongCaller = it == Defect::AnswersWrongCaller;
+    process.Entry->KeepsOldPieceKeys = it == Defect::KeepsOldPieceKeys;
     process.Entry->DropsChunks = it == Defect::DropsChunks;
-    process.Entry->TellsNotRunAlways = it == Defect::TellsNotRunAlways;
-    process.Entry->RepeatsCalls = it == Defect::RepeatsCalls;
+    process.Entry->AlwaysReportsNotRun = it == Defect::AlwaysReportsNotRun;
+    process.Entry->RetriesAnyCall = it == Defect::RetriesAnyCall;
     process.Entry->IgnoresLeaving = it == Defect::IgnoresLeaving;
   }
   if (process.Agent) {
@@ -258,7 +266,7 @@
     process.Agent->IgnoresDrain = it == Defect::IgnoresLeaving;
     process.Agent->ExitsAtOnce = it == Defect::ExitsAtOnce;
   }
-  process.Control->LastImageWins = it == Defect::LastImageWins;
+  process.Control->AcceptsOlderState = it == Defect::AcceptsOlderState;
 }
 
 } // namespace daisytack::matrix
--- a/tests/matrix/cluster.h
+++ b/tests/matrix/cluster.h
@@ -20,37 +20,37 @@
 enum class Defect : uint8_t {
   None,
   ImportsUnverified,
-  MixesCallers,
-  KeysByOldVersion,
+  AnswersWrongCaller,
+  KeepsOldPieceKeys,
   DropsChunks,
-  TellsNotRunAlways,
-  RepeatsCalls,
+  AlwaysReportsNotRun,
+  RetriesAnyCall,
   IgnoresLeaving,
   ExitsAtOnce,
-  LastImageWins,
+  AcceptsOlderState,
 };
 
-struct Plan {
-  Step At = Step::Count; ///< Count: no fault.
-  uint32_t Skip = 0;     ///< The step is passed so many times before.
+struct FaultPlan {
+  Step TriggerStep = Step::Count; ///< Count: no fault.
+  uint32_t SkippedPasses = 0;     ///< The step is passed so many times before.
   std::vector<Fault> Faults;
-  Duration Between{0}; ///< From one fault to the next.
+  Duration FaultInterval{0}; ///< From one fault to the next.
   Defect Seeded = Defect::None;
 };
 
 /// What became of a plan.
-struct Outcomes {
-  std::string Verdict; ///< Empty: all promises held.
-  std::array<bool, Promises> Broken{};
-  bool Struck = false; ///< The step was reached.
+struct RunResult {
+  std::string Violation; ///< Empty: all promises held.
+  std::array<bool, InvariantCount> Violated{};
+  bool Injected = false; ///< The step was reached.
   size_t Submissions = 0;
   size_t Completed = 0;
 };
 
-class World {
+class SimulatedCluster {
 public:
-  explicit World(Plan plan);
-  Outcomes run();
+  explicit SimulatedCluster(FaultPlan plan);
+  RunResult run();
 
 private:
   struct Process {
@@ -58,11 +58,11 @@
     bool IsEntry = false;
     std::string Serves;
     Member Self;
-    uint64_t Life = 0;
+    uint64_t Generation = 0;
     bool Alive = false;
     bool Leaving = false;
     TimePoint PausedUntil;
-    TimePoint DisturbedUntil; ///< Too lately started or woken to be judged.
+    TimePoint UnstableUntil; ///< Too lately started or woken to be judged.
     Duration WallOffset{0};
     std::unique_ptr<ControlHost> Control;
     std::unique_ptr<EntryHost> Entry;
@@ -71,15 +71,15 @@
   };
   struct Link {
     std::string Entry;
-    uint64_t EntryLife = 0;
+    uint64_t EntryGeneration = 0;
     std::string Agent;
-    uint64_t AgentLife = 0;
+    uint64_t AgentGeneration = 0;
     bool Open = true;
   };
   /// What happens to the next messages of a process.
   struct MessageFault {
     Fault Kind = Fault::Count;
-    uint32_t Left = 0;
+    uint32_t Remaining = 0;
   };
 
   // Set-up (world.cpp).
@@ -90,17 +90,18 @@
   void startEntry(Process &process);
   void startAgent(Process &process);
   std::vector<Endpoint> seeds() const;
-  ControlHost::Hooks controlHooks(const std::string &name, uint64_t life);
+  ControlHost::Hooks controlHooks(const std::string &name, uint64_t generation);
   Engine::Hooks engineHooks(const std::string &name);
-  void seed(Process &process);
-  RandomSource random();
+  void applyDefect(Process &process);
+  RandomSource randomSource();
 
   // Processes and links (world_links.cpp).
-  void after(const std::string &name, uint64_t life, Duration delay,
-             EventQueue::Action action);
+  void scheduleIn(const std::string &name, uint64_t generation, Duration delay,
+                  EventQueue::Action action);
   void kill(Process &process);
   void connect(const std::string &entry, const std::string &agent);
-  uint32_t linkOf(const std::string &entry, const std::string &agent) const;
+  uint32_t findOpenLink(const std::string &entry,
+                        const std::string &agent) const;
   void sendToAgent(const std::string &entry, const std::string &agent,
                    const wire::Message &message);
   void sendToEntry(const std::string &agent, uint32_t link,
@@ -110,47 +111,48 @@
   void closeLink(uint32_t link);
   void sendPeer(const std::string &from, const std::string &to,
                 std::string bytes);
-  void fetch(const std::string &from, uint64_t life, const std::string &to,
-             const control::Pull &pull,
+  void fetch(const std::string &from, uint64_t generation,
+             const std::string &to, const control::Pull &pull,
              std::function<void(control::StateUpdate)> done);
-  std::optional<Fault> messageFate(const std::string &from);
+  std::optional<Fault> takeMessageFault(const std::string &from);
 
   // Faults (world_faults.cpp).
-  void reached(Step step, const std::string &actor);
-  void strike(Fault fault, const std::string &actor);
-  void strikeProcess(Fault fault, Process &process);
-  void strikeServer(Fault fault, Process &agent);
-  void heal();
+  void onStepReached(Step step, const std::string &actor);
+  void injectFault(Fault fault, const std::string &actor);
+  void injectProcessFault(Fault fault, Process &process);
+  void injectServerFault(Fault fault, Process &agent);
+  void clearFaults();
 
   // The story (world_story.cpp).
-  void schedule();
-  void at(double seconds, EventQueue::Action action);
+  void scheduleWorkload();
+  void scheduleAt(double seconds, EventQueue::Action action);
   uint64_t submit(Submission submission, const std::string &entry);
-  Submission prompt(const std::string &organisation, const std::string &kind);
-  Submission call(const std::string &organisation, Naming naming);
+  Submission makePrompt(const std::string &organisation,
+                        const std::string &kind);
+  Submission makeCall(const std::string &organisation, CallKeyKind keyKind);
   void propose(const std::string &entry, const control::ObjectKey &key,
                control::ObjectEdit edit);
-  void watchCommand(const Id128 &id, const control::CommandResult &result);
-  void noteCommands();
+  void onCommandDone(const Id128 &id, const control::CommandResult &result);
+  void recordConfigWrites();
   /// Notes commands at each interval of the watch.
-  void watchCommands();
+  void pollConfigWrites();
   void drain(const std::string &name);
   void resumeStreams(Process &dying);
-  void checkSpread(uint64_t revision);
+  void checkPropagation(uint64_t revision);
   void finalChecks();
 
-  Plan What;
+  FaultPlan Plan;
   EventQueue Queue;
-  PromiseCheck Check;
-  Platform Outside;
+  InvariantChecker Checker;
+  FakePlatform Platform;
   std::mt19937_64 Random;
   std::map<std::string, Process> Processes;
   std::map<Endpoint, std::string> ByPeer;
   std::vector<Link> Links; ///< Number 0 is never used.
   std::map<std::string, MessageFault> MessageFaults;
-  std::vector<std::unique_ptr<ControlHost>> DeadControls;
-  std::vector<std::unique_ptr<EntryHost>> DeadEntries;
-  std::vector<std::unique_ptr<AgentHost>> DeadAgents;
+  std::vector<std::unique_ptr<ControlHost>> StoppedControls;
+  std::vector<std::unique_ptr<EntryHost>> StoppedEntries;
+  std::vector<std::unique_ptr<AgentHost>> StoppedAgents;
   std::map<RequestId, uint64_t> SubmissionOf;
   std::map<std::pair<std::string, RequestId>, TimePoint> OfferedAt;
   std::map<uint64_t, Submission> Submitted;
@@ -162,11 +164,11 @@
   uint64_t NextSubmission = 0;
   std::string LastAgent = "a0";
   bool Started = false;
-  uint32_t Passed = 0; ///< Times that the plan's step was reached.
-  bool Struck = false;
+  uint32_t StepPasses = 0; ///< Times that the plan's step was reached.
+  bool Injected = false;
   bool WatchGap = false;
-  bool LoseNextCommand = false;
-  TimePoint ServiceTroubledUntil;
+  bool LoseNextCommandAnswer = false;
+  TimePoint KvUnstableUntil;
 };
 
 } // namespace daisytack::matrix
--- a/tests/matrix/cluster_faults.cpp
+++ b/tests/matrix/cluster_faults.cpp
@@ -5,122 +5,123 @@
 
 namespace {
 
-constexpr Duration Outage{8'000'000};
-constexpr Duration Pause{15'000'000};
+constexpr Duration FaultDuration{8'000'000};
+constexpr Duration PauseDuration{15'000'000};
 constexpr Duration RestartTime{200'000};
 constexpr Duration ServerRestart{4'000'000};
 constexpr Duration WallStep{3'600'000'000};
-constexpr uint32_t MessagesHit = 3;
+constexpr uint32_t AffectedMessages = 3;
 constexpr uint32_t SlowFactor = 10;
 
 } // namespace
 
-void World::reached(Step step, const std::string &actor) {
+void SimulatedCluster::onStepReached(Step step, const std::string &actor) {
   if (Processes.at(actor).Agent)
     LastAgent = actor;
-  if (!Started || Struck || step != What.At || Passed++ < What.Skip)
+  if (!Started || Injected || step != Plan.TriggerStep ||
+      StepPasses++ < Plan.SkippedPasses)
     return;
-  Struck = true;
+  Injected = true;
   Duration delay{0};
-  for (Fault it : What.Faults) {
+  for (Fault it : Plan.Faults) {
     if (delay.count() == 0)
-      strike(it, actor);
+      injectFault(it, actor);
     else
-      Queue.after(delay, [this, it, actor] { strike(it, actor); });
-    delay += What.Between;
+      Queue.schedule(delay, [this, it, actor] { injectFault(it, actor); });
+    delay += Plan.FaultInterval;
   }
-  Queue.after(Outage, [this] { heal(); });
+  Queue.schedule(FaultDuration, [this] { clearFaults(); });
 }
 
-void World::strike(Fault fault, const std::string &actor) {
+void SimulatedCluster::injectFault(Fault fault, const std::string &actor) {
   Process &process = Processes.at(actor);
   switch (fault) {
   case Fault::ProcessDies:
   case Fault::RestartsEmpty:
   case Fault::PausesPastLease:
   case Fault::ClockSteps:
-    return strikeProcess(fault, process);
+    return injectProcessFault(fault, process);
   case Fault::MessageLost:
   case Fault::MessageDuplicated:
   case Fault::MessageLate:
   case Fault::MessageCrossed:
-    MessageFaults[actor] = {fault, MessagesHit};
+    MessageFaults[actor] = {fault, AffectedMessages};
     return;
   case Fault::ServiceDown:
-    Outside.KvDown = true;
-    ServiceTroubledUntil = Queue.now() + Outage * 2;
+    Platform.KvDown = true;
+    KvUnstableUntil = Queue.now() + FaultDuration * 2;
     return;
   case Fault::ServiceSlow:
-    Outside.KvSlow = true;
-    ServiceTroubledUntil = Queue.now() + Outage * 2;
+    Platform.KvSlow = true;
+    KvUnstableUntil = Queue.now() + FaultDuration * 2;
     return;
   case Fault::ServiceAnswerLost:
-    Outside.LoseKvAnswers = MessagesHit;
+    Platform.LoseKvAnswers = AffectedMessages;
     return;
   case Fault::WatchGap:
     WatchGap = true;
     return;
   case Fault::StoreDead:
-    Outside.StoreDead = true;
+    Platform.StoreDead = true;
     return;
   case Fault::StoreFull:
-    return Outside.fillStores();
+    return Platform.fillStores();
   case Fault::StoreSlow:
-    Outside.StoreSlow = true;
+    Platform.StoreSlow = true;
     return;
   case Fault::StoreTorn:
-    return Outside.tearStores();
+    return Platform.truncatePieces();
   case Fault::StoreFreed:
-    return Outside.freeStores();
+    return Platform.freePieces();
   case Fault::ListLags:
-    Outside.ListLags = true;
+    Platform.ListLags = true;
     return;
   case Fault::ServerSlow:
   case Fault::ServerDies:
   case Fault::ServerLeaves:
   case Fault::ServerIgnoresFencing:
-    return strikeServer(fault,
-                        process.Server ? process : Processes.at(LastAgent));
+    return injectServerFault(fault, process.Server ? process
+                                                   : Processes.at(LastAgent));
   case Fault::Count:
     return;
   }
 }
 
-void World::strikeProcess(Fault fault, Process &process) {
+void SimulatedCluster::injectProcessFault(Fault fault, Process &process) {
   if (fault == Fault::ClockSteps) {
     process.WallOffset += Random() % 2 == 0 ? WallStep : -WallStep;
     return;
   }
   if (fault == Fault::PausesPastLease) {
-    process.PausedUntil = Queue.now() + Pause;
-    process.DisturbedUntil = process.PausedUntil + Duration(5'000'000);
+    process.PausedUntil = Queue.now() + PauseDuration;
+    process.UnstableUntil = process.PausedUntil + Duration(5'000'000);
     for (const auto &[submission, entry] : EntryOf)
       if (entry == process.Name)
-        Check.entryPaused(submission);
+        Checker.onEntryPaused(submission);
     return;
   }
   kill(process);
   if (fault == Fault::ProcessDies) {
-    Outside.setState(process.Name, MemberState::Gone);
+    Platform.setMemberState(process.Name, MemberState::Gone);
     return;
   }
-  Queue.after(RestartTime, [this, &process] {
+  Queue.schedule(RestartTime, [this, &process] {
     if (!process.Alive)
       startProcess(process);
   });
 }
 
-void World::strikeServer(Fault fault, Process &agent) {
+void SimulatedCluster::injectServerFault(Fault fault, Process &agent) {
   Engine &server = *agent.Server;
   switch (fault) {
   case Fault::ServerSlow:
     server.SlowFactor = SlowFactor;
-    server.CrossAnswers = MessagesHit;
-    server.DoubleChunks = MessagesHit;
+    server.MisattributedTexts = AffectedMessages;
+    server.DuplicatedTexts = AffectedMessages;
     return;
   case Fault::ServerDies:
-    server.die();
-    Queue.after(ServerRestart, [&server] { server.revive(); });
+    server.crash();
+    Queue.schedule(ServerRestart, [&server] { server.restart(); });
     return;
   case Fault::ServerLeaves:
     return drain(agent.Name);
@@ -130,14 +131,14 @@
   }
 }
 
-void World::heal() {
-  Outside.KvDown = false;
-  Outside.KvSlow = false;
-  Outside.LoseKvAnswers = 0;
-  Outside.ListLags = false;
-  Outside.StoreDead = false;
-  Outside.StoreSlow = false;
-  Outside.TearWrites = false;
+void SimulatedCluster::clearFaults() {
+  Platform.KvDown = false;
+  Platform.KvSlow = false;
+  Platform.LoseKvAnswers = 0;
+  Platform.ListLags = false;
+  Platform.StoreDead = false;
+  Platform.StoreSlow = false;
+  Platform.TruncateWrites = false;
   WatchGap = false;
   MessageFaults.clear();
   for (auto &[name, process] : Processes)
--- a/tests/matrix/cluster_workload.cpp
+++ b/tests/matrix/cluster_workload.cpp
@@ -9,23 +9,23 @@
 
 namespace {
 
-constexpr Duration CallTime{10'000'000};
+constexpr Duration CallTimeout{10'000'000};
 /// Processes learn configuration and members before the story begins.
 constexpr Duration StartTime{2'000'000};
-constexpr Duration KvWatchInterval{5'000};
+constexpr Duration KvPollInterval{5'000};
 /// "Within seconds", at the letter's figure.
-constexpr Duration SpreadTime{8'000'000};
+constexpr Duration PropagationTimeout{8'000'000};
 const std::vector<std::string> Organisations{"growers", "wholesalers"};
 
 } // namespace
 
-void World::at(double seconds, EventQueue::Action action) {
-  Queue.after(StartTime + Duration(static_cast<int64_t>(seconds * 1e6)),
-              std::move(action));
+void SimulatedCluster::scheduleAt(double seconds, EventQueue::Action action) {
+  Queue.schedule(StartTime + Duration(static_cast<int64_t>(seconds * 1e6)),
+                 std::move(action));
 }
 
-Submission World::prompt(const std::string &organisation,
-                         const std::string &kind) {
+Submission SimulatedCluster::makePrompt(const std::string &organisation,
+                                        const std::string &kind) {
   Submission out;
   out.Model = "market";
   out.Class = kind == "bulletin" ? "bulletin" : "default";
@@ -36,17 +36,19 @@
   return out;
 }
 
-Submission World::call(const std::string &organisation, Naming naming) {
+Submission SimulatedCluster::makeCall(const std::string &organisation,
+                                      CallKeyKind keyKind) {
   Submission out;
   out.Chunks = 1;
-  out.Named = naming;
+  out.KeyKind = keyKind;
   out.Call.Idempotent = false;
   out.Call.Number = ++NextCall;
   out.Call.Organisation = organisation;
   return out;
 }
 
-uint64_t World::submit(Submission submission, const std::string &entry) {
+uint64_t SimulatedCluster::submit(Submission submission,
+                                  const std::string &entry) {
   const Process *to = &Processes.at(entry);
   if (!to->Alive)
     to = &Processes.at(entry == "e0" ? "e1" : "e0");
@@ -54,107 +56,111 @@
     return 0;
   submission.Number = ++NextSubmission;
   submission.Id = {0xCA11, submission.Number};
-  submission.Call.Deadline = Queue.now() + CallTime;
+  submission.Call.Deadline = Queue.now() + CallTimeout;
   submission.Call.Expected =
-      wholeAnswer({submission.Call.Number, submission.Call.Organisation,
-                   submission.Chunks});
+      fullAnswer({submission.Call.Number, submission.Call.Organisation,
+                  submission.Chunks});
   SubmissionOf[submission.Id] = submission.Number;
   Submitted[submission.Number] = submission;
   EntryOf[submission.Number] = to->Name;
-  Check.submitted(submission.Number, submission.Call);
-  after(to->Name, to->Life, Duration(0), [this, name = to->Name, submission] {
-    Processes.at(name).Entry->submit(submission);
-  });
+  Checker.onSubmitted(submission.Number, submission.Call);
+  scheduleIn(to->Name, to->Generation, Duration(0),
+             [this, name = to->Name, submission] {
+               Processes.at(name).Entry->submit(submission);
+             });
   return submission.Number;
 }
 
-void World::watchCommands() {
-  Queue.after(KvWatchInterval, [this] {
-    noteCommands();
-    watchCommands();
+void SimulatedCluster::pollConfigWrites() {
+  Queue.schedule(KvPollInterval, [this] {
+    recordConfigWrites();
+    pollConfigWrites();
   });
 }
 
-void World::schedule() {
-  at(1.0, [this] { Started = true; });
-  watchCommands();
+void SimulatedCluster::scheduleWorkload() {
+  scheduleAt(1.0, [this] { Started = true; });
+  pollConfigWrites();
   for (int i = 0; i < 60; ++i) {
-    at(1.1 + 0.31 * i, [this, i] {
-      submit(prompt(Organisations[i % 2], i % 7 == 3 ? "stream" : "whole"),
+    scheduleAt(1.1 + 0.31 * i, [this, i] {
+      submit(makePrompt(Organisations[i % 2], i % 7 == 3 ? "stream" : "whole"),
              i % 3 == 0 ? "e1" : "e0");
     });
   }
   // The engines' caches are emptied, so that context has to come back.
   for (double seconds : {2.0, 9.0, 15.0})
-    at(seconds, [this] {
+    scheduleAt(seconds, [this] {
       for (auto &[name, process] : Processes)
         if (process.Server)
           process.Server->clearCache();
     });
   for (int i = 0; i < 16; ++i) {
-    at(1.3 + 1.1 * i, [this, i] {
-      auto naming = static_cast<Naming>(i % 3);
-      Submission what = call(Organisations[i % 2], naming);
-      if (naming == Naming::OpaqueKey)
+    scheduleAt(1.3 + 1.1 * i, [this, i] {
+      auto keyKind = static_cast<CallKeyKind>(i % 3);
+      Submission what = makeCall(Organisations[i % 2], keyKind);
+      if (keyKind == CallKeyKind::OpaqueKey)
         what.Key = "order " + std::to_string(i);
       submit(what, "e0");
       // The same call again at the other entry: a caller that lost patience.
-      if (naming == Naming::OpaqueKey) {
-        Queue.after(Duration(30'000), [this, what] { submit(what, "e1"); });
-        Queue.after(Duration(5'000'000), [this, what] { submit(what, "e1"); });
+      if (keyKind == CallKeyKind::OpaqueKey) {
+        Queue.schedule(Duration(30'000), [this, what] { submit(what, "e1"); });
+        Queue.schedule(Duration(5'000'000),
+                       [this, what] { submit(what, "e1"); });
       }
     });
   }
   ObjectKey bulletin{ObjectKind::RequestClass, "bulletin"};
-  at(1.2, [this, bulletin] {
+  scheduleAt(1.2, [this, bulletin] {
     WallTime release(Queue.now().time_since_epoch() + Duration(4'000'000));
     propose("e0", bulletin, [release](auto &object, Error &) {
       std::get<RequestClass>(*object).ReleaseAt = release;
       return true;
     });
   });
-  at(2.5, [this] { submit(prompt(Organisations[0], "bulletin"), "e0"); });
-  at(2.6, [this] { submit(prompt(Organisations[1], "bulletin"), "e1"); });
+  scheduleAt(
+      2.5, [this] { submit(makePrompt(Organisations[0], "bulletin"), "e0"); });
+  scheduleAt(
+      2.6, [this] { submit(makePrompt(Organisations[1], "bulletin"), "e1"); });
   // Two operators at once.
-  ObjectKey usual{ObjectKind::RequestClass, "default"};
+  ObjectKey standard{ObjectKind::RequestClass, "default"};
   for (const char *entry : {"e0", "e1"})
-    at(3.0, [this, usual, entry] {
+    scheduleAt(3.0, [this, standard, entry] {
       uint32_t priority = entry[1] == '0' ? 4 : 6;
-      propose(entry, usual, [priority](auto &object, Error &) {
+      propose(entry, standard, [priority](auto &object, Error &) {
         std::get<RequestClass>(*object).Priority = priority;
         return true;
       });
     });
-  at(4.5, [this, usual] {
-    propose("e1", usual, [](auto &object, Error &) {
+  scheduleAt(4.5, [this, standard] {
+    propose("e1", standard, [](auto &object, Error &) {
       std::get<RequestClass>(*object).Priority = 7;
       return true;
     });
   });
-  ObjectKey guide{ObjectKind::ReusePolicy, "growers:default"};
-  at(6.0, [this, guide] {
-    LoseNextCommand = true;
-    propose("e0", guide, [](auto &object, Error &) {
+  ObjectKey reusePolicy{ObjectKind::ReusePolicy, "growers:default"};
+  scheduleAt(6.0, [this, reusePolicy] {
+    LoseNextCommandAnswer = true;
+    propose("e0", reusePolicy, [](auto &object, Error &) {
       object = ReusePolicy{"growers", "default"};
       return true;
     });
   });
   ObjectKey model{ObjectKind::Model, "market"};
   for (auto [seconds, version] : {std::pair(4.0, "v2"), std::pair(14.0, "v1")})
-    at(seconds, [this, model, wanted = std::string(version)] {
-      propose("e0", model, [wanted](auto &object, Error &) {
-        std::get<Model>(*object).Version = wanted;
+    scheduleAt(seconds, [this, model, desired = std::string(version)] {
+      propose("e0", model, [desired](auto &object, Error &) {
+        std::get<Model>(*object).Version = desired;
         return true;
       });
-      reached(Step::Swap, Processes.at("e0").Alive ? "e0" : "e1");
+      onStepReached(Step::Swap, Processes.at("e0").Alive ? "e0" : "e1");
     });
-  at(10.0, [this] { drain("a2"); });
-  at(11.0, [this] { drain("s1"); });
-  at(20.0, [this] { drain("e1"); });
+  scheduleAt(10.0, [this] { drain("a2"); });
+  scheduleAt(11.0, [this] { drain("s1"); });
+  scheduleAt(20.0, [this] { drain("e1"); });
 }
 
-void World::propose(const std::string &entry, const ObjectKey &key,
-                    ObjectEdit edit) {
+void SimulatedCluster::propose(const std::string &entry, const ObjectKey &key,
+                               ObjectEdit edit) {
   Process *to = &Processes.at(entry);
   if (!to->Alive)
     to = &Processes.at(entry == "e0" ? "e1" : "e0");
@@ -165,34 +171,37 @@
   command.Operator = "operator of " + entry;
   command.Key = key;
   command.Edit = std::move(edit);
-  after(to->Name, to->Life, Duration(0), [this, name = to->Name, command] {
-    if (std::exchange(LoseNextCommand, false))
-      Outside.LoseKvAnswers = 1;
-    Processes.at(name).Control->propose(
-        command, [this, id = command.Id](const CommandResult &result) {
-          watchCommand(id, result);
-        });
-  });
+  scheduleIn(
+      to->Name, to->Generation, Duration(0), [this, name = to->Name, command] {
+        if (std::exchange(LoseNextCommandAnswer, false))
+          Platform.LoseKvAnswers = 1;
+        Processes.at(name).Control->propose(
+            command, [this, id = command.Id](const CommandResult &result) {
+              onCommandDone(id, result);
+            });
+      });
 }
 
-void World::watchCommand(const Id128 &id, const CommandResult &result) {
-  noteCommands();
+void SimulatedCluster::onCommandDone(const Id128 &id,
+                                     const CommandResult &result) {
+  recordConfigWrites();
   Commands.emplace_back(id, result.Outcome);
   if (result.Outcome == CommandOutcome::Applied &&
       !WrittenCommands.contains(id))
-    Check.broken(Promise::ConfigurationStands,
-                 "a command was told as applied that never was");
+    Checker.recordViolation(Invariant::ConfigurationStands,
+                            "a command was told as applied that never was");
   if (result.Outcome == CommandOutcome::Applied && result.Revision > 0)
-    Queue.after(SpreadTime,
-                [this, revision = result.Revision] { checkSpread(revision); });
+    Queue.schedule(PropagationTimeout, [this, revision = result.Revision] {
+      checkPropagation(revision);
+    });
 }
 
 /// Sees every write to the configuration, and wakes the watches.
-void World::noteCommands() {
-  uint64_t revision = Outside.Kv.revision();
+void SimulatedCluster::recordConfigWrites() {
+  uint64_t revision = Platform.Kv.revision();
   if (revision == KvSeen)
     return;
-  for (const auto &[key, entry] : Outside.Kv.entries()) {
+  for (const auto &[key, entry] : Platform.Kv.entries()) {
     Error reason;
     auto parsed = parseObjectKey(key, reason);
     if (!parsed || entry.ModRevision <= KvSeen)
@@ -203,37 +212,38 @@
       WrittenCommands.insert(it.Command);
   }
   KvSeen = revision;
-  if (Outside.KvDown)
+  if (Platform.KvDown)
     return;
   for (auto &[name, process] : Processes)
-    after(name, process.Life, Duration(1'000), [this, name, gap = WatchGap] {
-      Processes.at(name).Control->onWatch(gap);
-    });
+    scheduleIn(name, process.Generation, Duration(1'000),
+               [this, name, gap = WatchGap] {
+                 Processes.at(name).Control->onWatch(gap);
+               });
 }
 
-void World::drain(const std::string &name) {
+void SimulatedCluster::drain(const std::string &name) {
   Process &process = Processes.at(name);
   if (!process.Alive || process.Leaving)
     return;
   process.Leaving = true;
-  Outside.setState(name, MemberState::Leaving);
-  Check.leaving(name, Queue.now());
-  after(name, process.Life, Duration(0), [this, name] {
+  Platform.setMemberState(name, MemberState::Leaving);
+  Checker.onLeaving(name, Queue.now());
+  scheduleIn(name, process.Generation, Duration(0), [this, name] {
     Process &it = Processes.at(name);
     if (it.Entry)
       return it.Entry->drain();
-    it.Control->sayLeaving();
+    it.Control->announceLeaving();
     it.Agent->drain();
   });
 }
 
 /// Callers of a dead entry see their connection break. Those with a stream
 /// take it up at the other entry.
-void World::resumeStreams(Process &dying) {
+void SimulatedCluster::resumeStreams(Process &dying) {
   for (const auto &[submission, entry] : EntryOf)
     if (entry == dying.Name)
-      Check.entryLost(submission);
-  for (const EntryHost::Open &it : dying.Entry->open()) {
+      Checker.onEntryDied(submission);
+  for (const EntryHost::OpenSubmission &it : dying.Entry->openSubmissions()) {
     const Submission &old = Submitted[it.Submission];
     if (!old.Stream || it.Chunks == 0)
       continue;
@@ -246,46 +256,46 @@
     std::string other = dying.Name == "e0" ? "e1" : "e0";
     Process &to = Processes.at(other);
     EntryOf[rest.Number] = other;
-    Check.submitted(rest.Number, rest.Call);
-    after(other, to.Life, Duration(300'000),
-          [this, other, rest, server = it.Server, from = it.Chunks] {
-            Processes.at(other).Entry->resume(rest, server, from);
-          });
+    Checker.onSubmitted(rest.Number, rest.Call);
+    scheduleIn(other, to.Generation, Duration(300'000),
+               [this, other, rest, server = it.Server, from = it.Chunks] {
+                 Processes.at(other).Entry->resume(rest, server, from);
+               });
   }
 }
 
-void World::checkSpread(uint64_t revision) {
-  if (Queue.now() < ServiceTroubledUntil)
+void SimulatedCluster::checkPropagation(uint64_t revision) {
+  if (Queue.now() < KvUnstableUntil)
     return;
   for (const auto &[name, process] : Processes)
-    if (process.Alive && Queue.now() >= process.DisturbedUntil &&
+    if (process.Alive && Queue.now() >= process.UnstableUntil &&
         process.Control->state().config().watermark() < revision)
-      Check.broken(Promise::ConfigurationStands, name + " has not revision " +
-                                                     std::to_string(revision) +
-                                                     " after 8 s");
+      Checker.recordViolation(Invariant::ConfigurationStands,
+                              name + " has not revision " +
+                                  std::to_string(revision) + " after 8 s");
 }
 
-void World::finalChecks() {
-  Check.checkAnswered(Queue.now());
-  noteCommands();
+void SimulatedCluster::finalChecks() {
+  Checker.checkAllAnswered(Queue.now());
+  recordConfigWrites();
   for (const auto &[id, outcome] : Commands) {
-    bool mustNot = outcome == CommandOutcome::Conflict ||
-                   outcome == CommandOutcome::Refused ||
-                   outcome == CommandOutcome::Unavailable;
-    if (mustNot && WrittenCommands.contains(id))
-      Check.broken(Promise::ConfigurationStands,
-                   "a command was applied that was told as " +
-                       std::string(commandOutcomeName(outcome)));
+    bool wasRejected = outcome == CommandOutcome::Conflict ||
+                       outcome == CommandOutcome::Refused ||
+                       outcome == CommandOutcome::Unavailable;
+    if (wasRejected && WrittenCommands.contains(id))
+      Checker.recordViolation(Invariant::ConfigurationStands,
+                              "a command was applied that was told as " +
+                                  std::string(commandOutcomeName(outcome)));
   }
   for (const auto &[name, process] : Processes)
-    for (const auto &[key, entry] : Outside.Kv.entries()) {
+    for (const auto &[key, entry] : Platform.Kv.entries()) {
       Error reason;
       if (!process.Alive || !parseObjectKey(key, reason))
         continue;
       const ReplicaEntry *copy = process.Control->state().config().find(key);
       if (copy == nullptr || copy->Revision != entry.ModRevision)
-        Check.broken(Promise::ConfigurationStands,
-                     name + " ends with another state of " + key);
+        Checker.recordViolation(Invariant::ConfigurationStands,
+                                name + " ends with another state of " + key);
     }
 }
 
--- a/tests/matrix/control_host.cpp
+++ b/tests/matrix/control_host.cpp
@@ -13,7 +13,7 @@
 constexpr Duration TickInterval{100'000};
 constexpr Duration ReadInterval{5'000'000};
 constexpr Duration ListInterval{1'000'000};
-constexpr Duration SeedPatience{1'500'000};
+constexpr Duration SeedTimeout{1'500'000};
 
 GossipInit makeInit(const Member &self, const std::vector<Endpoint> &seeds) {
   GossipInit out;
@@ -34,14 +34,16 @@
 } // namespace
 
 ControlHost::ControlHost(Member self, std::vector<Endpoint> seeds,
-                         Incarnation process, Platform &platform,
-                         PromiseCheck &check, Hooks hooks)
-    : Self(std::move(self)), Seeds(std::move(seeds)), Outside(platform),
-      Check(check), On(std::move(hooks)), State({}, [](const Event &) {}),
-      Talk(makeInit(Self, Seeds), State, On.Random),
-      Current(std::make_shared<const Snapshot>()), Started(On.Now()) {
-  Own.Generation = static_cast<uint64_t>(On.Now().time_since_epoch().count());
-  Own.Process = process;
+                         Incarnation process, FakePlatform &platform,
+                         InvariantChecker &check, Hooks hooks)
+    : Self(std::move(self)), Seeds(std::move(seeds)), Platform(platform),
+      Checker(check), Callbacks(std::move(hooks)),
+      State({}, [](const Event &) {}),
+      PeerGossip(makeInit(Self, Seeds), State, Callbacks.Random),
+      Current(std::make_shared<const Snapshot>()), Started(Callbacks.Now()) {
+  OwnSignal.Generation =
+      static_cast<uint64_t>(Callbacks.Now().time_since_epoch().count());
+  OwnSignal.Process = process;
 }
 
 bool ControlHost::isReady() const {
@@ -49,159 +51,162 @@
 }
 
 void ControlHost::start() {
-  Check.processStarted(Self.Name);
-  Talk.publishSignal({Self.Name, Own}, On.Now());
-  const Endpoint &seed = Seeds[On.Random() % Seeds.size()];
-  On.Fetch(seed, Talk.pullMessage(On.Now()),
-           [this](const StateUpdate &whole) { takeImage(whole); });
+  Checker.onProcessStarted(Self.Name);
+  PeerGossip.publishSignal({Self.Name, OwnSignal}, Callbacks.Now());
+  const Endpoint &seed = Seeds[Callbacks.Random() % Seeds.size()];
+  Callbacks.Fetch(
+      seed, PeerGossip.pullMessage(Callbacks.Now()),
+      [this](const StateUpdate &update) { mergeFullState(update); });
   tick();
 }
 
 void ControlHost::tick() {
-  TimePoint now = On.Now();
+  TimePoint now = Callbacks.Now();
   State.expire(now);
   if (!isReady())
-    setReading(now - Started >= SeedPatience);
+    setReader(now - Started >= SeedTimeout);
   else
-    setReading(
-        Choice.shouldRead(std::max(Talk.lastPlatformCall(), Started), now));
-  act(Talk.onTick(now));
-  changed();
-  On.After(TickInterval, [this] { tick(); });
+    setReader(ReaderSelection.shouldRead(
+        std::max(PeerGossip.lastPlatformCall(), Started), now));
+  performActions(PeerGossip.onTick(now));
+  publishChanges();
+  Callbacks.Schedule(TickInterval, [this] { tick(); });
 }
 
-void ControlHost::sayLeaving() {
-  Own.State = MemberState::Leaving;
-  Talk.publishSignal({Self.Name, Own}, On.Now());
-  act(Talk.onTick(On.Now()));
-  changed();
+void ControlHost::announceLeaving() {
+  OwnSignal.State = MemberState::Leaving;
+  PeerGossip.publishSignal({Self.Name, OwnSignal}, Callbacks.Now());
+  performActions(PeerGossip.onTick(Callbacks.Now()));
+  publishChanges();
 }
 
 void ControlHost::observeLeaving(const std::string &instance) {
-  State.observeLeaving(instance, On.Now());
-  changed();
+  State.observeLeaving(instance, Callbacks.Now());
+  publishChanges();
 }
 
-void ControlHost::setReading(bool wanted) {
-  if (wanted == IsReading)
+void ControlHost::setReader(bool enabled) {
+  if (enabled == IsReader)
     return;
-  IsReading = wanted;
-  ++Reading;
-  if (!wanted)
+  IsReader = enabled;
+  ++ReadEpoch;
+  if (!enabled)
     return;
-  readConfig(Reading);
-  readList(Reading);
+  readConfig(ReadEpoch);
+  readList(ReadEpoch);
 }
 
-void ControlHost::readConfig(uint64_t reading) {
-  if (reading != Reading)
+void ControlHost::readConfig(uint64_t epoch) {
+  if (epoch != ReadEpoch)
     return;
-  On.Reached(Step::Read);
+  Callbacks.StepReached(Step::Read);
   uint64_t from = State.config().watermark();
-  auto take = [this, from](const edge::KvRangeResult &result) {
+  auto merge = [this, from](const edge::KvRangeResult &result) {
     Error reason;
     bool isOk = result.Header.Status == edge::KvStatus::Ok;
-    Talk.recordPlatformCall(isOk, On.Now());
+    PeerGossip.recordPlatformCall(isOk, Callbacks.Now());
     if (!isOk || !State.acceptService(result.Header, from, reason))
       return;
-    Watched = std::max(Watched, result.Header.Revision);
+    WatchRevision = std::max(WatchRevision, result.Header.Revision);
     State.mergeConfig(toDelta(from, result.Header.Revision, result.Entries));
-    act(Talk.onTick(On.Now()));
-    changed();
+    performActions(PeerGossip.onTick(Callbacks.Now()));
+    publishChanges();
   };
-  Outside.call<edge::KvRangeResult>(
+  Platform.call<edge::KvRangeResult>(
       [from](test::FakeKv &kv, TimePoint now) {
         return kv.range(configSince(from), now);
       },
-      [this, take](const edge::KvRangeResult &result) {
-        On.After(Duration(0), [take, result] { take(result); });
+      [this, merge](const edge::KvRangeResult &result) {
+        Callbacks.Schedule(Duration(0), [merge, result] { merge(result); });
       });
-  On.After(ReadInterval, [this, reading] { readConfig(reading); });
+  Callbacks.Schedule(ReadInterval, [this, epoch] { readConfig(epoch); });
 }
 
 void ControlHost::onWatch(bool gap) {
-  if (!IsReading)
+  if (!IsReader)
     return;
-  edge::KvRangeResult news = Outside.Kv.range(configSince(Watched), On.Now());
-  uint64_t from = std::exchange(Watched, news.Header.Revision);
-  if (gap || news.Entries.empty())
+  edge::KvRangeResult changes =
+      Platform.Kv.range(configSince(WatchRevision), Callbacks.Now());
+  uint64_t from = std::exchange(WatchRevision, changes.Header.Revision);
+  if (gap || changes.Entries.empty())
     return;
-  State.mergeConfig(toDelta(from, Watched, news.Entries));
-  act(Talk.onTick(On.Now()));
-  changed();
+  State.mergeConfig(toDelta(from, WatchRevision, changes.Entries));
+  performActions(PeerGossip.onTick(Callbacks.Now()));
+  publishChanges();
 }
 
-void ControlHost::readList(uint64_t reading) {
-  if (reading != Reading)
+void ControlHost::readList(uint64_t epoch) {
+  if (epoch != ReadEpoch)
     return;
   uint64_t since = State.members().watermark();
-  State.mergeMembers(toDelta(since, Outside.listed(since)));
-  act(Talk.onTick(On.Now()));
-  changed();
-  On.After(ListInterval, [this, reading] { readList(reading); });
+  State.mergeMembers(toDelta(since, Platform.membersSince(since)));
+  performActions(PeerGossip.onTick(Callbacks.Now()));
+  publishChanges();
+  Callbacks.Schedule(ListInterval, [this, epoch] { readList(epoch); });
 }
 
-void ControlHost::act(GossipActions actions) {
+void ControlHost::performActions(GossipActions actions) {
   for (PeerSend &it : actions.Sends) {
-    On.Reached(Step::Spread);
-    On.Send(it.To, std::move(it.Payload));
+    Callbacks.StepReached(Step::Spread);
+    Callbacks.Send(it.To, std::move(it.Payload));
   }
   if (actions.Fetch)
-    On.Fetch(*actions.Fetch, Talk.pullMessage(On.Now()),
-             [this](const StateUpdate &whole) { takeImage(whole); });
+    Callbacks.Fetch(
+        *actions.Fetch, PeerGossip.pullMessage(Callbacks.Now()),
+        [this](const StateUpdate &update) { mergeFullState(update); });
 }
 
-void ControlHost::takeImage(const StateUpdate &whole) {
-  Talk.onFetched(whole, On.Now());
-  changed();
+void ControlHost::mergeFullState(const StateUpdate &update) {
+  PeerGossip.onFetched(update, Callbacks.Now());
+  publishChanges();
 }
 
-void ControlHost::onPeer(const Endpoint &from, std::string_view bytes) {
+void ControlHost::onPeerMessage(const Endpoint &from, std::string_view bytes) {
   Error reason;
   auto message = wire::decode<PeerMessage>(bytes, reason);
   if (!message)
     return;
-  auto *rumour = std::get_if<StateUpdate>(&*message);
-  if (LastImageWins && rumour && rumour->Config) {
+  auto *update = std::get_if<StateUpdate>(&*message);
+  if (AcceptsOlderState && update && update->Config) {
     // As a replica would that orders by arrival.
-    for (const ReplicaEntry &it : rumour->Config->Entries)
-      Check.inForce(Self.Name, it.Key, it.Revision);
+    for (const ReplicaEntry &it : update->Config->Entries)
+      Checker.onConfigApplied(Self.Name, it.Key, it.Revision);
   }
-  act(Talk.onMessage(from, *message, On.Now()));
-  changed();
+  performActions(PeerGossip.onMessage(from, *message, Callbacks.Now()));
+  publishChanges();
 }
 
-StateUpdate ControlHost::serve(const Pull &pull) const {
-  StateUpdate whole;
-  for (const Page &it : Talk.pagesFor(pull, On.Now()))
-    joinPage(whole, it);
-  return whole;
+StateUpdate ControlHost::answerPull(const Pull &pull) const {
+  StateUpdate update;
+  for (const Page &it : PeerGossip.pagesFor(pull, Callbacks.Now()))
+    joinPage(update, it);
+  return update;
 }
 
-void ControlHost::changed() {
+void ControlHost::publishChanges() {
   auto next = State.takeSnapshot();
   if (!next)
     return;
   if (next->MemberVersion != Current->MemberVersion ||
-      Talk.peers() + 1 != State.memberTable().size())
-    Talk.refreshPeers();
-  Choice.setRank(readerRank(State.memberTable(), Self));
+      PeerGossip.peers() + 1 != State.memberTable().size())
+    PeerGossip.refreshPeers();
+  ReaderSelection.setRank(readerRank(State.memberTable(), Self));
   Current = next;
   for (const auto &[key, entry] : State.config().entries())
-    Check.inForce(Self.Name, key, entry.Revision);
-  On.Reached(Step::Apply);
-  On.Published(*Current);
+    Checker.onConfigApplied(Self.Name, key, entry.Revision);
+  Callbacks.StepReached(Step::Apply);
+  Callbacks.Published(*Current);
 }
 
 void ControlHost::propose(Command command,
                           std::function<void(CommandResult)> done) {
-  On.Reached(Step::Propose);
+  Callbacks.StepReached(Step::Propose);
   std::optional<ReplicaEntry> base;
   if (const ReplicaEntry *entry = State.config().find(toText(command.Key)))
     base = *entry;
   constexpr Duration CommandTimeout{10'000'000};
   auto running = std::make_shared<CommandRun>(std::move(command), base,
-                                              On.Now() + CommandTimeout);
+                                              Callbacks.Now() + CommandTimeout);
   run(running, running->begin(), std::move(done));
 }
 
@@ -212,29 +217,29 @@
   case CommandStep::Kind::Done:
     return done(step.Result);
   case CommandStep::Kind::Wait:
-    return On.After(step.Delay, [this, command, done] {
+    return Callbacks.Schedule(step.Delay, [this, command, done] {
       run(command, command->onWaited(), done);
     });
   case CommandStep::Kind::Read:
-    return Outside.call<edge::KvRangeResult>(
+    return Platform.call<edge::KvRangeResult>(
         [range = step.Range](test::FakeKv &kv, TimePoint now) {
           return kv.range(range, now);
         },
         [this, command, done](const edge::KvRangeResult &result) {
-          On.After(Duration(0), [this, command, done, result] {
-            run(command, command->onRead(result, On.Now()), done);
+          Callbacks.Schedule(Duration(0), [this, command, done, result] {
+            run(command, command->onRead(result, Callbacks.Now()), done);
           });
         });
   case CommandStep::Kind::Commit:
-    return Outside.call<edge::KvTransactionResult>(
+    return Platform.call<edge::KvTransactionResult>(
         [write = step.Transaction](test::FakeKv &kv, TimePoint now) {
           return kv.commit(write, now);
         },
         [this, command, done](const edge::KvTransactionResult &result) {
-          On.After(Duration(0), [this, command, done, result] {
+          Callbacks.Schedule(Duration(0), [this, command, done, result] {
             if (result.Header.Status == edge::KvStatus::Unknown)
-              On.Reached(Step::LoseAnswer);
-            run(command, command->onCommitted(result, On.Now()), done);
+              Callbacks.StepReached(Step::LoseAnswer);
+            run(command, command->onCommitted(result, Callbacks.Now()), done);
           });
         });
   }
--- a/tests/matrix/control_host.h
+++ b/tests/matrix/control_host.h
@@ -23,24 +23,24 @@
   struct Hooks {
     std::function<TimePoint()> Now;
     /// Runs later in this process, if it still lives.
-    std::function<void(Duration, std::function<void()>)> After;
+    std::function<void(Duration, std::function<void()>)> Schedule;
     std::function<void(const Endpoint &peer, std::string bytes)> Send;
     /// Asks a peer over TCP; answered at most once.
     std::function<void(const Endpoint &peer, control::Pull,
                        std::function<void(control::StateUpdate)>)>
         Fetch;
     std::function<void(const Snapshot &)> Published;
-    std::function<void(Step)> Reached;
+    std::function<void(Step)> StepReached;
     RandomSource Random;
   };
   ControlHost(Member self, std::vector<Endpoint> seeds, Incarnation process,
-              Platform &platform, PromiseCheck &check, Hooks hooks);
+              FakePlatform &platform, InvariantChecker &check, Hooks hooks);
 
   void start();
-  void sayLeaving();
+  void announceLeaving();
   void observeLeaving(const std::string &instance);
-  void onPeer(const Endpoint &from, std::string_view bytes);
-  control::StateUpdate serve(const control::Pull &pull) const;
+  void onPeerMessage(const Endpoint &from, std::string_view bytes);
+  control::StateUpdate answerPull(const control::Pull &pull) const;
   /// The service's watch has news; with a gap they are lost.
   void onWatch(bool gap);
   void propose(control::Command command,
@@ -50,35 +50,35 @@
   bool isReady() const;
   const control::ControlState &state() const { return State; }
   /// A seeded defect: takes over a peer's whole image, whatever its age.
-  bool LastImageWins = false;
+  bool AcceptsOlderState = false;
 
 private:
   void tick();
-  void setReading(bool wanted);
-  void readConfig(uint64_t reading);
-  void readList(uint64_t reading);
-  void act(control::GossipActions actions);
-  void takeImage(const control::StateUpdate &whole);
-  void changed();
+  void setReader(bool enabled);
+  void readConfig(uint64_t epoch);
+  void readList(uint64_t epoch);
+  void performActions(control::GossipActions actions);
+  void mergeFullState(const control::StateUpdate &update);
+  void publishChanges();
   void run(std::shared_ptr<control::CommandRun> command,
            const control::CommandStep &step,
            std::function<void(control::CommandResult)> done);
 
   Member Self;
   std::vector<Endpoint> Seeds;
-  Platform &Outside;
-  PromiseCheck &Check;
-  Hooks On;
+  FakePlatform &Platform;
+  InvariantChecker &Checker;
+  Hooks Callbacks;
   control::ControlState State;
-  control::Gossip Talk;
-  control::ReaderChoice Choice;
-  control::SignalContent Own;
+  control::Gossip PeerGossip;
+  control::ReaderChoice ReaderSelection;
+  control::SignalContent OwnSignal;
   std::shared_ptr<const Snapshot> Current;
   TimePoint Started;
   uint64_t SeenThrough = 0;
-  bool IsReading = false;
-  uint64_t Reading = 0; ///< Raised when reading starts: older loops end.
-  uint64_t Watched = 0;
+  bool IsReader = false;
+  uint64_t ReadEpoch = 0; ///< Raised when reading starts: older loops end.
+  uint64_t WatchRevision = 0;
 };
 
 } // namespace daisytack::matrix
--- a/tests/matrix/engine.cpp
+++ b/tests/matrix/engine.cpp
@@ -11,7 +11,7 @@
 constexpr Duration ChunkTime{40'000};
 constexpr Duration PrefillTime{60'000};
 constexpr Duration LoadTime{1'100'000};
-constexpr std::string_view Mark = "call=";
+constexpr std::string_view CallField = "call=";
 
 uint64_t numberAfter(std::string_view text, std::string_view mark) {
   uint64_t out = 0;
@@ -24,15 +24,15 @@
 
 } // namespace
 
-std::string callText(const CallText &call) {
+std::string formatCallBody(const CallBody &call) {
   return "call=" + std::to_string(call.Number) +
          ";chunks=" + std::to_string(call.Chunks) +
          ";org=" + call.Organisation + ";";
 }
 
-CallText parseCallText(std::string_view body) {
-  CallText out;
-  out.Number = numberAfter(body, Mark);
+CallBody parseCallBody(std::string_view body) {
+  CallBody out;
+  out.Number = numberAfter(body, CallField);
   out.Chunks = static_cast<uint32_t>(numberAfter(body, ";chunks="));
   constexpr std::string_view Org = ";org=";
   size_t n = body.find(Org);
@@ -43,12 +43,12 @@
   return out;
 }
 
-std::string answerChunk(const CallText &call, uint32_t i) {
+std::string answerChunk(const CallBody &call, uint32_t i) {
   return "[answer to " + call.Organisation + " " + std::to_string(call.Number) +
          "/" + std::to_string(i) + "]";
 }
 
-std::string wholeAnswer(const CallText &call) {
+std::string fullAnswer(const CallBody &call) {
   std::string out;
   for (uint32_t i = 0; i < call.Chunks; ++i)
     out += answerChunk(call, i);
@@ -59,27 +59,30 @@
   return "context of " + toHex(key) + " under " + version;
 }
 
-Engine::Engine(std::string name, bool isService, PromiseCheck &check,
+Engine::Engine(std::string name, bool isService, InvariantChecker &check,
                Hooks hooks)
-    : Name(std::move(name)), IsService(isService), Check(check),
-      On(std::move(hooks)) {}
+    : Name(std::move(name)), IsService(isService), Checker(check),
+      Callbacks(std::move(hooks)) {}
 
 void Engine::start(const StartRun &run) {
-  if (Dead) {
-    On.Tell(RunFailed{run.Run, {ErrorKind::ServiceUnavailable, "dead"}});
+  if (Crashed) {
+    Callbacks.Notify(
+        RunFailed{run.Run, {ErrorKind::ServiceUnavailable, "dead"}});
     return;
   }
-  Going going;
-  going.Offer = run.Offer;
-  going.Call = parseCallText(run.Offer->Body);
-  going.Next = run.Offer->GeneratedChunks;
-  going.Cached = usePieces(*run.Offer);
-  Check.ran(going.Call.Number, On.SubmissionOf(run.Run.Id), On.Now());
-  Runs[run.Run] = std::move(going);
-  On.After(PrefillTime * SlowFactor, [this, token = run.Run, life = Life] {
-    if (life == Life)
-      emit(token);
-  });
+  ActiveRun active;
+  active.Offer = run.Offer;
+  active.Call = parseCallBody(run.Offer->Body);
+  active.Next = run.Offer->GeneratedChunks;
+  active.Cached = usePieces(*run.Offer);
+  Checker.onRun(active.Call.Number, Callbacks.SubmissionOf(run.Run.Id),
+                Callbacks.Now());
+  Runs[run.Run] = std::move(active);
+  Callbacks.Schedule(PrefillTime * SlowFactor,
+                     [this, token = run.Run, generation = Generation] {
+                       if (generation == Generation)
+                         emitChunk(token);
+                     });
 }
 
 /// Uses what is cached of the prompt, computes the rest and caches it.
@@ -89,53 +92,54 @@
     auto it = Cache.find(key);
     if (it == Cache.end()) {
       Cache[key] = {pieceBytes(key, Version), offer.Organisation};
-      note(CacheEventKind::Stored, key);
+      recordEvent(CacheEventKind::Stored, key);
       continue;
     }
     ++hits;
     CachedPiece &piece = it->second;
     if (piece.Organisation.empty())
       piece.Organisation = offer.Organisation;
-    std::string started = "context of " + toHex(key) + " under ";
-    if (piece.Bytes.compare(0, started.size(), started) != 0)
-      Check.broken(Promise::FreedOrTornNeverRead,
-                   Name + " used other bytes for a piece");
+    std::string prefix = "context of " + toHex(key) + " under ";
+    if (piece.Bytes.compare(0, prefix.size(), prefix) != 0)
+      Checker.recordViolation(Invariant::FreedOrTornNeverRead,
+                              Name + " used other bytes for a piece");
     else if (piece.Bytes != pieceBytes(key, Version))
-      Check.broken(Promise::VersionsStayApart,
-                   Name + " on " + Version +
-                       " used: " + piece.Bytes.substr(started.size()));
+      Checker.recordViolation(Invariant::VersionsStayApart,
+                              Name + " on " + Version + " used: " +
+                                  piece.Bytes.substr(prefix.size()));
     if (piece.Organisation != offer.Organisation)
-      Check.broken(Promise::OrganisationsStayApart,
-                   Name + " used a piece of " + piece.Organisation + " for " +
-                       offer.Organisation);
+      Checker.recordViolation(Invariant::OrganisationsStayApart,
+                              Name + " used a piece of " + piece.Organisation +
+                                  " for " + offer.Organisation);
   }
   return hits;
 }
 
-void Engine::emit(const RunToken &run) {
+void Engine::emitChunk(const RunToken &run) {
   auto it = Runs.find(run);
   if (it == Runs.end())
     return;
-  Going &going = it->second;
-  if (going.Next >= going.Call.Chunks)
+  ActiveRun &active = it->second;
+  if (active.Next >= active.Call.Chunks)
     return finish(run);
-  RunText text{run, run, going.Sequence++, 1,
-               answerChunk(going.Call, going.Next++)};
-  if (CrossAnswers > 0) {
-    --CrossAnswers;
+  RunText text{run, run, active.Sequence++, 1,
+               answerChunk(active.Call, active.Next++)};
+  if (MisattributedTexts > 0) {
+    --MisattributedTexts;
     for (const auto &[token, other] : Runs)
       if (token != run)
         text.Answer = token;
   }
-  if (DoubleChunks > 0) {
-    --DoubleChunks;
-    On.Tell(text);
+  if (DuplicatedTexts > 0) {
+    --DuplicatedTexts;
+    Callbacks.Notify(text);
   }
-  On.Tell(text);
-  On.After(ChunkTime * SlowFactor, [this, run, life = Life] {
-    if (life == Life)
-      emit(run);
-  });
+  Callbacks.Notify(text);
+  Callbacks.Schedule(ChunkTime * SlowFactor,
+                     [this, run, generation = Generation] {
+                       if (generation == Generation)
+                         emitChunk(run);
+                     });
 }
 
 void Engine::finish(const RunToken &run) {
@@ -150,13 +154,13 @@
   if (IsService)
     done.ServiceStatus = 200;
   Runs.erase(it);
-  On.Tell(done);
+  Callbacks.Notify(done);
 }
 
 void Engine::cancel(const RunToken &run) { Runs.erase(run); }
 
 AgentInput Engine::status() const {
-  if (Dead)
+  if (Crashed)
     return EngineUnresponsive{{ErrorKind::ServerLost, "no answer"}};
   EngineStatus out;
   out.Model = "market";
@@ -168,12 +172,12 @@
   out.CachedPieces = static_cast<uint32_t>(Cache.size());
   out.PrefillTokensPerSecond = 50'000;
   out.DecodeTokensPerSecond = 25;
-  out.Started = Life;
+  out.Started = Generation;
   return out;
 }
 
 AgentInput Engine::cacheEvents(uint64_t from) const {
-  if (Dead)
+  if (Crashed)
     return EngineUnresponsive{{ErrorKind::ServerLost, "no answer"}};
   CacheEvents out;
   out.From = from;
@@ -183,12 +187,12 @@
   return out;
 }
 
-void Engine::note(CacheEventKind kind, const PieceKey &piece) {
+void Engine::recordEvent(CacheEventKind kind, const PieceKey &piece) {
   Events.push_back({Events.size(), kind, piece});
 }
 
 OrderAnswer Engine::order(const SendOrder &order) {
-  if (Dead)
+  if (Crashed)
     return {order.Call, {ErrorKind::ServerLost, "no answer"}, 0};
   if (!IgnoresFencing && order.Fence < Fence)
     return {order.Call, {ErrorKind::Conflict, "old number"}, Fence};
@@ -199,50 +203,53 @@
 
 void Engine::load(const std::string &version) {
   Loading = true;
-  On.After(LoadTime * SlowFactor, [this, version, load = ++Loads, life = Life] {
-    if (load != Loads || life != Life)
+  Callbacks.Schedule(LoadTime * SlowFactor, [this, version, load = ++LoadCount,
+                                             generation = Generation] {
+    if (load != LoadCount || generation != Generation)
       return;
     Loading = false;
     Version = version;
-    if (!MixesVersions)
+    if (!KeepsCacheOnLoad)
       clearCache();
   });
 }
 
-PieceExport Engine::exportPiece(const ExportPiece &ask) const {
-  auto it = Cache.find(ask.Key);
-  if (Dead || it == Cache.end())
-    return {ask.Call, nullptr, {ErrorKind::NotFound, "not cached"}};
-  return {ask.Call, std::make_shared<const std::string>(it->second.Bytes), {}};
+PieceExport Engine::exportPiece(const ExportPiece &request) const {
+  auto it = Cache.find(request.Key);
+  if (Crashed || it == Cache.end())
+    return {request.Call, nullptr, {ErrorKind::NotFound, "not cached"}};
+  return {
+      request.Call, std::make_shared<const std::string>(it->second.Bytes), {}};
 }
 
-PieceImport Engine::importPiece(const ImportPiece &ask) {
-  if (Dead)
-    return {ask.Call, {ErrorKind::ServerLost, "no answer"}};
+PieceImport Engine::importPiece(const ImportPiece &request) {
+  if (Crashed)
+    return {request.Call, {ErrorKind::ServerLost, "no answer"}};
   // Its organisation is known only once it is used for the first time.
-  auto [it, isNew] = Cache.try_emplace(ask.Key);
-  it->second.Bytes = *ask.Bytes;
+  auto [it, isNew] = Cache.try_emplace(request.Key);
+  it->second.Bytes = *request.Bytes;
   if (isNew)
-    note(CacheEventKind::Stored, ask.Key);
-  return {ask.Call, {}};
+    recordEvent(CacheEventKind::Stored, request.Key);
+  return {request.Call, {}};
 }
 
 void Engine::clearCache() {
   Cache.clear();
-  note(CacheEventKind::Cleared, {});
+  recordEvent(CacheEventKind::Cleared, {});
 }
 
-void Engine::die() {
-  Dead = true;
-  ++Life;
+void Engine::crash() {
+  Crashed = true;
+  ++Generation;
   Loading = false;
-  for (const auto &[token, going] : Runs)
-    On.Tell(RunFailed{token, {ErrorKind::ServerLost, "connection broke"}});
+  for (const auto &[token, active] : Runs)
+    Callbacks.Notify(
+        RunFailed{token, {ErrorKind::ServerLost, "connection broke"}});
   Runs.clear();
 }
 
-void Engine::revive() {
-  Dead = false;
+void Engine::restart() {
+  Crashed = false;
   Version = "v1";
   Fence = 0;
   clearCache();
--- a/tests/matrix/engine.h
+++ b/tests/matrix/engine.h
@@ -16,16 +16,16 @@
 namespace daisytack::matrix {
 
 /// What a caller's body says; bodies are written by callText().
-struct CallText {
+struct CallBody {
   uint64_t Number = 0;
   std::string Organisation;
   uint32_t Chunks = 0;
 };
-std::string callText(const CallText &call);
+std::string formatCallBody(const CallBody &call);
 /// Chunk i of the whole answer, and all of it.
-std::string answerChunk(const CallText &call, uint32_t i);
-std::string wholeAnswer(const CallText &call);
-CallText parseCallText(std::string_view body);
+std::string answerChunk(const CallBody &call, uint32_t i);
+std::string fullAnswer(const CallBody &call);
+CallBody parseCallBody(std::string_view body);
 
 /// Bytes that stand for a piece's content under one weight version.
 std::string pieceBytes(const PieceKey &key, const std::string &version);
@@ -33,39 +33,40 @@
 class Engine {
 public:
   struct Hooks {
-    std::function<void(Duration, std::function<void()>)> After;
-    std::function<void(serve::AgentInput)> Tell;
+    std::function<void(Duration, std::function<void()>)> Schedule;
+    std::function<void(serve::AgentInput)> Notify;
     /// The submission that a request id stands for.
     std::function<uint64_t(const RequestId &)> SubmissionOf;
     std::function<TimePoint()> Now;
   };
-  Engine(std::string name, bool isService, PromiseCheck &check, Hooks hooks);
+  Engine(std::string name, bool isService, InvariantChecker &check,
+         Hooks hooks);
 
   void start(const serve::StartRun &run);
   void cancel(const serve::RunToken &run);
   serve::AgentInput status() const;
   serve::AgentInput cacheEvents(uint64_t from) const;
   serve::OrderAnswer order(const serve::SendOrder &order);
-  serve::PieceExport exportPiece(const serve::ExportPiece &ask) const;
-  serve::PieceImport importPiece(const serve::ImportPiece &ask);
+  serve::PieceExport exportPiece(const serve::ExportPiece &request) const;
+  serve::PieceImport importPiece(const serve::ImportPiece &request);
   void clearCache();
-  void die();
-  void revive();
+  void crash();
+  void restart();
   size_t running() const { return Runs.size(); }
   const std::string &version() const { return Version; }
 
   // Faults.
   uint32_t SlowFactor = 1;
   bool IgnoresFencing = false;
-  uint32_t CrossAnswers = 0; ///< So many next texts bear another's name.
-  uint32_t DoubleChunks = 0; ///< So many next texts are told twice.
+  uint32_t MisattributedTexts = 0; ///< So many next texts bear another's name.
+  uint32_t DuplicatedTexts = 0;    ///< So many next texts are told twice.
   /// A seeded defect: pieces of any version are taken for one's own.
-  bool MixesVersions = false;
+  bool KeepsCacheOnLoad = false;
 
 private:
-  struct Going {
+  struct ActiveRun {
     std::shared_ptr<const wire::Offer> Offer;
-    CallText Call;
+    CallBody Call;
     uint32_t Next = 0;
     uint32_t Cached = 0;
     uint32_t Sequence = 0;
@@ -76,22 +77,22 @@
   };
 
   uint32_t usePieces(const wire::Offer &offer);
-  void emit(const serve::RunToken &run);
+  void emitChunk(const serve::RunToken &run);
   void finish(const serve::RunToken &run);
-  void note(CacheEventKind kind, const PieceKey &piece);
+  void recordEvent(CacheEventKind kind, const PieceKey &piece);
   void load(const std::string &version);
 
   std::string Name;
   bool IsService;
-  PromiseCheck &Check;
-  Hooks On;
-  bool Dead = false;
-  uint64_t Life = 1;
+  InvariantChecker &Checker;
+  Hooks Callbacks;
+  bool Crashed = false;
+  uint64_t Generation = 1;
   std::string Version = "v1";
   bool Loading = false;
   uint64_t Fence = 0;
-  uint64_t Loads = 0;
-  std::map<serve::RunToken, Going> Runs;
+  uint64_t LoadCount = 0;
+  std::map<serve::RunToken, ActiveRun> Runs;
   std::map<PieceKey, CachedPiece> Cache;
   std::vector<CacheEvent> Events;
 };
--- a/tests/matrix/entry_host.cpp
+++ b/tests/matrix/entry_host.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration DrainNotice{500'000};
+constexpr Duration DrainCheckInterval{500'000};
 const std::string Secret = "a secret that all entries share: 32 bytes";
 const std::string Region = "riga";
 constexpr std::string_view ServiceName = "portal";
@@ -22,8 +22,8 @@
   std::string guide = "style guide of " + submission.Call.Organisation + ". ";
   guide.resize(GuideBytes, '.');
   std::string call =
-      callText({submission.Call.Number, submission.Call.Organisation,
-                submission.Chunks});
+      formatCallBody({submission.Call.Number, submission.Call.Organisation,
+                      submission.Chunks});
   return R"({"model":")" + submission.Model + R"(","stream":)" +
          (submission.Stream ? "true" : "false") +
          R"(,"max_tokens":64,"prompt":")" + guide + call + R"("})";
@@ -31,21 +31,21 @@
 
 } // namespace
 
-EntryHost::EntryHost(std::string name, Platform &platform, PromiseCheck &check,
-                     ControlHost &control, Hooks hooks)
-    : Name(std::move(name)), Outside(platform), Check(check), Control(control),
-      On(std::move(hooks)),
+EntryHost::EntryHost(std::string name, FakePlatform &platform,
+                     InvariantChecker &check, ControlHost &control, Hooks hooks)
+    : Name(std::move(name)), Platform(platform), Checker(check),
+      Control(control), Callbacks(std::move(hooks)),
       Routes(std::make_shared<const RoutingTable>(control.snapshot())),
       Loads({}), Limits(hashName(Name), {}), Owner({}), Retries({}),
       Keyer(Secret), Bindings({}) {}
 
 void EntryHost::submit(const Submission &submission) {
-  On.Reached(Step::Receive);
+  Callbacks.StepReached(Step::Receive);
   if (Draining)
     return refuse(submission, {ErrorKind::Draining, "leaving"});
   if (!Control.isReady())
     return refuse(submission, {ErrorKind::NotReady, "no configuration"});
-  On.Reached(Step::Authenticate);
+  Callbacks.StepReached(Step::Authenticate);
   const Organisation *caller = Routes->snapshot().organisationByKey(
       "key of " + submission.Call.Organisation);
   if (caller == nullptr || caller->Name != submission.Call.Organisation)
@@ -53,38 +53,38 @@
   admit(submission, true);
 }
 
-void EntryHost::admit(const Submission &submission, bool mayAsk) {
-  On.Reached(Step::Limit);
+void EntryHost::admit(const Submission &submission, bool mayWait) {
+  Callbacks.StepReached(Step::Limit);
   const Snapshot &config = Routes->snapshot();
   const Organisation *caller =
       config.organisation(submission.Call.Organisation);
   if (caller == nullptr)
     return refuse(submission, {ErrorKind::Unauthenticated, "deleted"});
   LimitDecision decision =
-      Limits.admit(*caller, config.Entries.size(), On.Now());
+      Limits.admit(*caller, config.Entries.size(), Callbacks.Now());
   const Member *owner = quotaOwner(hashName(caller->Name), config.Entries);
   if (decision.OwnerRequest && owner != nullptr)
-    On.RequestQuota(owner->Name, *decision.OwnerRequest);
+    Callbacks.RequestQuota(owner->Name, *decision.OwnerRequest);
   if (decision.Verdict == LimitVerdict::Admitted)
-    return begin(submission);
-  if (decision.Verdict == LimitVerdict::Refused || !mayAsk)
+    return startSubmission(submission);
+  if (decision.Verdict == LimitVerdict::Refused || !mayWait)
     return refuse(submission, decision.Reason);
-  ++BeingAdmitted;
-  On.After(LimitSettings().MaxGrantWait, [this, submission] {
-    --BeingAdmitted;
+  ++PendingAdmissions;
+  Callbacks.Schedule(LimitSettings().MaxGrantWait, [this, submission] {
+    --PendingAdmissions;
     admit(submission, false);
   });
 }
 
-void EntryHost::begin(const Submission &submission) {
-  switch (submission.Named) {
-  case Naming::None:
-    return launch(submission, "");
-  case Naming::Ticket:
+void EntryHost::startSubmission(const Submission &submission) {
+  switch (submission.KeyKind) {
+  case CallKeyKind::None:
+    return startFlow(submission, "");
+  case CallKeyKind::Ticket:
     if (!submission.Key.empty())
-      return launch(submission, submission.Key);
+      return startFlow(submission, submission.Key);
     return fetchTicket(submission);
-  case Naming::OpaqueKey:
+  case CallKeyKind::OpaqueKey:
     return fetchTicket(submission);
   }
 }
@@ -97,28 +97,28 @@
   auto candidates = rank(*spec, "");
   if (candidates.empty())
     return refuse(submission, {ErrorKind::NoServer, "no server"});
-  TicketAsks[submission.Id] = submission;
-  post(candidates.front().Server,
-       wire::TicketRequest{submission.Id, submission.Call.Organisation,
-                           std::string(ServiceName)});
+  PendingTickets[submission.Id] = submission;
+  sendOrQueue(candidates.front().Server,
+              wire::TicketRequest{submission.Id, submission.Call.Organisation,
+                                  std::string(ServiceName)});
   constexpr Duration TicketTimeout{1'000'000};
-  On.After(TicketTimeout, [this, submission] {
-    if (TicketAsks.erase(submission.Id) > 0)
+  Callbacks.Schedule(TicketTimeout, [this, submission] {
+    if (PendingTickets.erase(submission.Id) > 0)
       refuse(submission, {ErrorKind::NoServer, "no ticket"});
   });
 }
 
 void EntryHost::bind(const Submission &submission, const std::string &ticket) {
   Error reason;
-  if (!Bindings.take(On.Now(), reason))
+  if (!Bindings.take(Callbacks.Now(), reason))
     return refuse(submission, reason);
-  auto binding =
-      std::make_shared<KeyBinding>(BindRequest{submission.Call.Organisation,
-                                               submission.Key,
-                                               ticket,
-                                               {On.Random(), On.Random()},
-                                               0});
-  ++BeingAdmitted;
+  auto binding = std::make_shared<KeyBinding>(
+      BindRequest{submission.Call.Organisation,
+                  submission.Key,
+                  ticket,
+                  {Callbacks.Random(), Callbacks.Random()},
+                  0});
+  ++PendingAdmissions;
   onBindStep(submission, binding, binding->start());
 }
 
@@ -126,28 +126,28 @@
                            const std::shared_ptr<KeyBinding> &binding,
                            BindStep step) {
   if (const auto *write = std::get_if<edge::KvTransaction>(&step))
-    return Outside.call<edge::KvTransactionResult>(
+    return Platform.call<edge::KvTransactionResult>(
         [write = *write](test::FakeKv &kv, TimePoint now) {
           return kv.commit(write, now);
         },
         [this, submission, binding](const edge::KvTransactionResult &result) {
-          On.After(Duration(0), [this, submission, binding, result] {
+          Callbacks.Schedule(Duration(0), [this, submission, binding, result] {
             onBindStep(submission, binding, binding->onCommit(result));
           });
         });
   if (const auto *range = std::get_if<edge::KvRange>(&step))
-    return Outside.call<edge::KvRangeResult>(
+    return Platform.call<edge::KvRangeResult>(
         [range = *range](test::FakeKv &kv, TimePoint now) {
           return kv.range(range, now);
         },
         [this, submission, binding](const edge::KvRangeResult &result) {
-          On.After(Duration(0), [this, submission, binding, result] {
+          Callbacks.Schedule(Duration(0), [this, submission, binding, result] {
             onBindStep(submission, binding, binding->onRange(result));
           });
         });
-  --BeingAdmitted;
+  --PendingAdmissions;
   if (const auto *bound = std::get_if<KeyBound>(&step))
-    return launch(submission, bound->Ticket);
+    return startFlow(submission, bound->Ticket);
   refuse(submission, std::get<KeyRefused>(step).Reason);
 }
 
@@ -161,14 +161,15 @@
     return std::nullopt;
   }
   CallerLimits limits;
-  CallerContext context{config, *caller, limits, On.Now(), On.Wall()};
+  CallerContext context{config, *caller, limits, Callbacks.Now(),
+                        Callbacks.Wall()};
   CallerInput input;
   input.Method = "POST";
   input.Class = submission.Class;
   std::string body = promptBody(submission);
   input.Body = body;
   auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
-      submission.Call.Deadline - On.Now());
+      submission.Call.Deadline - Callbacks.Now());
   std::string millis = std::to_string(std::max<int64_t>(1, left.count()));
   input.DeadlineMs = millis;
   std::optional<RequestSpec> out;
@@ -187,24 +188,24 @@
   return out;
 }
 
-void EntryHost::launch(const Submission &submission,
-                       const std::string &ticket) {
+void EntryHost::startFlow(const Submission &submission,
+                          const std::string &ticket) {
   Error reason;
   auto spec = readSpec(submission, reason);
   if (!spec)
     return refuse(submission, reason);
   spec->Offer.Ticket = ticket;
-  spec->FirstAttempt = NextTry;
-  NextTry += 2 * MaxAttempts;
-  if (RepeatsCalls)
+  spec->FirstAttempt = NextAttempt;
+  NextAttempt += 2 * MaxAttempts;
+  if (RetriesAnyCall)
     spec->Offer.Idempotent = true;
   RequestId id = spec->Offer.Id;
-  Going going;
-  going.What = submission;
-  going.Flow = std::make_unique<RequestFlow>(std::move(*spec), FlowSettings(),
-                                             flowHooks(ticket));
-  Flows.insert_or_assign(id, std::move(going));
-  push(id, FlowStarted{});
+  ActiveRequest active;
+  active.Request = submission;
+  active.Flow = std::make_unique<RequestFlow>(std::move(*spec), FlowSettings(),
+                                              flowHooks(ticket));
+  Flows.insert_or_assign(id, std::move(active));
+  applyInput(id, FlowStarted{});
 }
 
 void EntryHost::resume(const Submission &submission, const std::string &server,
@@ -214,15 +215,15 @@
   if (!spec || Draining || !Control.isReady())
     return refuse(submission, {ErrorKind::NotReady, "can't resume"});
   spec->Resume = ResumePoint{server, fromIndex};
-  spec->FirstAttempt = NextTry;
-  NextTry += 2 * MaxAttempts;
+  spec->FirstAttempt = NextAttempt;
+  NextAttempt += 2 * MaxAttempts;
   RequestId id = spec->Offer.Id;
-  Going going;
-  going.What = submission;
-  going.Flow = std::make_unique<RequestFlow>(std::move(*spec), FlowSettings(),
-                                             flowHooks(""));
-  Flows.insert_or_assign(id, std::move(going));
-  push(id, FlowStarted{});
+  ActiveRequest active;
+  active.Request = submission;
+  active.Flow = std::make_unique<RequestFlow>(std::move(*spec), FlowSettings(),
+                                              flowHooks(""));
+  Flows.insert_or_assign(id, std::move(active));
+  applyInput(id, FlowStarted{});
 }
 
 FlowHooks EntryHost::flowHooks(const std::string &ticket) {
@@ -241,7 +242,7 @@
 
 std::vector<Candidate> EntryHost::rank(const RequestSpec &spec,
                                        const std::string &ticket) {
-  On.Reached(Step::Rank);
+  Callbacks.StepReached(Step::Rank);
   Error reason;
   if (!ticket.empty()) {
     auto parsed = parseTicket(ticket, reason);
@@ -257,7 +258,7 @@
   auto list = Routes->candidates(serves, isService, key, Region);
   RouteDecision decision =
       rankCandidates(list, Routes->snapshot(), Loads, {},
-                     spec.Offer.PromptTokens, key, Region, On.Now());
+                     spec.Offer.PromptTokens, key, Region, Callbacks.Now());
   std::vector<Candidate> out;
   for (const RankedCandidate &it : decision)
     out.push_back(
@@ -266,60 +267,62 @@
 }
 
 void EntryHost::refuse(const Submission &submission, Error reason) {
-  Check.toldError(submission.Number, reason, Outcome::NotRun, On.Now());
+  Checker.onErrorAnswer(submission.Number, reason, Outcome::NotRun,
+                        Callbacks.Now());
 }
 
 void EntryHost::onSnapshot(std::shared_ptr<const Snapshot> snapshot) {
-  auto isOut = [](const daisytack::Server &it) {
+  auto isNotLive = [](const daisytack::Server &it) {
     return it.State != MemberState::Live;
   };
-  if (IgnoresLeaving &&
-      std::any_of(snapshot->Servers.begin(), snapshot->Servers.end(), isOut))
+  if (IgnoresLeaving && std::any_of(snapshot->Servers.begin(),
+                                    snapshot->Servers.end(), isNotLive))
     return;
   Routes = std::make_shared<const RoutingTable>(std::move(snapshot));
   std::vector<RequestId> ids;
-  for (const auto &[id, going] : Flows)
+  for (const auto &[id, active] : Flows)
     ids.push_back(id);
   for (const RequestId &id : ids)
-    push(id, ConfigChanged{});
+    applyInput(id, ConfigChanged{});
 }
 
-QuotaGrant EntryHost::grant(const QuotaRequest &ask) {
+QuotaGrant EntryHost::grant(const QuotaRequest &request) {
   for (const Organisation &it : Routes->snapshot().Organisations)
-    if (hashName(it.Name) == ask.Organisation)
-      return Owner.grant(it, ask, On.Now());
+    if (hashName(it.Name) == request.Organisation)
+      return Owner.grant(it, request, Callbacks.Now());
   return {};
 }
 
 void EntryHost::onGrant(const QuotaGrant &grant) {
-  Limits.apply(grant, On.Now());
+  Limits.apply(grant, Callbacks.Now());
 }
 
 void EntryHost::drain() {
   Draining = true;
-  On.Reached(Step::Drain);
-  Control.sayLeaving();
-  On.After(DrainNotice, [this] { checkExit(); });
+  Callbacks.StepReached(Step::Drain);
+  Control.announceLeaving();
+  Callbacks.Schedule(DrainCheckInterval, [this] { checkExit(); });
 }
 
 void EntryHost::checkExit() {
   if (Exited)
     return;
-  if (!Flows.empty() || BeingAdmitted > 0 || !TicketAsks.empty()) {
-    On.After(DrainNotice, [this] { checkExit(); });
+  if (!Flows.empty() || PendingAdmissions > 0 || !PendingTickets.empty()) {
+    Callbacks.Schedule(DrainCheckInterval, [this] { checkExit(); });
     return;
   }
   Exited = true;
-  Check.exited(Name, Flows.size());
-  On.Exit();
+  Checker.onExited(Name, Flows.size());
+  Callbacks.Exit();
 }
 
-std::vector<EntryHost::Open> EntryHost::open() const {
-  std::vector<Open> out;
-  for (const auto &[id, going] : Flows)
-    out.push_back({going.What.Number, going.LastServer, going.ShownChunks});
-  for (const auto &[id, asked] : TicketAsks)
-    out.push_back({asked.Number, "", 0});
+std::vector<EntryHost::OpenSubmission> EntryHost::openSubmissions() const {
+  std::vector<OpenSubmission> out;
+  for (const auto &[id, active] : Flows)
+    out.push_back(
+        {active.Request.Number, active.LastServer, active.SentChunks});
+  for (const auto &[id, pending] : PendingTickets)
+    out.push_back({pending.Number, "", 0});
   return out;
 }
 
--- a/tests/matrix/entry_host.h
+++ b/tests/matrix/entry_host.h
@@ -22,7 +22,7 @@
 namespace daisytack::matrix {
 
 /// How a caller names a call that may run once.
-enum class Naming : uint8_t { None, Ticket, OpaqueKey };
+enum class CallKeyKind : uint8_t { None, Ticket, OpaqueKey };
 
 /// One HTTP request of a caller.
 struct Submission {
@@ -33,7 +33,7 @@
   std::string Model; ///< Empty: a call to the plain service.
   std::string Class;
   bool Stream = false;
-  Naming Named = Naming::None;
+  CallKeyKind KeyKind = CallKeyKind::None;
   std::string Key; ///< Ticket or opaque key; a ticket is fetched when empty.
 };
 
@@ -42,16 +42,16 @@
   struct Hooks {
     std::function<TimePoint()> Now;
     std::function<WallTime()> Wall;
-    std::function<void(Duration, std::function<void()>)> After;
+    std::function<void(Duration, std::function<void()>)> Schedule;
     /// Connects when there is no link; onHello or onLinkClosed follows.
     std::function<void(const std::string &server)> Connect;
     std::function<void(const std::string &server, wire::Message)> Send;
     std::function<void(const std::string &peer, QuotaRequest)> RequestQuota;
-    std::function<void(Step)> Reached;
+    std::function<void(Step)> StepReached;
     std::function<void()> Exit;
     RandomSource Random;
   };
-  EntryHost(std::string name, Platform &platform, PromiseCheck &check,
+  EntryHost(std::string name, FakePlatform &platform, InvariantChecker &check,
             ControlHost &control, Hooks hooks);
 
   void submit(const Submission &submission);
@@ -62,78 +62,78 @@
   void onMessage(const std::string &server, wire::Message message);
   void onLinkClosed(const std::string &server);
   void onSnapshot(std::shared_ptr<const Snapshot> snapshot);
-  QuotaGrant grant(const QuotaRequest &ask);
+  QuotaGrant grant(const QuotaRequest &request);
   void onGrant(const QuotaGrant &grant);
   void drain();
 
   /// Submissions without a final answer, with the server and the number of
   /// chunks that a caller needs to resume.
-  struct Open {
+  struct OpenSubmission {
     uint64_t Submission = 0;
     std::string Server;
     uint32_t Chunks = 0;
   };
-  std::vector<Open> open() const;
+  std::vector<OpenSubmission> openSubmissions() const;
 
   // Seeded defects.
-  bool TellsNotRunAlways = false;
-  bool RepeatsCalls = false; ///< Offers a call again whatever became of it.
+  bool AlwaysReportsNotRun = false;
+  bool RetriesAnyCall = false; ///< Offers a call again whatever became of it.
   bool DropsChunks = false;
-  bool MixesCallers = false;     ///< Tells the answer to the next caller.
-  bool KeysByOldVersion = false; ///< Goes on with the first keys it made.
+  bool AnswersWrongCaller = false; ///< Tells the answer to the next caller.
+  bool KeepsOldPieceKeys = false;  ///< Goes on with the first keys it made.
   bool IgnoresLeaving = false;
 
 private:
-  struct Going {
-    Submission What;
+  struct ActiveRequest {
+    Submission Request;
     std::unique_ptr<entry::RequestFlow> Flow;
     std::set<std::pair<std::string, Attempt>> Attempts;
-    std::optional<TimePoint> Armed;
+    std::optional<TimePoint> ArmedTimer;
     std::string LastServer;
-    uint32_t ShownChunks = 0;
+    uint32_t SentChunks = 0;
     bool Held = false;
   };
   struct Link {
     bool Open = false;
     Incarnation Process;
-    std::vector<wire::Message> Waiting;
+    std::vector<wire::Message> Queued;
   };
 
-  void admit(const Submission &submission, bool mayAsk);
-  void begin(const Submission &submission);
+  void admit(const Submission &submission, bool mayWait);
+  void startSubmission(const Submission &submission);
   void fetchTicket(const Submission &submission);
   void bind(const Submission &submission, const std::string &ticket);
   void onBindStep(const Submission &submission,
                   const std::shared_ptr<KeyBinding> &binding, BindStep step);
-  void launch(const Submission &submission, const std::string &ticket);
+  void startFlow(const Submission &submission, const std::string &ticket);
   std::optional<entry::RequestSpec> readSpec(const Submission &submission,
                                              Error &reason) const;
   entry::FlowHooks flowHooks(const std::string &ticket);
   std::vector<entry::Candidate> rank(const entry::RequestSpec &spec,
                                      const std::string &ticket);
-  void push(const RequestId &id, const entry::FlowInput &input);
+  void applyInput(const RequestId &id, const entry::FlowInput &input);
   void refuse(const Submission &submission, Error reason);
-  void post(const std::string &server, wire::Message message);
+  void sendOrQueue(const std::string &server, wire::Message message);
 
-  void on(Going &going, entry::SendOffer &action);
-  void on(Going &going, entry::SendResume &action);
-  void on(Going &going, entry::SendCancel &action);
-  void on(Going &going, entry::AnswerPart &action);
-  void on(Going &going, entry::AnswerEnd &action);
-  void on(Going &going, entry::WholeAnswer &action);
-  void on(Going &going, entry::AnswerError &action);
-  void on(Going &going, entry::ArmTimer &action);
-  void on(Going &going, entry::ReportServer &action);
-  void on(Going &going, entry::RecordEvent &action);
-  void on(Going &going, entry::FlowEnded &action);
-  uint64_t toldTo(const Going &going) const;
+  void on(ActiveRequest &active, entry::SendOffer &action);
+  void on(ActiveRequest &active, entry::SendResume &action);
+  void on(ActiveRequest &active, entry::SendCancel &action);
+  void on(ActiveRequest &active, entry::AnswerPart &action);
+  void on(ActiveRequest &active, entry::AnswerEnd &action);
+  void on(ActiveRequest &active, entry::WholeAnswer &action);
+  void on(ActiveRequest &active, entry::AnswerError &action);
+  void on(ActiveRequest &active, entry::ArmTimer &action);
+  void on(ActiveRequest &active, entry::ReportServer &action);
+  void on(ActiveRequest &active, entry::RecordEvent &action);
+  void on(ActiveRequest &active, entry::FlowEnded &action);
+  uint64_t recipientOf(const ActiveRequest &active) const;
   void checkExit();
 
   std::string Name;
-  Platform &Outside;
-  PromiseCheck &Check;
+  FakePlatform &Platform;
+  InvariantChecker &Checker;
   ControlHost &Control;
-  Hooks On;
+  Hooks Callbacks;
   std::shared_ptr<const RoutingTable> Routes;
   LoadView Loads;
   OrganisationLimits Limits;
@@ -141,14 +141,14 @@
   RetryBudget Retries;
   PieceKeyer Keyer;
   BindingBudget Bindings;
-  std::map<RequestId, Going> Flows;
+  std::map<RequestId, ActiveRequest> Flows;
   std::map<std::string, Link> Links;
-  std::map<RequestId, Submission> TicketAsks;
+  std::map<RequestId, Submission> PendingTickets;
   std::map<std::string, std::vector<PieceKey>> FirstKeys;
-  uint32_t NextTry = 1;
+  uint32_t NextAttempt = 1;
   bool Draining = false;
   bool Exited = false;
-  uint32_t BeingAdmitted = 0;
+  uint32_t PendingAdmissions = 0;
 };
 
 } // namespace daisytack::matrix
--- a/tests/matrix/event_queue.h
+++ b/tests/matrix/event_queue.h
@@ -14,16 +14,16 @@
   using Action = std::function<void()>;
 
   TimePoint now() const { return Now; }
-  void after(Duration delay, Action action) {
-    Waiting.emplace(std::pair(Now + delay, ++Entered), std::move(action));
+  void schedule(Duration delay, Action action) {
+    Events.emplace(std::pair(Now + delay, ++Scheduled), std::move(action));
   }
   /// Runs everything up to the time.
   void runUntil(TimePoint end) {
-    while (!Waiting.empty() && Waiting.begin()->first.first <= end) {
-      auto it = Waiting.begin();
+    while (!Events.empty() && Events.begin()->first.first <= end) {
+      auto it = Events.begin();
       Now = it->first.first;
       Action action = std::move(it->second);
-      Waiting.erase(it);
+      Events.erase(it);
       action();
     }
     Now = end;
@@ -31,8 +31,8 @@
 
 private:
   TimePoint Now{Duration(1'000'000)};
-  uint64_t Entered = 0;
-  std::map<std::pair<TimePoint, uint64_t>, Action> Waiting;
+  uint64_t Scheduled = 0;
+  std::map<std::pair<TimePoint, uint64_t>, Action> Events;
 };
 
 } // namespace daisytack::matrix
--- a/tests/matrix/invariants.h
+++ b/tests/matrix/invariants.h
@@ -15,7 +15,7 @@
 
 namespace daisytack::matrix {
 
-enum class Promise : uint8_t {
+enum class Invariant : uint8_t {
   FreedOrTornNeverRead,
   OrganisationsStayApart,
   VersionsStayApart,
@@ -27,8 +27,8 @@
   ConfigurationStands,
   Count,
 };
-constexpr size_t Promises = static_cast<size_t>(Promise::Count);
-std::string_view promiseName(Promise promise);
+constexpr size_t InvariantCount = static_cast<size_t>(Invariant::Count);
+std::string_view invariantName(Invariant invariant);
 
 /// One call of one caller.
 struct CallerCall {
@@ -37,65 +37,67 @@
   std::string Expected; ///< Text of the whole answer.
   bool Idempotent = true;
   TimePoint Deadline;
-  bool EntryLost = false;   ///< Its entry died: no final answer can be told.
+  bool EntryDied = false;   ///< Its entry died: no final answer can be told.
   bool EntryPaused = false; ///< Its entry stood still: answers may be late.
 };
 
-class PromiseCheck {
+class InvariantChecker {
 public:
-  void broken(Promise promise, std::string what);
+  void recordViolation(Invariant invariant, std::string what);
   /// The first one that broke, as "NAME: WHAT"; empty when all hold.
-  std::string verdict() const;
-  bool isBroken(Promise promise) const {
-    return !What[static_cast<size_t>(promise)].empty();
+  std::string firstViolation() const;
+  bool isViolated(Invariant invariant) const {
+    return !Violations[static_cast<size_t>(invariant)].empty();
   }
 
   // What callers see. A submission is one HTTP request of one call.
-  void submitted(uint64_t submission, const CallerCall &call);
-  void toldPart(uint64_t submission, std::string_view text);
-  void toldEnd(uint64_t submission, TimePoint now);
-  void toldError(uint64_t submission, const Error &reason, Outcome ran,
-                 TimePoint now);
+  void onSubmitted(uint64_t submission, const CallerCall &call);
+  void onAnswerText(uint64_t submission, std::string_view text);
+  void onAnswerEnd(uint64_t submission, TimePoint now);
+  void onErrorAnswer(uint64_t submission, const Error &reason, Outcome ran,
+                     TimePoint now);
   /// Its entry died; the caller may resume elsewhere from what it has.
-  void entryLost(uint64_t submission);
-  void entryPaused(uint64_t submission);
+  void onEntryDied(uint64_t submission);
+  void onEntryPaused(uint64_t submission);
 
   // What backend servers see.
-  void ran(uint64_t call, uint64_t submission, TimePoint now);
+  void onRun(uint64_t call, uint64_t submission, TimePoint now);
 
   // Leaving and shutdown.
-  void leaving(const std::string &server, TimePoint now);
+  void onLeaving(const std::string &server, TimePoint now);
   /// A request that was offered at the time is run.
-  void acceptedNew(const std::string &server, TimePoint offered);
-  void returned(const std::string &server) { LeavingSince.erase(server); }
-  void exited(const std::string &process, size_t unfinished);
+  void onNewWorkAccepted(const std::string &server, TimePoint offered);
+  void onReturned(const std::string &server) { LeavingSince.erase(server); }
+  void onExited(const std::string &process, size_t unfinished);
 
   // Configuration.
-  void inForce(const std::string &process, const std::string &key,
-               uint64_t revision);
-  void processStarted(const std::string &process) { InForce.erase(process); }
+  void onConfigApplied(const std::string &process, const std::string &key,
+                       uint64_t revision);
+  void onProcessStarted(const std::string &process) {
+    AppliedRevisions.erase(process);
+  }
 
   /// Every submission got one final answer, in time.
-  void checkAnswered(TimePoint now);
+  void checkAllAnswered(TimePoint now);
 
   size_t completed() const { return Completed; }
   size_t submissions() const { return Calls.size(); }
 
 private:
-  struct Told {
+  struct SubmissionState {
     CallerCall Call;
     std::string Text;
-    uint32_t Finals = 0;
+    uint32_t FinalAnswers = 0;
     bool Completed = false;
-    std::optional<Outcome> Refused;
+    std::optional<Outcome> ErrorOutcome;
   };
 
-  std::array<std::string, Promises> What;
-  std::map<uint64_t, Told> Calls; ///< By submission.
+  std::array<std::string, InvariantCount> Violations;
+  std::map<uint64_t, SubmissionState> Calls; ///< By submission.
   std::map<uint64_t, uint32_t> RunsOfCall;
   std::set<uint64_t> RanSubmissions;
   std::map<std::string, TimePoint> LeavingSince;
-  std::map<std::string, std::map<std::string, uint64_t>> InForce;
+  std::map<std::string, std::map<std::string, uint64_t>> AppliedRevisions;
   size_t Completed = 0;
 };
 
--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -10,96 +10,102 @@
 
 void expectAllHold(const std::vector<Cell> &cells) {
   for (const Cell &it : cells) {
-    EXPECT_EQ(it.Result.Verdict, "") << cellName(it.What);
-    EXPECT_TRUE(it.Result.Struck || !skipReason(it.What).empty())
-        << cellName(it.What) << " was not reached";
+    EXPECT_EQ(it.Result.Violation, "") << cellName(it.Plan);
+    EXPECT_TRUE(it.Result.Injected || !skipReason(it.Plan).empty())
+        << cellName(it.Plan) << " was not reached";
   }
 }
 
 } // namespace
 
-TEST(FaultMatrix, TheStoryWithoutFaults) {
-  Outcomes out = World(Plan()).run();
-  EXPECT_EQ(out.Verdict, "");
+TEST(FaultMatrix, HoldsWithoutFaults) {
+  RunResult out = SimulatedCluster(FaultPlan()).run();
+  EXPECT_EQ(out.Violation, "");
   EXPECT_GT(out.Completed * 4, out.Submissions * 3);
   std::printf("without faults: %zu of %zu submissions completed\n",
               out.Completed, out.Submissions);
 }
 
 TEST(FaultMatrix, EveryFaultAtEveryStep) {
-  constexpr size_t Least = 300;
+  constexpr size_t MinCells = 300;
   std::vector<Cell> cells = singleCells();
   runCells(cells);
   TableCounts counts = printTable("single faults", cells);
   expectAllHold(cells);
-  EXPECT_GE(counts.Run, Least);
+  EXPECT_GE(counts.Run, MinCells);
 }
 
 TEST(FaultMatrix, PairsOfFaults) {
-  constexpr size_t Least = 1000;
+  constexpr size_t MinCells = 1000;
   std::vector<Cell> cells = pairCells();
   runCells(cells);
   TableCounts counts = printTable("pairs of faults", cells);
   expectAllHold(cells);
-  EXPECT_GE(counts.Run, Least);
+  EXPECT_GE(counts.Run, MinCells);
 }
 
-TEST(FaultMatrix, IsTheSameEveryTime) {
-  Plan plan;
-  plan.At = Step::Run;
+TEST(FaultMatrix, IsDeterministic) {
+  FaultPlan plan;
+  plan.TriggerStep = Step::Run;
   plan.Faults = {Fault::RestartsEmpty, Fault::ServiceDown};
-  Outcomes first = World(plan).run();
-  Outcomes second = World(plan).run();
+  RunResult first = SimulatedCluster(plan).run();
+  RunResult second = SimulatedCluster(plan).run();
   EXPECT_EQ(first.Submissions, second.Submissions);
   EXPECT_EQ(first.Completed, second.Completed);
-  EXPECT_EQ(first.Verdict, second.Verdict);
+  EXPECT_EQ(first.Violation, second.Violation);
 }
 
 /// A check that never fails proves nothing: each one is shown a defect.
 struct SeededDefect {
-  Promise Broken = Promise::Count;
+  Invariant Violated = Invariant::Count;
   Defect Kind = Defect::None;
-  Step At = Step::Count;
-  Fault Struck = Fault::Count;
+  Step TriggerStep = Step::Count;
+  Fault Injected = Fault::Count;
 };
 
 /// Passes of a step that are tried, from the first, until the defect shows.
-constexpr uint32_t MaxSkip = 40;
+constexpr uint32_t MaxSkippedPasses = 40;
 
-class PromiseTest : public ::testing::TestWithParam<SeededDefect> {};
+class InvariantTest : public ::testing::TestWithParam<SeededDefect> {};
 
-TEST_P(PromiseTest, FailsOnItsDefectAndHoldsWithout) {
-  Plan plan;
-  plan.At = GetParam().At;
-  if (plan.At != Step::Count)
-    plan.Faults = {GetParam().Struck};
-  auto promise = static_cast<size_t>(GetParam().Broken);
+TEST_P(InvariantTest, DetectsDefectAndPassesWithoutIt) {
+  FaultPlan plan;
+  plan.TriggerStep = GetParam().TriggerStep;
+  if (plan.TriggerStep != Step::Count)
+    plan.Faults = {GetParam().Injected};
+  auto invariant = static_cast<size_t>(GetParam().Violated);
   bool shown = false;
   // Which pass of the step shows it moves with the messages before it.
-  for (; !shown && plan.Skip < MaxSkip; ++plan.Skip) {
+  for (; !shown && plan.SkippedPasses < MaxSkippedPasses;
+       ++plan.SkippedPasses) {
     plan.Seeded = Defect::None;
-    EXPECT_FALSE(World(plan).run().Broken[promise]) << plan.Skip;
+    EXPECT_FALSE(SimulatedCluster(plan).run().Violated[invariant])
+        << plan.SkippedPasses;
     plan.Seeded = GetParam().Kind;
-    shown = World(plan).run().Broken[promise];
+    shown = SimulatedCluster(plan).run().Violated[invariant];
   }
   EXPECT_TRUE(shown);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    FaultMatrix, PromiseTest,
+    FaultMatrix, InvariantTest,
     ::testing::Values(
-        SeededDefect{Promise::FreedOrTornNeverRead, Defect::ImportsUnverified},
-        SeededDefect{Promise::OrganisationsStayApart, Defect::MixesCallers},
-        SeededDefect{Promise::VersionsStayApart, Defect::KeysByOldVersion},
-        SeededDefect{Promise::AnswersAreWholeAndOwn, Defect::DropsChunks},
-        SeededDefect{Promise::NotRunIsTrue, Defect::TellsNotRunAlways,
+        SeededDefect{Invariant::FreedOrTornNeverRead,
+                     Defect::ImportsUnverified},
+        SeededDefect{Invariant::OrganisationsStayApart,
+                     Defect::AnswersWrongCaller},
+        SeededDefect{Invariant::VersionsStayApart, Defect::KeepsOldPieceKeys},
+        SeededDefect{Invariant::AnswersAreWholeAndOwn, Defect::DropsChunks},
+        SeededDefect{Invariant::NotRunIsTrue, Defect::AlwaysReportsNotRun,
                      Step::Offer, Fault::ServerDies},
-        SeededDefect{Promise::AtMostOnce, Defect::RepeatsCalls, Step::Record,
-                     Fault::ServerDies},
-        SeededDefect{Promise::LeavingGetsNothingNew, Defect::IgnoresLeaving},
-        SeededDefect{Promise::ShutdownCutsNothingOff, Defect::ExitsAtOnce},
-        SeededDefect{Promise::ConfigurationStands, Defect::LastImageWins,
+        SeededDefect{Invariant::AtMostOnce, Defect::RetriesAnyCall,
+                     Step::Record, Fault::ServerDies},
+        SeededDefect{Invariant::LeavingGetsNothingNew, Defect::IgnoresLeaving},
+        SeededDefect{Invariant::ShutdownCutsNothingOff, Defect::ExitsAtOnce},
+        SeededDefect{Invariant::ConfigurationStands, Defect::AcceptsOlderState,
                      Step::Spread, Fault::MessageLate}),
-    [](const auto &it) { return std::string(promiseName(it.param.Broken)); });
+    [](const auto &it) {
+      return std::string(invariantName(it.param.Violated));
+    });
 
 } // namespace daisytack::matrix
--- a/tests/matrix/platform.cpp
+++ b/tests/matrix/platform.cpp
@@ -4,7 +4,7 @@
 
 using namespace serve;
 
-void Platform::preset(const ConfigObject &object) {
+void FakePlatform::putConfig(const ConfigObject &object) {
   control::StoredObject stored;
   stored.Object = object;
   edge::KvTransaction out;
@@ -13,75 +13,79 @@
   Kv.commit(out, Queue.now());
 }
 
-void Platform::list(const Member &member) {
-  Listed[member.Name] = {member, ++ListVersion};
+void FakePlatform::addMember(const Member &member) {
+  Members[member.Name] = {member, ++ListVersion};
 }
 
-void Platform::setState(const std::string &name, MemberState state) {
+void FakePlatform::setMemberState(const std::string &name, MemberState state) {
   constexpr Duration Lag{1'000'000};
   constexpr Duration LongLag{10'000'000};
-  Queue.after(ListLags ? LongLag : Lag, [this, name, state] {
-    auto it = Listed.find(name);
-    if (it == Listed.end() || it->second.Instance.State >= state)
+  Queue.schedule(ListLags ? LongLag : Lag, [this, name, state] {
+    auto it = Members.find(name);
+    if (it == Members.end() || it->second.Instance.State >= state)
       return;
     it->second.Instance.State = state;
     it->second.Changed = ++ListVersion;
   });
 }
 
-control::InstanceDelta Platform::listed(uint64_t since) const {
+control::InstanceDelta FakePlatform::membersSince(uint64_t since) const {
   control::InstanceDelta out;
   out.Version = ListVersion;
-  for (const auto &[name, member] : Listed)
+  for (const auto &[name, member] : Members)
     if (member.Changed > since)
       out.Members.push_back(member);
   return out;
 }
 
-StoreResult Platform::callStore(StoreHandle store, const StoreRequest &ask) {
+StoreResult FakePlatform::callStore(StoreHandle store,
+                                    const StoreRequest &request) {
   if (StoreDead || store.Index >= StoreCount)
     return Error{ErrorKind::ServerLost, "the store is dead"};
   FakeStore &target = Stores[store.Index];
-  return std::visit([&](const auto &it) { return answer(target, it); }, ask);
+  return std::visit([&](const auto &it) { return answer(target, it); },
+                    request);
 }
 
-StoreResult Platform::answer(FakeStore &store, const LookupPieces &ask) {
+StoreResult FakePlatform::answer(FakeStore &store,
+                                 const LookupPieces &request) {
   StoreFound out;
-  for (const PieceKey &key : ask.Keys)
+  for (const PieceKey &key : request.Keys)
     if (auto it = store.lookup(key))
       out.Pieces.push_back({key, it->Generation, it->Length, false, ""});
   return out;
 }
 
-StoreResult Platform::answer(FakeStore &store, const ReadPiece &ask) {
-  PieceHeader header = store.header(ask.Key);
+StoreResult FakePlatform::answer(FakeStore &store, const ReadPiece &request) {
+  PieceHeader header = store.header(request.Key);
   if (header.Generation == 0)
     return Error{ErrorKind::NotFound, "no such piece"};
   StoreBytes out;
   out.Generation = header.Generation;
   out.Length = header.Length;
   out.Checksum = header.Checksum;
-  out.Bytes = store.bytes(ask.Key);
+  out.Bytes = store.bytes(request.Key);
   for (const SampledPiece &it : store.sample())
-    if (it.Key == ask.Key)
+    if (it.Key == request.Key)
       out.Meta = it.Meta;
   return out;
 }
 
-StoreResult Platform::answer(FakeStore &store, const ReadGeneration &ask) {
-  return StoreGeneration{store.generation(ask.Key)};
+StoreResult FakePlatform::answer(FakeStore &store,
+                                 const ReadGeneration &request) {
+  return StoreGeneration{store.generation(request.Key)};
 }
 
-StoreResult Platform::answer(FakeStore &store, const BeginPiece &ask) {
-  Known.insert(ask.Key);
-  return StoreGeneration{store.create(ask.Key)};
+StoreResult FakePlatform::answer(FakeStore &store, const BeginPiece &request) {
+  KnownPieces.insert(request.Key);
+  return StoreGeneration{store.create(request.Key)};
 }
 
-StoreResult Platform::answer(FakeStore &store, const WritePiece &ask) {
-  std::string bytes = *ask.Bytes;
-  if (TearWrites)
+StoreResult FakePlatform::answer(FakeStore &store, const WritePiece &request) {
+  std::string bytes = *request.Bytes;
+  if (TruncateWrites)
     bytes.resize(bytes.size() / 2);
-  switch (store.put(ask.Generation, bytes)) {
+  switch (store.put(request.Generation, bytes)) {
   case PutAnswer::Stored:
     return StoreDone{};
   case PutAnswer::Full:
@@ -91,52 +95,55 @@
   }
 }
 
-StoreResult Platform::answer(FakeStore &store, const CommitPiece &ask) {
-  auto checksum = parsePieceKey(ask.Checksum);
+StoreResult FakePlatform::answer(FakeStore &store, const CommitPiece &request) {
+  auto checksum = parsePieceKey(request.Checksum);
   Digest256 digest{};
   if (checksum)
     digest = checksum->Bytes;
-  if (store.commit(ask.Generation, digest, ask.Meta) == CommitAnswer::Committed)
+  if (store.commit(request.Generation, digest, request.Meta) ==
+      CommitAnswer::Committed)
     return StoreDone{};
   return Error{ErrorKind::Conflict, "not committed"};
 }
 
-StoreResult Platform::answer(FakeStore &store, const FreePiece &ask) {
-  store.erase(ask.Key, ask.Generation);
+StoreResult FakePlatform::answer(FakeStore &store, const FreePiece &request) {
+  store.erase(request.Key, request.Generation);
   return StoreDone{};
 }
 
-StoreResult Platform::answer(FakeStore &store, const SamplePieces & /*ask*/) {
+StoreResult FakePlatform::answer(FakeStore &store,
+                                 const SamplePieces & /*request*/) {
   StoreFound out;
   for (const SampledPiece &it : store.sample())
     out.Pieces.push_back({it.Key, it.Generation, it.Length, false, it.Meta});
   return out;
 }
 
-StoreResult Platform::answer(FakeStore & /*store*/, const ReadUsage & /*ask*/) {
+StoreResult FakePlatform::answer(FakeStore & /*store*/,
+                                 const ReadUsage & /*request*/) {
   return StoreUsage{};
 }
 
-StoreResult Platform::answer(FakeStore & /*store*/,
-                             const ReadStatus & /*ask*/) {
+StoreResult FakePlatform::answer(FakeStore & /*store*/,
+                                 const ReadStatus & /*request*/) {
   StoreStatus out;
   out.MemoryTotal = out.DiskTotal = 1ULL << 30;
   out.LinkBytesPerSecond = 100U << 20;
   return out;
 }
 
-void Platform::tearStores() {
-  TearWrites = true;
+void FakePlatform::truncatePieces() {
+  TruncateWrites = true;
   for (FakeStore &store : Stores)
-    for (const PieceKey &key : Known)
+    for (const PieceKey &key : KnownPieces)
       if (store.generation(key) != 0)
         store.truncate(key);
 }
 
 /// Frees every piece, and gives each one's place to another.
-void Platform::freeStores() {
+void FakePlatform::freePieces() {
   const PieceKey *previous = nullptr;
-  for (const PieceKey &key : Known) {
+  for (const PieceKey &key : KnownPieces) {
     for (FakeStore &store : Stores) {
       if (store.generation(key) == 0)
         continue;
@@ -149,7 +156,7 @@
   }
 }
 
-void Platform::fillStores() {
+void FakePlatform::fillStores() {
   for (FakeStore &store : Stores)
     store.Capacity = 0;
 }
--- a/tests/matrix/platform.h
+++ b/tests/matrix/platform.h
@@ -20,12 +20,12 @@
 
 constexpr Duration KvLatency{2'000};
 constexpr Duration KvTimeout{2'000'000};
-constexpr Duration KvSlowness{3'000'000};
+constexpr Duration KvSlowLatency{3'000'000};
 constexpr size_t StoreCount = 2;
 
-class Platform {
+class FakePlatform {
 public:
-  explicit Platform(EventQueue &queue) : Queue(queue) {}
+  explicit FakePlatform(EventQueue &queue) : Queue(queue) {}
 
   // Key-value service.
 
@@ -36,14 +36,14 @@
     if (KvDown) {
       R none;
       none.Header = kvHeader(edge::KvStatus::Unavailable);
-      return Queue.after(KvLatency, [done, none] { done(none); });
+      return Queue.schedule(KvLatency, [done, none] { done(none); });
     }
     bool lost = LoseKvAnswers > 0;
     if (lost)
       --LoseKvAnswers;
-    Duration latency = KvSlow ? KvSlowness : KvLatency;
+    Duration latency = KvSlow ? KvSlowLatency : KvLatency;
     bool isLate = lost || latency >= KvTimeout;
-    Queue.after(latency, [this, apply, done, isLate] {
+    Queue.schedule(latency, [this, apply, done, isLate] {
       R result = apply(Kv, Queue.now());
       if (!isLate)
         done(result);
@@ -52,26 +52,26 @@
       return;
     R unknown;
     unknown.Header = kvHeader(edge::KvStatus::Unknown);
-    Queue.after(KvTimeout, [done, unknown] { done(unknown); });
+    Queue.schedule(KvTimeout, [done, unknown] { done(unknown); });
   }
   /// Writes at once, as operators did before the start.
-  void preset(const ConfigObject &object);
+  void putConfig(const ConfigObject &object);
 
   // Instance list.
 
-  void list(const Member &member);
-  void setState(const std::string &name, MemberState state);
-  control::InstanceDelta listed(uint64_t since) const;
+  void addMember(const Member &member);
+  void setMemberState(const std::string &name, MemberState state);
+  control::InstanceDelta membersSince(uint64_t since) const;
 
   // Stores.
 
   serve::StoreResult callStore(serve::StoreHandle store,
-                               const serve::StoreRequest &ask);
+                               const serve::StoreRequest &request);
   Duration storeLatency() const {
     return StoreSlow ? Duration(2'000'000) : Duration(1'000);
   }
-  void tearStores();
-  void freeStores();
+  void truncatePieces();
+  void freePieces();
   void fillStores();
 
   test::FakeKv Kv;
@@ -81,7 +81,7 @@
   bool ListLags = false;
   bool StoreDead = false;
   bool StoreSlow = false;
-  bool TearWrites = false;
+  bool TruncateWrites = false;
 
 private:
   edge::KvHeader kvHeader(edge::KvStatus status) const {
@@ -89,22 +89,26 @@
     out.Reason = {ErrorKind::ServiceUnavailable, "fault"};
     return out;
   }
-  serve::StoreResult answer(FakeStore &store, const serve::LookupPieces &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::ReadPiece &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::ReadGeneration &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::BeginPiece &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::WritePiece &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::CommitPiece &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::FreePiece &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::SamplePieces &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::ReadUsage &ask);
-  serve::StoreResult answer(FakeStore &store, const serve::ReadStatus &ask);
+  serve::StoreResult answer(FakeStore &store,
+                            const serve::LookupPieces &request);
+  serve::StoreResult answer(FakeStore &store, const serve::ReadPiece &request);
+  serve::StoreResult answer(FakeStore &store,
+                            const serve::ReadGeneration &request);
+  serve::StoreResult answer(FakeStore &store, const serve::BeginPiece &request);
+  serve::StoreResult answer(FakeStore &store, const serve::WritePiece &request);
+  serve::StoreResult answer(FakeStore &store,
+                            const serve::CommitPiece &request);
+  serve::StoreResult answer(FakeStore &store, const serve::FreePiece &request);
+  serve::StoreResult answer(FakeStore &store,
+                            const serve::SamplePieces &request);
+  serve::StoreResult answer(FakeStore &store, const serve::ReadUsage &request);
+  serve::StoreResult answer(FakeStore &store, const serve::ReadStatus &request);
 
   EventQueue &Queue;
   uint64_t ListVersion = 0;
-  std::map<std::string, control::ListedMember> Listed;
+  std::map<std::string, control::ListedMember> Members;
   std::array<FakeStore, StoreCount> Stores;
-  std::set<PieceKey> Known;
+  std::set<PieceKey> KnownPieces;
 };
 
 } // namespace daisytack::matrix
--- a/tests/matrix/steps.cpp
+++ b/tests/matrix/steps.cpp
@@ -5,7 +5,7 @@
 namespace daisytack::matrix {
 
 std::string_view stepName(Step step) {
-  static constexpr std::array<std::string_view, Steps> Names{
+  static constexpr std::array<std::string_view, StepCount> Names{
       "receive", "authenticate", "limit",   "rank",        "offer",  "accept",
       "fetch",   "import",       "run",     "stream",      "record", "answer",
       "release", "read",         "propose", "lose answer", "spread", "apply",
@@ -14,7 +14,7 @@
 }
 
 std::string_view faultName(Fault fault) {
-  static constexpr std::array<std::string_view, Faults> Names{
+  static constexpr std::array<std::string_view, FaultCount> Names{
       "process dies", "restarts empty", "pauses past lease", "message lost",
       "duplicated",   "late",           "crossed",           "service down",
       "service slow", "answer lost",    "watch gap",         "store dead",
--- a/tests/matrix/steps.h
+++ b/tests/matrix/steps.h
@@ -59,8 +59,8 @@
   Count,
 };
 
-constexpr size_t Steps = static_cast<size_t>(Step::Count);
-constexpr size_t Faults = static_cast<size_t>(Fault::Count);
+constexpr size_t StepCount = static_cast<size_t>(Step::Count);
+constexpr size_t FaultCount = static_cast<size_t>(Fault::Count);
 
 std::string_view stepName(Step step);
 std::string_view faultName(Fault fault);
--- a/tests/matrix/table.h
+++ b/tests/matrix/table.h
@@ -10,8 +10,8 @@
 namespace daisytack::matrix {
 
 struct Cell {
-  Plan What;
-  Outcomes Result;
+  FaultPlan Plan;
+  RunResult Result;
 };
 
 /// One cell for each step and fault.
@@ -24,14 +24,14 @@
 void runCells(std::vector<Cell> &cells);
 
 /// "STEP x FAULT + FAULT (passage N, M ms apart)".
-std::string cellName(const Plan &plan);
+std::string cellName(const FaultPlan &plan);
 /// Why a cell may go unreached; empty when it must be reached.
-std::string_view skipReason(const Plan &plan);
+std::string_view skipReason(const FaultPlan &plan);
 
 struct TableCounts {
   size_t Run = 0;
   size_t Skipped = 0;
-  size_t Broken = 0;
+  size_t Violated = 0;
 };
 /// Prints a row for each step, and every broken or skipped cell with its
 /// reason.
