--- a/tests/matrix/agent_host.cpp
+++ b/tests/matrix/agent_host.cpp
@@ -152,7 +152,7 @@
 void AgentHost::on(const ResumeRun & /*action*/) {}
 
 void AgentHost::on(const PollStatus & /*action*/) {
-  // The status is of the moment it is asked for, and arrives late.
+  // The status is taken now and delivered after the engine latency.
   AgentInput status = Server.status();
   Callbacks.Schedule(EngineLatency, [this, status] { apply(status); });
 }
@@ -204,7 +204,8 @@
   });
 }
 
-/// Each call is answered exactly once.
+/// Delivers the result if the call is still pending, so that each call gets
+/// exactly one result.
 void AgentHost::completeStoreCall(CallId call, StoreResult result) {
   auto it = StoreCalls.find(call);
   if (it == StoreCalls.end())
--- a/tests/matrix/agent_host.h
+++ b/tests/matrix/agent_host.h
@@ -1,5 +1,5 @@
-/// One agent process beside its backend server: the real core, and what the
-/// daemon's shell does around it.
+/// Simulated agent process: runs the real AgentCore and performs its actions
+/// against the simulated engine, platform and links, as the daemon does.
 #pragma once
 
 #include "control_host.h"
@@ -21,9 +21,9 @@
     std::function<void(Duration, std::function<void()>)> Schedule;
     std::function<void(uint32_t link, wire::Message message)> Send;
     std::function<void(Step)> StepReached;
-    /// When the request was first offered to this agent.
+    /// Returns when the request was first offered to this agent.
     std::function<TimePoint(const RequestId &)> OfferedAt;
-    std::function<void()> Exit; ///< The drained process ends.
+    std::function<void()> Exit; ///< Ends the drained process.
     RandomSource Random;
   };
   AgentHost(std::string name, Incarnation process, std::string serves,
@@ -36,14 +36,14 @@
   void onLinkClosed(uint32_t link);
   void onMessage(uint32_t link, wire::Message message);
   void onConfig(const Snapshot &snapshot);
-  /// SIGTERM.
+  /// Starts the drain, as SIGTERM does in the daemon.
   void drain();
   bool isDraining() const { return Draining; }
 
-  // Seeded defects.
-  bool IgnoresDrain = false; ///< Goes on taking work while it leaves.
-  bool ExitsAtOnce = false;  ///< Ends without waiting for what it accepted.
-  bool ImportsUnverified = false; ///< Gives the engine half-read pieces.
+  // Defects that a test can switch on.
+  bool IgnoresDrain = false;      ///< Accepts work while draining.
+  bool ExitsAtOnce = false;       ///< Exits before accepted requests end.
+  bool ImportsUnverified = false; ///< Imports corrupt pieces.
 
 private:
   void performAction(serve::AgentAction action);
@@ -77,8 +77,8 @@
   std::optional<TimePoint> ArmedTimer;
   bool Draining = false;
   bool Exited = false;
-  std::map<serve::CallId, serve::StoreHandle> StoreCalls; ///< Not answered yet.
-  std::map<RequestId, uint32_t> Accepted; ///< Not ended yet: link that reads.
+  std::map<serve::CallId, serve::StoreHandle> StoreCalls; ///< Pending calls.
+  std::map<RequestId, uint32_t> Accepted; ///< Link of each open request.
 };
 
 } // namespace daisytack::matrix
--- a/tests/matrix/cluster.cpp
+++ b/tests/matrix/cluster.cpp
@@ -1,4 +1,4 @@
-/// World: set-up.
+/// SimulatedCluster: set-up.
 #include "cluster.h"
 
 #include "base/digest.h"
--- a/tests/matrix/cluster.h
+++ b/tests/matrix/cluster.h
@@ -1,6 +1,6 @@
-/// Two entries and five agents around one platform, stepped by one queue. A
-/// plan strikes with its faults when the plan's step is reached for the first
-/// time after the start, and heals them a while later.
+/// Simulated cluster of two entries and five agents on one fake platform, run
+/// by one event queue. The faults of a plan are injected when its step is
+/// reached after the start, and cleared after a fixed time.
 #pragma once
 
 #include "agent_host.h"
@@ -16,7 +16,7 @@
 
 namespace daisytack::matrix {
 
-/// What is broken on purpose, one for each promise.
+/// Defects switched on to test the checks, one for each invariant.
 enum class Defect : uint8_t {
   None,
   ImportsUnverified,
@@ -31,18 +31,18 @@
 };
 
 struct FaultPlan {
-  Step TriggerStep = Step::Count; ///< Count: no fault.
-  uint32_t SkippedPasses = 0;     ///< The step is passed so many times before.
+  Step TriggerStep = Step::Count; ///< Count: no faults.
+  uint32_t SkippedPasses = 0;     ///< Passes of the step before injection.
   std::vector<Fault> Faults;
-  Duration FaultInterval{0}; ///< From one fault to the next.
+  Duration FaultInterval{0}; ///< Delay from one fault to the next.
   Defect Seeded = Defect::None;
 };
 
-/// What became of a plan.
+/// Result of a run.
 struct RunResult {
-  std::string Violation; ///< Empty: all promises held.
+  std::string Violation; ///< Empty if all invariants held.
   std::array<bool, InvariantCount> Violated{};
-  bool Injected = false; ///< The step was reached.
+  bool Injected = false; ///< The step was reached and faults injected.
   size_t Submissions = 0;
   size_t Completed = 0;
 };
@@ -62,7 +62,7 @@
     bool Alive = false;
     bool Leaving = false;
     TimePoint PausedUntil;
-    TimePoint UnstableUntil; ///< Too lately started or woken to be judged.
+    TimePoint UnstableUntil; ///< Until then, propagation isn't checked.
     Duration WallOffset{0};
     std::unique_ptr<ControlHost> Control;
     std::unique_ptr<EntryHost> Entry;
@@ -76,13 +76,13 @@
     uint64_t AgentGeneration = 0;
     bool Open = true;
   };
-  /// What happens to the next messages of a process.
+  /// Fault applied to the next messages that a process sends.
   struct MessageFault {
     Fault Kind = Fault::Count;
     uint32_t Remaining = 0;
   };
 
-  // Set-up (world.cpp).
+  // Set-up (cluster.cpp).
   void configure();
   void addProcess(const std::string &name, bool isEntry,
                   const std::string &serves);
@@ -95,7 +95,7 @@
   void applyDefect(Process &process);
   RandomSource randomSource();
 
-  // Processes and links (world_links.cpp).
+  // Processes and links (cluster_links.cpp).
   void scheduleIn(const std::string &name, uint64_t generation, Duration delay,
                   EventQueue::Action action);
   void kill(Process &process);
@@ -116,14 +116,14 @@
              std::function<void(control::StateUpdate)> done);
   std::optional<Fault> takeMessageFault(const std::string &from);
 
-  // Faults (world_faults.cpp).
+  // Faults (cluster_faults.cpp).
   void onStepReached(Step step, const std::string &actor);
   void injectFault(Fault fault, const std::string &actor);
   void injectProcessFault(Fault fault, Process &process);
   void injectServerFault(Fault fault, Process &agent);
   void clearFaults();
 
-  // The story (world_story.cpp).
+  // Workload and final checks (cluster_workload.cpp).
   void scheduleWorkload();
   void scheduleAt(double seconds, EventQueue::Action action);
   uint64_t submit(Submission submission, const std::string &entry);
@@ -134,7 +134,7 @@
                control::ObjectEdit edit);
   void onCommandDone(const Id128 &id, const control::CommandResult &result);
   void recordConfigWrites();
-  /// Notes commands at each interval of the watch.
+  /// Calls recordConfigWrites() at each poll interval.
   void pollConfigWrites();
   void drain(const std::string &name);
   void resumeStreams(Process &dying);
@@ -148,7 +148,7 @@
   std::mt19937_64 Random;
   std::map<std::string, Process> Processes;
   std::map<Endpoint, std::string> ByPeer;
-  std::vector<Link> Links; ///< Number 0 is never used.
+  std::vector<Link> Links; ///< Index is the link number; 0 is unused.
   std::map<std::string, MessageFault> MessageFaults;
   std::vector<std::unique_ptr<ControlHost>> StoppedControls;
   std::vector<std::unique_ptr<EntryHost>> StoppedEntries;
@@ -156,7 +156,7 @@
   std::map<RequestId, uint64_t> SubmissionOf;
   std::map<std::pair<std::string, RequestId>, TimePoint> OfferedAt;
   std::map<uint64_t, Submission> Submitted;
-  std::map<uint64_t, std::string> EntryOf; ///< By submission.
+  std::map<uint64_t, std::string> EntryOf; ///< Key: submission number.
   std::set<Id128> WrittenCommands;
   std::vector<std::pair<Id128, control::CommandOutcome>> Commands;
   uint64_t KvSeen = 0;
@@ -164,7 +164,7 @@
   uint64_t NextSubmission = 0;
   std::string LastAgent = "a0";
   bool Started = false;
-  uint32_t StepPasses = 0; ///< Times that the plan's step was reached.
+  uint32_t StepPasses = 0; ///< How often the plan's step was reached.
   bool Injected = false;
   bool WatchGap = false;
   bool LoseNextCommandAnswer = false;
--- a/tests/matrix/cluster_faults.cpp
+++ b/tests/matrix/cluster_faults.cpp
@@ -1,4 +1,4 @@
-/// World: where faults strike, and how they end.
+/// SimulatedCluster: injects and clears faults.
 #include "cluster.h"
 
 namespace daisytack::matrix {
--- a/tests/matrix/cluster_links.cpp
+++ b/tests/matrix/cluster_links.cpp
@@ -1,4 +1,4 @@
-/// World: processes and the messages between them.
+/// SimulatedCluster: processes and the messages between them.
 #include "cluster.h"
 
 #include "wire/codec.h"
@@ -38,7 +38,7 @@
     if (Links[i].Open &&
         (Links[i].Entry == process.Name || Links[i].Agent == process.Name))
       closeLink(i);
-  // Their code may be on the stack.
+  // The objects are kept because their code may still be on the stack.
   StoppedControls.push_back(std::move(process.Control));
   if (process.Entry)
     StoppedEntries.push_back(std::move(process.Entry));
@@ -132,7 +132,8 @@
   return it->second.Kind;
 }
 
-/// A frame that is lost breaks its connection: frames are numbered.
+/// A lost frame closes its connection, since frames are numbered and a gap is
+/// detected.
 void SimulatedCluster::transmit(const std::string &from, uint32_t link,
                                 EventQueue::Action deliver) {
   auto arrive = [this, link, deliver = std::move(deliver)] {
@@ -153,7 +154,7 @@
   case Fault::MessageLate:
     return Queue.schedule(LateDelay, arrive);
   default:
-    // Crossed: behind those that were sent after it.
+    // Crossed: arrives after messages that were sent later.
     return Queue.schedule(LinkLatency * 100, arrive);
   }
 }
--- a/tests/matrix/cluster_workload.cpp
+++ b/tests/matrix/cluster_workload.cpp
@@ -1,4 +1,5 @@
-/// World: what callers and operators do, and what is checked in the end.
+/// SimulatedCluster: requests of callers, commands of operators and the final
+/// checks.
 #include "cluster.h"
 
 #include "base/digest.h"
@@ -10,10 +11,10 @@
 namespace {
 
 constexpr Duration CallTimeout{10'000'000};
-/// Processes learn configuration and members before the story begins.
+/// Time for processes to load configuration and members before the workload.
 constexpr Duration StartTime{2'000'000};
 constexpr Duration KvPollInterval{5'000};
-/// "Within seconds", at the letter's figure.
+/// Time within which an applied command must reach every process: 8 s.
 constexpr Duration PropagationTimeout{8'000'000};
 const std::vector<std::string> Organisations{"growers", "wholesalers"};
 
@@ -87,7 +88,7 @@
              i % 3 == 0 ? "e1" : "e0");
     });
   }
-  // The engines' caches are emptied, so that context has to come back.
+  // Clears the engines' caches, so that context is fetched from the stores.
   for (double seconds : {2.0, 9.0, 15.0})
     scheduleAt(seconds, [this] {
       for (auto &[name, process] : Processes)
@@ -101,7 +102,7 @@
       if (keyKind == CallKeyKind::OpaqueKey)
         what.Key = "order " + std::to_string(i);
       submit(what, "e0");
-      // The same call again at the other entry: a caller that lost patience.
+      // The caller times out and repeats the call at the other entry.
       if (keyKind == CallKeyKind::OpaqueKey) {
         Queue.schedule(Duration(30'000), [this, what] { submit(what, "e1"); });
         Queue.schedule(Duration(5'000'000),
@@ -121,7 +122,7 @@
       2.5, [this] { submit(makePrompt(Organisations[0], "bulletin"), "e0"); });
   scheduleAt(
       2.6, [this] { submit(makePrompt(Organisations[1], "bulletin"), "e1"); });
-  // Two operators at once.
+  // Two operators change the same object at the same time.
   ObjectKey standard{ObjectKind::RequestClass, "default"};
   for (const char *entry : {"e0", "e1"})
     scheduleAt(3.0, [this, standard, entry] {
@@ -189,14 +190,15 @@
   if (result.Outcome == CommandOutcome::Applied &&
       !WrittenCommands.contains(id))
     Checker.recordViolation(Invariant::ConfigurationStands,
-                            "a command was told as applied that never was");
+                            "a command reported as applied was never written");
   if (result.Outcome == CommandOutcome::Applied && result.Revision > 0)
     Queue.schedule(PropagationTimeout, [this, revision = result.Revision] {
       checkPropagation(revision);
     });
 }
 
-/// Sees every write to the configuration, and wakes the watches.
+/// Records the commands written to the configuration and notifies the watches
+/// of all processes, unless the key-value service is down.
 void SimulatedCluster::recordConfigWrites() {
   uint64_t revision = Platform.Kv.revision();
   if (revision == KvSeen)
@@ -237,8 +239,8 @@
   });
 }
 
-/// Callers of a dead entry see their connection break. Those with a stream
-/// take it up at the other entry.
+/// Records that the callers of the dying entry lost their connection. Those
+/// that have received part of a stream resume it at the other entry.
 void SimulatedCluster::resumeStreams(Process &dying) {
   for (const auto &[submission, entry] : EntryOf)
     if (entry == dying.Name)
@@ -271,7 +273,7 @@
     if (process.Alive && Queue.now() >= process.UnstableUntil &&
         process.Control->state().config().watermark() < revision)
       Checker.recordViolation(Invariant::ConfigurationStands,
-                              name + " has not revision " +
+                              name + " has not received revision " +
                                   std::to_string(revision) + " after 8 s");
 }
 
@@ -284,7 +286,7 @@
                        outcome == CommandOutcome::Unavailable;
     if (wasRejected && WrittenCommands.contains(id))
       Checker.recordViolation(Invariant::ConfigurationStands,
-                              "a command was applied that was told as " +
+                              "a command was applied but reported as " +
                                   std::string(commandOutcomeName(outcome)));
   }
   for (const auto &[name, process] : Processes)
@@ -295,7 +297,8 @@
       const ReplicaEntry *copy = process.Control->state().config().find(key);
       if (copy == nullptr || copy->Revision != entry.ModRevision)
         Checker.recordViolation(Invariant::ConfigurationStands,
-                                name + " ends with another state of " + key);
+                                name + " ends with a different revision of " +
+                                    key);
     }
 }
 
--- a/tests/matrix/control_host.cpp
+++ b/tests/matrix/control_host.cpp
@@ -168,7 +168,7 @@
     return;
   auto *update = std::get_if<StateUpdate>(&*message);
   if (AcceptsOlderState && update && update->Config) {
-    // As a replica would that orders by arrival.
+    // Simulates a replica that applies updates in order of arrival.
     for (const ReplicaEntry &it : update->Config->Entries)
       Checker.onConfigApplied(Self.Name, it.Key, it.Revision);
   }
--- a/tests/matrix/control_host.h
+++ b/tests/matrix/control_host.h
@@ -1,7 +1,7 @@
-/// The control part of one process: its copy of configuration and membership,
-/// read from the platform or learned from peers, as messages through the codec.
-/// Does what the daemons' src/runtime/control_process.h does, with time as an
-/// argument.
+/// Control part of one simulated process: its replica of configuration and
+/// membership, read from the platform or received from peers as encoded
+/// messages. Does the same as src/runtime/control_process.h in the daemons, but
+/// on simulated time.
 #pragma once
 
 #include "control/command_run.h"
@@ -22,10 +22,11 @@
 public:
   struct Hooks {
     std::function<TimePoint()> Now;
-    /// Runs later in this process, if it still lives.
+    /// Runs the action in this process after the delay; skipped if the process
+    /// has ended by then.
     std::function<void(Duration, std::function<void()>)> Schedule;
     std::function<void(const Endpoint &peer, std::string bytes)> Send;
-    /// Asks a peer over TCP; answered at most once.
+    /// Pulls the state of a peer over TCP; the callback runs at most once.
     std::function<void(const Endpoint &peer, control::Pull,
                        std::function<void(control::StateUpdate)>)>
         Fetch;
@@ -41,7 +42,8 @@
   void observeLeaving(const std::string &instance);
   void onPeerMessage(const Endpoint &from, std::string_view bytes);
   control::StateUpdate answerPull(const control::Pull &pull) const;
-  /// The service's watch has news; with a gap they are lost.
+  /// Reads the changes that the key-value watch signalled. With a gap, they
+  /// are skipped.
   void onWatch(bool gap);
   void propose(control::Command command,
                std::function<void(control::CommandResult)> done);
@@ -49,7 +51,8 @@
   std::shared_ptr<const Snapshot> snapshot() const { return Current; }
   bool isReady() const;
   const control::ControlState &state() const { return State; }
-  /// A seeded defect: takes over a peer's whole image, whatever its age.
+  /// Defect that a test can switch on: counts the configuration of any update
+  /// from a peer as applied, also if it is older than the replica's.
   bool AcceptsOlderState = false;
 
 private:
@@ -77,7 +80,7 @@
   TimePoint Started;
   uint64_t SeenThrough = 0;
   bool IsReader = false;
-  uint64_t ReadEpoch = 0; ///< Raised when reading starts: older loops end.
+  uint64_t ReadEpoch = 0; ///< Incremented on each change: ends older loops.
   uint64_t WatchRevision = 0;
 };
 
--- a/tests/matrix/engine.cpp
+++ b/tests/matrix/engine.cpp
@@ -85,7 +85,8 @@
                      });
 }
 
-/// Uses what is cached of the prompt, computes the rest and caches it.
+/// Checks and counts the prompt's cached pieces and adds the missing ones to
+/// the cache. Returns the number of hits.
 uint32_t Engine::usePieces(const wire::Offer &offer) {
   uint32_t hits = 0;
   for (const PieceKey &key : offer.Pieces) {
@@ -225,7 +226,7 @@
 PieceImport Engine::importPiece(const ImportPiece &request) {
   if (Crashed)
     return {request.Call, {ErrorKind::ServerLost, "no answer"}};
-  // Its organisation is known only once it is used for the first time.
+  // The organisation stays empty until the first request that uses the piece.
   auto [it, isNew] = Cache.try_emplace(request.Key);
   it->second.Bytes = *request.Bytes;
   if (isNew)
--- a/tests/matrix/engine.h
+++ b/tests/matrix/engine.h
@@ -1,7 +1,7 @@
-/// A backend server in one process: a model engine with a cache of pieces, or a
-/// plain service. Its answers follow from the request alone, so that any mixed
-/// or cut answer shows; its cache holds the bytes that it was given, so that
-/// any wrong piece shows when it is used.
+/// Simulated backend server: a model engine with a cache of prompt pieces, or a
+/// plain service. Answers are a function of the request alone, so tests detect
+/// mixed-up and truncated answers. The cache keeps imported bytes as they are,
+/// so tests detect a wrong piece when it is used.
 #pragma once
 
 #include "event_queue.h"
@@ -15,19 +15,20 @@
 
 namespace daisytack::matrix {
 
-/// What a caller's body says; bodies are written by callText().
+/// Fields of a request body as written by formatCallBody().
 struct CallBody {
   uint64_t Number = 0;
   std::string Organisation;
   uint32_t Chunks = 0;
 };
 std::string formatCallBody(const CallBody &call);
-/// Chunk i of the whole answer, and all of it.
+/// Returns chunk i of the expected answer.
 std::string answerChunk(const CallBody &call, uint32_t i);
+/// Returns the expected answer, all chunks joined.
 std::string fullAnswer(const CallBody &call);
 CallBody parseCallBody(std::string_view body);
 
-/// Bytes that stand for a piece's content under one weight version.
+/// Returns the simulated content of a piece computed by a weight version.
 std::string pieceBytes(const PieceKey &key, const std::string &version);
 
 class Engine {
@@ -35,7 +36,7 @@
   struct Hooks {
     std::function<void(Duration, std::function<void()>)> Schedule;
     std::function<void(serve::AgentInput)> Notify;
-    /// The submission that a request id stands for.
+    /// Returns the submission number of a request, 0 if unknown.
     std::function<uint64_t(const RequestId &)> SubmissionOf;
     std::function<TimePoint()> Now;
   };
@@ -55,12 +56,13 @@
   size_t running() const { return Runs.size(); }
   const std::string &version() const { return Version; }
 
-  // Faults.
+  // Injected faults.
   uint32_t SlowFactor = 1;
   bool IgnoresFencing = false;
-  uint32_t MisattributedTexts = 0; ///< So many next texts bear another's name.
-  uint32_t DuplicatedTexts = 0;    ///< So many next texts are told twice.
-  /// A seeded defect: pieces of any version are taken for one's own.
+  uint32_t MisattributedTexts = 0; ///< Next texts sent under another run.
+  uint32_t DuplicatedTexts = 0;    ///< Next texts sent twice.
+  /// Defect that a test can switch on: a weight load keeps the cache, so pieces
+  /// of the previous version are used.
   bool KeepsCacheOnLoad = false;
 
 private:
@@ -73,7 +75,7 @@
   };
   struct CachedPiece {
     std::string Bytes;
-    std::string Organisation; ///< That first computed or imported it.
+    std::string Organisation; ///< First user; empty if only imported.
   };
 
   uint32_t usePieces(const wire::Offer &offer);
--- a/tests/matrix/entry_actions.cpp
+++ b/tests/matrix/entry_actions.cpp
@@ -1,4 +1,4 @@
-/// EntryHost: links, and what a flow asks for.
+/// EntryHost: links to servers, and the actions of request flows.
 #include "entry_host.h"
 
 #include "base/digest.h"
--- a/tests/matrix/entry_host.cpp
+++ b/tests/matrix/entry_host.cpp
@@ -15,7 +15,7 @@
 const std::string Secret = "a secret that all entries share: 32 bytes";
 const std::string Region = "riga";
 constexpr std::string_view ServiceName = "portal";
-/// Two whole pieces that every prompt of an organisation starts with.
+/// Length of the prefix shared by all prompts of an organisation: two pieces.
 constexpr size_t GuideBytes = 2 * PieceBytes;
 
 std::string promptBody(const Submission &submission) {
--- a/tests/matrix/entry_host.h
+++ b/tests/matrix/entry_host.h
@@ -1,5 +1,5 @@
-/// One entry process: the real flow of each request, routing, limits and key
-/// binding, and what the daemon's shell does around them.
+/// Simulated entry process: runs the real request flow, routing, limits and key
+/// binding, and performs their actions as the daemon does.
 #pragma once
 
 #include "control_host.h"
@@ -21,20 +21,21 @@
 
 namespace daisytack::matrix {
 
-/// How a caller names a call that may run once.
+/// Key by which a caller identifies a call that must run at most once.
 enum class CallKeyKind : uint8_t { None, Ticket, OpaqueKey };
 
-/// One HTTP request of a caller.
+/// An HTTP request of a caller. A retry of the same call is a submission of its
+/// own.
 struct Submission {
   uint64_t Number = 0;
   RequestId Id;
   CallerCall Call;
   uint32_t Chunks = 4;
-  std::string Model; ///< Empty: a call to the plain service.
+  std::string Model; ///< Empty for a call to the plain service.
   std::string Class;
   bool Stream = false;
   CallKeyKind KeyKind = CallKeyKind::None;
-  std::string Key; ///< Ticket or opaque key; a ticket is fetched when empty.
+  std::string Key; ///< Ticket or opaque key; if empty, a ticket is fetched.
 };
 
 class EntryHost {
@@ -43,7 +44,7 @@
     std::function<TimePoint()> Now;
     std::function<WallTime()> Wall;
     std::function<void(Duration, std::function<void()>)> Schedule;
-    /// Connects when there is no link; onHello or onLinkClosed follows.
+    /// Opens a link to the server; onHello() or onLinkClosed() follows.
     std::function<void(const std::string &server)> Connect;
     std::function<void(const std::string &server, wire::Message)> Send;
     std::function<void(const std::string &peer, QuotaRequest)> RequestQuota;
@@ -55,7 +56,7 @@
             ControlHost &control, Hooks hooks);
 
   void submit(const Submission &submission);
-  /// Takes a stream up again that broke off at another entry.
+  /// Resumes, from the given chunk, a stream that another entry had started.
   void resume(const Submission &submission, const std::string &server,
               uint32_t fromIndex);
   void onHello(const std::string &server, const Incarnation &process);
@@ -66,8 +67,8 @@
   void onGrant(const QuotaGrant &grant);
   void drain();
 
-  /// Submissions without a final answer, with the server and the number of
-  /// chunks that a caller needs to resume.
+  /// A submission without a final answer, with what a caller needs to resume
+  /// it: the server and the number of chunks received.
   struct OpenSubmission {
     uint64_t Submission = 0;
     std::string Server;
@@ -75,12 +76,12 @@
   };
   std::vector<OpenSubmission> openSubmissions() const;
 
-  // Seeded defects.
+  // Defects that a test can switch on.
   bool AlwaysReportsNotRun = false;
-  bool RetriesAnyCall = false; ///< Offers a call again whatever became of it.
+  bool RetriesAnyCall = false; ///< Retries calls that may have run.
   bool DropsChunks = false;
-  bool AnswersWrongCaller = false; ///< Tells the answer to the next caller.
-  bool KeepsOldPieceKeys = false;  ///< Goes on with the first keys it made.
+  bool AnswersWrongCaller = false; ///< Sends answers to another caller.
+  bool KeepsOldPieceKeys = false;  ///< Reuses an organisation's first keys.
   bool IgnoresLeaving = false;
 
 private:
--- a/tests/matrix/event_queue.h
+++ b/tests/matrix/event_queue.h
@@ -1,4 +1,5 @@
-/// A deterministic queue of things to happen: in order of time, then of entry.
+/// Deterministic queue of timed actions on a simulated clock. Actions due at
+/// the same time run in the order in which they were scheduled.
 #pragma once
 
 #include "daisytack/types.h"
@@ -17,7 +18,7 @@
   void schedule(Duration delay, Action action) {
     Events.emplace(std::pair(Now + delay, ++Scheduled), std::move(action));
   }
-  /// Runs everything up to the time.
+  /// Runs all actions due up to and including end, then sets the clock to it.
   void runUntil(TimePoint end) {
     while (!Events.empty() && Events.begin()->first.first <= end) {
       auto it = Events.begin();
--- a/tests/matrix/invariants.cpp
+++ b/tests/matrix/invariants.cpp
@@ -4,9 +4,10 @@
 
 namespace {
 
-/// "A few seconds", from the platform's word or the process's own.
+/// Time in which entries must learn of a drain, from the platform's list or the
+/// process's announcement. Later offers must not be accepted.
 constexpr Duration LeavingGrace{3'000'000};
-/// Late final answers: a timer and a message on the way.
+/// Tolerance of the answer deadline: a timer and a message in transit.
 constexpr Duration AnswerSlack{500'000};
 
 } // namespace
@@ -47,7 +48,7 @@
   std::string number = std::to_string(state.Call.Number);
   if (state.FinalAnswers > 0)
     recordViolation(Invariant::AnswersAreWholeAndOwn,
-                    "text after the end, call " + number);
+                    "text after the final answer, call " + number);
   if (state.Call.Expected.compare(0, state.Text.size(), state.Text) != 0) {
     recordViolation(Invariant::AnswersAreWholeAndOwn,
                     "wrong text, call " + number);
@@ -66,7 +67,7 @@
                     "two final answers, call " + number);
   if (state.Text != state.Call.Expected)
     recordViolation(Invariant::AnswersAreWholeAndOwn,
-                    "not whole, call " + number);
+                    "incomplete answer, call " + number);
   if (now > state.Call.Deadline + AnswerSlack && !state.Call.EntryPaused)
     recordViolation(Invariant::AnswersAreWholeAndOwn,
                     "too late, call " + number);
@@ -86,7 +87,7 @@
   if (ran == Outcome::NotRun && RanSubmissions.contains(submission))
     recordViolation(Invariant::NotRunIsTrue,
                     std::string(errorName(reason.Kind)) +
-                        " told not_run, call " +
+                        " reported not_run, call " +
                         std::to_string(state.Call.Number));
 }
 
--- a/tests/matrix/invariants.h
+++ b/tests/matrix/invariants.h
@@ -1,5 +1,5 @@
-/// What the users were promised, as checks over what the fakes saw. Each check
-/// has a name; a broken one is kept with what broke it.
+/// Checks the invariants that users rely on, from the events that the simulated
+/// processes report. Keeps the first violation of each invariant.
 #pragma once
 
 #include "daisytack/error.h"
@@ -30,42 +30,43 @@
 constexpr size_t InvariantCount = static_cast<size_t>(Invariant::Count);
 std::string_view invariantName(Invariant invariant);
 
-/// One call of one caller.
+/// A call of a caller, with what the checks need to know.
 struct CallerCall {
-  uint64_t Number = 0; ///< Stands in the body, so that runs can be counted.
+  uint64_t Number = 0; ///< Part of the body, so that runs can be counted.
   std::string Organisation;
   std::string Expected; ///< Text of the whole answer.
   bool Idempotent = true;
   TimePoint Deadline;
-  bool EntryDied = false;   ///< Its entry died: no final answer can be told.
-  bool EntryPaused = false; ///< Its entry stood still: answers may be late.
+  bool EntryDied = false;   ///< Its entry died: no final answer is due.
+  bool EntryPaused = false; ///< Its entry was paused: answers may be late.
 };
 
 class InvariantChecker {
 public:
   void recordViolation(Invariant invariant, std::string what);
-  /// The first one that broke, as "NAME: WHAT"; empty when all hold.
+  /// The violation of the first violated invariant in enum order, as
+  /// "NAME: DETAIL"; empty if all hold.
   std::string firstViolation() const;
   bool isViolated(Invariant invariant) const {
     return !Violations[static_cast<size_t>(invariant)].empty();
   }
 
-  // What callers see. A submission is one HTTP request of one call.
+  // Events that callers see. A submission is one HTTP request of a call.
   void onSubmitted(uint64_t submission, const CallerCall &call);
   void onAnswerText(uint64_t submission, std::string_view text);
   void onAnswerEnd(uint64_t submission, TimePoint now);
   void onErrorAnswer(uint64_t submission, const Error &reason, Outcome ran,
                      TimePoint now);
-  /// Its entry died; the caller may resume elsewhere from what it has.
+  /// The submission's entry died; the caller may resume at another entry.
   void onEntryDied(uint64_t submission);
   void onEntryPaused(uint64_t submission);
 
-  // What backend servers see.
+  // Events at backend servers.
   void onRun(uint64_t call, uint64_t submission, TimePoint now);
 
-  // Leaving and shutdown.
+  // Drain and shutdown.
   void onLeaving(const std::string &server, TimePoint now);
-  /// A request that was offered at the time is run.
+  /// The server starts a request that was first offered to it at that time.
   void onNewWorkAccepted(const std::string &server, TimePoint offered);
   void onReturned(const std::string &server) { LeavingSince.erase(server); }
   void onExited(const std::string &process, size_t unfinished);
@@ -77,7 +78,8 @@
     AppliedRevisions.erase(process);
   }
 
-  /// Every submission got one final answer, in time.
+  /// Records a violation for each submission that is past its deadline and has
+  /// no final answer.
   void checkAllAnswered(TimePoint now);
 
   size_t completed() const { return Completed; }
@@ -93,7 +95,7 @@
   };
 
   std::array<std::string, InvariantCount> Violations;
-  std::map<uint64_t, SubmissionState> Calls; ///< By submission.
+  std::map<uint64_t, SubmissionState> Calls; ///< Key: submission number.
   std::map<uint64_t, uint32_t> RunsOfCall;
   std::set<uint64_t> RanSubmissions;
   std::map<std::string, TimePoint> LeavingSince;
--- a/tests/matrix/matrix_test.cpp
+++ b/tests/matrix/matrix_test.cpp
@@ -18,6 +18,8 @@
 
 } // namespace
 
+/// Guards against violations without any fault, and against a workload whose
+/// submissions mostly fail: it would exercise little.
 TEST(FaultMatrix, HoldsWithoutFaults) {
   RunResult out = SimulatedCluster(FaultPlan()).run();
   EXPECT_EQ(out.Violation, "");
@@ -26,6 +28,8 @@
               out.Completed, out.Submissions);
 }
 
+/// Guards against a fault at some step of the request or control path violating
+/// an invariant.
 TEST(FaultMatrix, EveryFaultAtEveryStep) {
   constexpr size_t MinCells = 300;
   std::vector<Cell> cells = singleCells();
@@ -35,6 +39,8 @@
   EXPECT_GE(counts.Run, MinCells);
 }
 
+/// Guards against violations that need two faults, at once or one after the
+/// other.
 TEST(FaultMatrix, PairsOfFaults) {
   constexpr size_t MinCells = 1000;
   std::vector<Cell> cells = pairCells();
@@ -44,6 +50,8 @@
   EXPECT_GE(counts.Run, MinCells);
 }
 
+/// Guards against runs that differ for the same plan: a failed cell could not
+/// be reproduced.
 TEST(FaultMatrix, IsDeterministic) {
   FaultPlan plan;
   plan.TriggerStep = Step::Run;
@@ -55,7 +63,8 @@
   EXPECT_EQ(first.Violation, second.Violation);
 }
 
-/// A check that never fails proves nothing: each one is shown a defect.
+/// Guards against checks that can't fail: for each invariant, a defect that its
+/// check must detect.
 struct SeededDefect {
   Invariant Violated = Invariant::Count;
   Defect Kind = Defect::None;
@@ -63,7 +72,7 @@
   Fault Injected = Fault::Count;
 };
 
-/// Passes of a step that are tried, from the first, until the defect shows.
+/// Maximum number of passes of the step at which the fault is tried.
 constexpr uint32_t MaxSkippedPasses = 40;
 
 class InvariantTest : public ::testing::TestWithParam<SeededDefect> {};
@@ -75,7 +84,8 @@
     plan.Faults = {GetParam().Injected};
   auto invariant = static_cast<size_t>(GetParam().Violated);
   bool shown = false;
-  // Which pass of the step shows it moves with the messages before it.
+  // The pass that exposes the defect depends on the preceding messages, so
+  // passes are tried in order.
   for (; !shown && plan.SkippedPasses < MaxSkippedPasses;
        ++plan.SkippedPasses) {
     plan.Seeded = Defect::None;
--- a/tests/matrix/platform.cpp
+++ b/tests/matrix/platform.cpp
@@ -140,7 +140,8 @@
         store.truncate(key);
 }
 
-/// Frees every piece, and gives each one's place to another.
+/// Frees every piece. Where the store also has the preceding piece, a read
+/// returns that piece instead, as if the memory had been reused.
 void FakePlatform::freePieces() {
   const PieceKey *previous = nullptr;
   for (const PieceKey &key : KnownPieces) {
--- a/tests/matrix/platform.h
+++ b/tests/matrix/platform.h
@@ -1,5 +1,5 @@
-/// The platform's side besides the servers: key-value service, instance list
-/// and stores of kept context, with the faults that the matrix strikes with.
+/// Fake platform: key-value service, instance list and context stores, with
+/// the faults that the matrix injects into them.
 #pragma once
 
 #include "context/fake_store.h"
@@ -29,7 +29,9 @@
 
   // Key-value service.
 
-  /// Applies the call and tells its result, as the faults in force have it.
+  /// Applies the call after the service latency and passes its result to done.
+  /// With a fault it reports Unavailable, or Unknown after KvTimeout although
+  /// the call is applied.
   template <class R>
   void call(std::function<R(test::FakeKv &, TimePoint)> apply,
             std::function<void(R)> done) {
@@ -54,7 +56,7 @@
     unknown.Header = kvHeader(edge::KvStatus::Unknown);
     Queue.schedule(KvTimeout, [done, unknown] { done(unknown); });
   }
-  /// Writes at once, as operators did before the start.
+  /// Writes a configuration object at once, for the state before the start.
   void putConfig(const ConfigObject &object);
 
   // Instance list.
--- a/tests/matrix/steps.h
+++ b/tests/matrix/steps.h
@@ -1,4 +1,4 @@
-/// Rows and columns of the fault matrix.
+/// Rows (steps) and columns (faults) of the fault matrix.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,8 @@
 
 namespace daisytack::matrix {
 
-/// Points of the request path and the control path at which a fault strikes.
+/// Points of the request path and the control path at which faults are
+/// injected.
 enum class Step : uint8_t {
   Receive,
   Authenticate,
--- a/tests/matrix/table.cpp
+++ b/tests/matrix/table.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr size_t Threads = 4;
-/// Of the pairs, one in so many.
+/// The sample has one cell per this many unordered pairs of faults.
 constexpr size_t PairSampling = 3;
 constexpr uint32_t MaxSkippedPasses = 7;
 constexpr Duration PairInterval{1'500'000};
@@ -74,14 +74,14 @@
   for (size_t i = 0; i < plan.Faults.size(); ++i)
     out += (i > 0 ? " + " : "") + text(faultName(plan.Faults[i]));
   if (plan.Faults.size() > 1)
-    out += " (passage " + std::to_string(plan.SkippedPasses + 1) + ", " +
+    out += " (pass " + std::to_string(plan.SkippedPasses + 1) + ", " +
            std::to_string(plan.FaultInterval.count() / 1000) + " ms apart)";
   return out;
 }
 
 std::string_view skipReason(const FaultPlan &plan) {
   if (plan.SkippedPasses > 0)
-    return "the story passes this step fewer times";
+    return "the workload reaches this step fewer times";
   return "";
 }
 
--- a/tests/matrix/table.h
+++ b/tests/matrix/table.h
@@ -1,4 +1,4 @@
-/// Runs the cells of the matrix and shows them as a table.
+/// Runs the cells of the fault matrix and prints them as a table.
 #pragma once
 
 #include "cluster.h"
@@ -14,18 +14,20 @@
   RunResult Result;
 };
 
-/// One cell for each step and fault.
+/// Returns one cell for each step and fault.
 std::vector<Cell> singleCells();
-/// A fixed part of all pairs of faults at each step: struck at another passage
-/// of the step, and some of them one after the other.
+/// Returns a fixed sample of the pairs of faults at each step. The number of
+/// skipped passes varies, and half of the pairs are injected with a delay
+/// between the two faults.
 std::vector<Cell> pairCells();
 
-/// Runs all cells, a few at once.
+/// Runs all cells on a few threads.
 void runCells(std::vector<Cell> &cells);
 
-/// "STEP x FAULT + FAULT (passage N, M ms apart)".
+/// Returns "STEP x FAULT + FAULT (pass N, M ms apart)", where the part in
+/// parentheses is left out for a single fault.
 std::string cellName(const FaultPlan &plan);
-/// Why a cell may go unreached; empty when it must be reached.
+/// Returns why the cell's faults may never be injected; empty if they must be.
 std::string_view skipReason(const FaultPlan &plan);
 
 struct TableCounts {
@@ -33,8 +35,8 @@
   size_t Skipped = 0;
   size_t Violated = 0;
 };
-/// Prints a row for each step, and every broken or skipped cell with its
-/// reason.
+/// Prints a row for each step ('.' passed, 'X' violated, '-' not reached), the
+/// violations, and the number of skipped cells by reason.
 TableCounts printTable(std::string_view title, const std::vector<Cell> &cells);
 
 } // namespace daisytack::matrix
