--- a/include/daisytack/event.h
+++ b/include/daisytack/event.h
@@ -98,7 +98,8 @@
   Attempt AttemptNumber = 0;
   ErrorKind Reason = ErrorKind::None;
   std::array<int64_t, MaxScores> Scores{};
-  std::string Subject; ///< Names the organisation, server, object or member.
+  std::string Subject; ///< Name of the organisation, server, object or member
+                       ///< that the event concerns.
 
   bool operator==(const Event &) const = default;
   template <class Archive> void serialize(Archive &ar) {
--- a/include/daisytack/types.h
+++ b/include/daisytack/types.h
@@ -70,8 +70,8 @@
 
 /// Identifies one request of a caller across all its attempts and processes.
 using RequestId = Id128;
-/// Random identifier of one run of a process; distinguishes it from a successor
-/// at the same address.
+/// Random identifier that a process creates at its start; distinguishes the
+/// process from a successor at the same address.
 using Incarnation = Id128;
 
 /// Number of an attempt at a request, starting at 1; 0 is invalid.
--- a/src/base/decision_log.h
+++ b/src/base/decision_log.h
@@ -3,9 +3,9 @@
 /// system.
 ///
 /// Writing never blocks and memory is bounded: lines are queued in a bounded
-/// buffer, lines over a rate limit are dropped, and drops of either kind are
-/// counted and reported. Notable lines, such as those about failures, have a
-/// reserved share of the rate that routine lines cannot use.
+/// buffer, lines over a maximum per second are dropped, and drops of either
+/// kind are counted and reported. Notable lines, such as those about failures,
+/// have a reserved share of the rate that routine lines cannot use.
 #pragma once
 
 #include "base/metrics.h"
--- a/src/edge/kv_etcd.h
+++ b/src/edge/kv_etcd.h
@@ -8,8 +8,8 @@
 
 namespace daisytack::edge {
 
-/// Returns hooks that use the client, which must outlive them. When an endpoint
-/// cannot be reached, the next call uses the next endpoint in turn.
+/// Returns hooks that use the client, which must outlive them. After a call
+/// that got no complete response, the next call uses the next endpoint in turn.
 KvStore makeEtcdStore(net::HttpClient &client, std::vector<Endpoint> endpoints);
 
 } // namespace daisytack::edge
--- a/src/edge/kv_etcd_json.cpp
+++ b/src/edge/kv_etcd_json.cpp
@@ -40,8 +40,9 @@
   return out;
 }
 
-/// Reads a 64-bit number, which is a JSON string. A missing field has its
-/// default value.
+/// Reads a 64-bit number, which the gateway encodes as a JSON string; a JSON
+/// number is accepted too. The gateway omits a field that has its default
+/// value; out is unchanged then.
 bool readNumber(const json::object &from, std::string_view name,
                 uint64_t &out) {
   const json::value *value = from.if_contains(name);
--- a/src/net/http_connection.h
+++ b/src/net/http_connection.h
@@ -30,10 +30,11 @@
                        Init.ReadTimeout, Init.IdleTimeout})) {}
 
   std::shared_ptr<const HttpLimits> limits() const { return Limits.load(); }
-  /// Requests completed after the time are refused. The earliest time set takes
-  /// effect.
+  /// Refuses requests that are received completely only after the time. The
+  /// earliest time set takes effect.
   void refuseAfter(BootClock::time_point time);
-  /// Response to a request that was completed after HandleDeadline.
+  /// Response to a request that was received completely only after
+  /// HandleDeadline.
   HttpResponse lateRequestResponse(const HttpRequest &request) const;
   /// How long a connection may wait for its next request.
   Duration idleTimeout() const;
@@ -47,7 +48,8 @@
   /// Requests passed to the handler whose response is not fully written.
   std::atomic<size_t> UnsentResponses{0};
   std::atomic<bool> Stopping{false};
-  /// Requests completed after this time are not passed to the handler.
+  /// Requests received completely only after this time are not passed to the
+  /// handler.
   std::atomic<BootClock::time_point> HandleDeadline{
       BootClock::time_point::max()};
   std::atomic<bool> Closed{false}; ///< The handler must no longer be called.
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -90,16 +90,19 @@
   Endpoint Listen;
   size_t MaxHeaderBytes = MaxHttpHeaderBytes;
   size_t MaxBodyBytes = MaxHttpBodyBytes;
-  size_t MaxPendingBytes = 1U << 20; ///< Slower readers are disconnected.
-  size_t MaxConnections = 20'000;    ///< Further ones are closed at once.
-  Duration ReadTimeout{10'000'000};  ///< For the headers, and for the body.
-  Duration IdleTimeout{60'000'000};  ///< Between requests, and for a write that
-                                     ///< makes no progress.
-  /// Requests that arrive within this time after stopAccepting() are still
-  /// handled.
+  /// Unsent bytes of a streamed response above which the next write closes the
+  /// connection, because its caller reads too slowly.
+  size_t MaxPendingBytes = 1U << 20;
+  size_t MaxConnections = 20'000;   ///< Further ones are closed at once.
+  Duration ReadTimeout{10'000'000}; ///< For the headers, and for the body.
+  Duration IdleTimeout{60'000'000}; ///< Between requests, and for a write that
+                                    ///< makes no progress.
+  /// Requests that are received completely within this time after
+  /// stopAccepting() are still handled.
   Duration LateRequestGrace{250'000};
-  /// Creates the response to a request that arrives after that time. If empty,
-  /// the response is a problem document of kind draining with its remedy.
+  /// Creates the response to a request that is received completely only after
+  /// that time, or after that of refuseAfter(). If empty, the response is a
+  /// problem document of kind draining with its remedy.
   std::function<HttpResponse(const HttpRequest &)> LateRequestResponse = {};
 };
 
@@ -121,10 +124,10 @@
   /// Requests that are received completely only after that time are refused and
   /// not passed to the handler, whatever the state of their connection.
   void refuseAfter(Duration fromNow);
-  /// Stops accepting connections. Requests that arrive within LateRequestGrace
-  /// are still handled; after that, idle connections are closed and further
-  /// requests are refused. Running exchanges continue, and their connections
-  /// are closed afterwards.
+  /// Stops accepting connections. Requests that are received completely within
+  /// LateRequestGrace are still handled; after that, idle connections are
+  /// closed and further requests are refused. Running exchanges continue, and
+  /// their connections are closed afterwards.
   void stopAccepting();
   size_t openConnections() const;
   /// Number of requests passed to the handler whose response has not been
--- a/tests/net_frame/frame_link_test.cpp
+++ b/tests/net_frame/frame_link_test.cpp
@@ -255,6 +255,8 @@
   }
 }
 
+// A hello that is too long is rejected on its length field alone, before its
+// payload is read.
 TEST_F(FrameLinkTest, RejectsInvalidHellos) {
   uint16_t port = serve({OldKey});
   int closed = 0;
--- a/tests/net_http/drain_test.cpp
+++ b/tests/net_http/drain_test.cpp
@@ -1,7 +1,7 @@
-/// Requests that arrive after the server has stopped accepting and after
-/// LateRequestGrace, one case for each state that the connection can be in when
-/// the server stops. They arrive on connections that were still open then. None
-/// of them may reach the handler.
+/// Requests that the server receives completely, or begins to process, only
+/// after it has stopped accepting and LateRequestGrace has passed: one case for
+/// each state that the connection can be in when the server stops. None of them
+/// may reach the handler.
 #include "net_http/http_fixture.h"
 
 #include <gtest/gtest.h>
