--- a/src/control/peer_messages.h
+++ b/src/control/peer_messages.h
@@ -55,7 +55,9 @@
   /// SignalTable::buckets, set when the signals differ: the receiver returns
   /// its signals from the buckets that differ.
   std::vector<uint32_t> SignalBuckets;
-  bool Answer = false; ///< An answer: the receiver returns its buckets.
+  /// Set in the answer to a Digest or Pull: a receiver that gets SignalBuckets
+  /// also returns its own buckets.
+  bool Answer = false;
   bool operator==(const StateUpdate &) const = default;
   template <class Archive> void serialize(Archive &ar) {
     ar(Header, Config, Members, Signals, SignalBuckets, Answer);
--- a/src/control/readers.cpp
+++ b/src/control/readers.cpp
@@ -12,7 +12,8 @@
 constexpr Duration FallbackDelay{10'000'000};
 constexpr Duration FallbackDelayPerRank{1'000'000};
 constexpr Duration FallbackDuration{30'000'000};
-/// Rank of processes that are not in the member table, for the timeout.
+/// Highest rank that lengthens the delay. Processes that are not live members
+/// in the member table wait as long as this rank.
 constexpr size_t MaxRank = 60;
 
 std::pair<uint64_t, std::string_view> orderOf(const std::string &name) {
--- a/src/control/readers.h
+++ b/src/control/readers.h
@@ -19,14 +19,16 @@
 /// Decides whether one process is a reader. Not thread-safe.
 class ReaderChoice {
 public:
-  /// Sets the readerRank; to be called after a change of members.
+  /// Sets the result of readerRank() for this process; to be called after a
+  /// change of members.
   void setRank(std::optional<size_t> rank) { Rank = rank; }
 
   /// Whether to read now. The first ReadersPerDomain members of each failure
-  /// domain do. The others become readers in the order of their rank when no
-  /// reader has called the platform for a timeout: then all readers are gone,
-  /// and no process would learn this from the instance list. lastTry is the
-  /// last call of any reader that this process knows of.
+  /// domain do. The others become readers for a limited time, in the order of
+  /// their rank, when no reader has called the platform for a timeout that
+  /// grows with the rank: then all readers are gone, and no process would learn
+  /// this from the instance list. lastTry is the last call of any reader that
+  /// this process knows of.
   bool shouldRead(TimePoint lastTry, TimePoint now);
 
 private:
--- a/src/control/snapshot_builder.h
+++ b/src/control/snapshot_builder.h
@@ -1,5 +1,5 @@
-/// Builds the snapshot that request handling reads from replicated values. Each
-/// value is decoded once; build() copies the decoded tables.
+/// Builds snapshots for request handling from replicated values. Each value is
+/// decoded once; build() copies the decoded tables.
 #pragma once
 
 #include "control/object_codec.h"
--- a/src/runtime/control_process.cpp
+++ b/src/runtime/control_process.cpp
@@ -15,7 +15,8 @@
 constexpr Duration MinPublishInterval{5'000};
 constexpr Duration MaxPublishInterval{1'000'000};
 /// Ratio of the interval between two snapshots to the time that building one
-/// takes. It limits the share of time that is spent on building.
+/// takes: building takes at most one part in this many of the time, unless
+/// MaxPublishInterval limits the interval.
 constexpr int PublishIntervalFactor = 10;
 constexpr Duration TickInterval{20'000};
 /// Time that the seed peers have to answer before the platform is read instead.
@@ -90,7 +91,8 @@
 }
 
 ServiceReaderHooks ControlProcess::readerHooks() {
-  // This object owns the reader and deactivates it before it is destroyed.
+  // The hooks may capture `this`: the process owns the reader and deactivates
+  // it before its own destruction.
   ServiceReaderHooks hooks;
   hooks.ConfigWatermark = [this] { return State.config().watermark(); };
   hooks.MemberWatermark = [this] { return State.members().watermark(); };
@@ -112,7 +114,8 @@
 }
 
 PeerLinkHooks ControlProcess::peerHooks() {
-  // Called by the link, whose sockets stop() closes for good.
+  // The hooks may capture `this`: only the link calls them, and stop() closes
+  // its sockets for good.
   PeerLinkHooks hooks;
   hooks.Message = [this](const Endpoint &from,
                          const control::PeerMessage &message) {
--- a/src/runtime/control_runtime.h
+++ b/src/runtime/control_runtime.h
@@ -37,7 +37,7 @@
   uint32_t Lineage = 0;
   double ServiceCallsPerSecond = 5; ///< Maximum rate of calls to the key-value
                                     ///< service and the instance list.
-  uint64_t BytesPerSecond = 64U << 10; ///< Maximum rate of messages to peers.
+  uint64_t BytesPerSecond = 64U << 10; ///< Rate limit of gossip datagrams.
   Duration ServiceTimeout{2'000'000};  ///< Timeout of one call.
   Duration ListInterval{1'000'000};    ///< Interval between a reader's polls of
                                        ///< the instance list.
@@ -58,7 +58,8 @@
   size_t Objects = 0;
   size_t Members = 0;
   bool Reader = false;        ///< True while this process reads the platform.
-  bool ServiceReached = true; ///< True if the last call to them was answered.
+  bool ServiceReached = true; ///< True if the last call to the platform was
+                              ///< answered.
   /// Time since the platform last answered any reader, as far as this process
   /// knows. At that time the configuration in force was complete. Empty if no
   /// reader has been answered yet.
@@ -80,7 +81,8 @@
                  EventSink events, RandomSource random);
   ~ControlRuntime();
 
-  /// Binds the peer address and starts. readiness() turns true later.
+  /// Binds the peer address and starts. The process becomes ready later; see
+  /// readiness().
   bool start(Error &reason);
   void stop();
 
--- a/src/runtime/operator_http.h
+++ b/src/runtime/operator_http.h
@@ -28,8 +28,8 @@
   /// Difference between the port for operators and the peer port of a process.
   /// Listen defaults to the peer address of this process with this offset.
   uint16_t PortOffset = 1;
-  /// SHA-256 in hexadecimal of a key with the administrator role, which creates
-  /// the first operator account. Empty: there is no such key.
+  /// SHA-256 in hexadecimal of a key with the administrator role, used to
+  /// create the first operator account. Empty: there is no such key.
   std::string BootstrapKeyHash;
   Duration QueryDeadline{3'000'000}; ///< Time limit of a query over the fleet.
   uint32_t MaxAtOnce = 32; ///< Maximum number of concurrent calls for a query.
--- a/src/runtime/operator_query.cpp
+++ b/src/runtime/operator_query.cpp
@@ -107,7 +107,7 @@
   return out;
 }
 
-/// Answer for the case that the entry that minted the request identifier does
+/// Answer for the case that the entry that issued the request identifier does
 /// not reply.
 query::Answer silentEntryAnswer(const query::Query &query, const Member &entry,
                                 const Error &reason) {
--- a/src/runtime/operator_query.h
+++ b/src/runtime/operator_query.h
@@ -43,7 +43,7 @@
 
 private:
   /// Looks up which servers the request was sent to, in the events of the entry
-  /// that minted its identifier, and queries them too.
+  /// that issued its identifier, and queries them too.
   void gatherForRequest(const query::Query &query, const OperatorCaller &caller,
                         query::QueryPlan plan, DoneHook done) const;
   void gather(const query::Query &query, const OperatorCaller &caller,
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,5 +1,5 @@
 /// Messages between an entry and an agent. One TCP connection carries many
-/// requests: each message names its request and attempt, and replies are never
+/// requests: each message names its request and attempt, and nothing is
 /// correlated by connection.
 #pragma once
 
