--- a/bench/agent.cpp
+++ b/bench/agent.cpp
@@ -1,6 +1,6 @@
 /// Cost of the agent core: time and allocations for each offer, chunk and end
 /// of a run, and memory per streaming run, for several numbers of concurrent
-/// runs. No sockets are used.
+/// runs. No sockets are used. Times depend on the machine.
 #include "serve/agent_core.h"
 
 #include <malloc.h>
--- a/bench/decide.cpp
+++ b/bench/decide.cpp
@@ -1,6 +1,6 @@
 /// Time and allocations of each decision in the path of a request, for several
 /// numbers of backend servers, organisations and waiting requests. Inputs are
-/// deterministic.
+/// deterministic; times depend on the machine.
 #include "base/digest.h"
 #include "decide/acceptance.h"
 #include "decide/ejection.h"
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -1,5 +1,6 @@
 /// Time to choose a backend server, for several numbers of servers and of other
-/// entries that have reported their loads. Inputs are deterministic.
+/// entries that have reported their loads. Inputs are deterministic; times
+/// depend on the machine.
 #include "direct/placement.h"
 
 #include <algorithm>
--- a/bench/policy_model.h
+++ b/bench/policy_model.h
@@ -1,6 +1,6 @@
 /// Scalar cost models of an engine and of a store with its link, on which the
 /// policy benchmark runs the decisions. Network, processes and membership are
-/// not modelled.
+/// not modelled. Each assumption is a named constant with its reason.
 #pragma once
 
 #include "context/engine_view.h"
@@ -26,9 +26,9 @@
 constexpr double EnginePrefillTokensPerSecond = 8'000;
 // Fixed cost of a prefill: one engine step, however short the prompt is.
 constexpr Duration PrefillOverhead{25'000};
-// Time between tokens of a run that is alone in its engine, and the fraction by
-// which each running request slows decoding. The slowdown is small because
-// decoding is bound by memory bandwidth.
+// Time between the tokens of a run without slowdown by the batch, and the
+// fraction by which each run of the batch slows decoding. The slowdown is small
+// because decoding is bound by memory bandwidth.
 constexpr Duration DecodeTimePerToken{20'000};
 constexpr double BatchSlowdown = 0.02;
 // Maximum number of runs that an agent has in its engine at the same time.
@@ -46,8 +46,8 @@
 // Network time of a request and its answer, between caller and entry and
 // between entry and agent.
 constexpr Duration CallerNetworkTime{9'000};
-// Interval at which an agent polls its engine's cache events, and the
-// probability that an event is lost.
+// Engines publish cache events late and lose some: interval at which an agent
+// polls its engine's events, and probability that an event is lost.
 constexpr Duration CacheEventInterval{200'000};
 constexpr double CacheEventLossProbability = 0.001;
 // Number of pieces that a full store samples to choose victims for eviction.
--- a/bench/policy_stream.h
+++ b/bench/policy_stream.h
@@ -59,7 +59,7 @@
   std::vector<RequestClass> Classes;
 };
 
-// Quotes, needed within three seconds while a caller waits on the phone, and
+// Quotes, needed within three seconds while a trader waits on the phone, and
 // drafts of commentary, which must be ready before a bulletin closes.
 inline Deployment riga() {
   Deployment out;
--- a/bench/routing.cpp
+++ b/bench/routing.cpp
@@ -1,6 +1,7 @@
 /// Compares algorithms that map prompts to backend servers: lookup time,
 /// evenness, number of prompts that move when a server is removed, and time and
-/// memory to build the table. Inputs are deterministic.
+/// memory to build the table. Inputs are deterministic; times depend on the
+/// machine.
 #include "base/digest.h"
 #include "decide/hash_ring.h"
 
--- a/tests/fuzz/targets.h
+++ b/tests/fuzz/targets.h
@@ -9,8 +9,8 @@
 namespace daisytack::fuzz {
 
 struct Target {
-  std::string_view
-      Name; ///< Also the name of its corpus directory in tests/fuzz/corpus.
+  /// Also the name of the target's corpus directory in tests/fuzz/corpus.
+  std::string_view Name;
   void (*Run)(std::string_view bytes) = nullptr;
   /// Returns valid binary inputs made by the encoder; empty for text formats.
   std::vector<std::string> (*BinarySeeds)() = nullptr;
--- a/tools/entry/entry_metrics.h
+++ b/tools/entry/entry_metrics.h
@@ -1,5 +1,5 @@
-/// Metrics of an entry. Each is looked up in the registry once, at
-/// construction.
+/// Metrics of an entry. All but the series by model and class are looked up in
+/// the registry once, at construction.
 #pragma once
 
 #include "base/metrics.h"
--- a/tools/entry/limit_enforcer.h
+++ b/tools/entry/limit_enforcer.h
@@ -26,7 +26,7 @@
 
   /// Calls `done` with ErrorKind::None if the request is admitted.
   /// releaseSlot() must be called when an admitted request ends. May delay the
-  /// call up to LimitSettings::MaxGrantWait to wait for a quota grant.
+  /// call by LimitSettings::MaxGrantWait to wait for a quota grant.
   void admit(const Organisation &organisation,
              const std::shared_ptr<const Snapshot> &config,
              std::function<void(const Error &)> done);
