--- a/bench/policy_agent.h
+++ b/bench/policy_agent.h
@@ -43,7 +43,7 @@
   std::vector<PieceKey> Imported;
   /// Per piece, the sightings before this attempt.
   std::vector<SightingHistory> EarlierSightings;
-  /// Per piece, when the fetches were planned.
+  /// Per piece, its state when the fetches were planned.
   std::vector<PieceState> PieceStates;
   uint32_t RecomputedTokens = 0;
   TimePoint PhaseStart;
