--- a/tests/matrix/cluster_workload.cpp
+++ b/tests/matrix/cluster_workload.cpp
@@ -197,8 +197,8 @@
     });
 }
 
-/// Records the commands written to the configuration and notifies the watches
-/// of all processes, unless the key-value service is down.
+/// Records the commands written to the configuration. Notifies the watches of
+/// all processes unless the key-value service is down.
 void SimulatedCluster::recordConfigWrites() {
   uint64_t revision = Platform.Kv.revision();
   if (revision == KvSeen)
--- a/tests/matrix/engine.h
+++ b/tests/matrix/engine.h
@@ -59,8 +59,8 @@
   // Injected faults.
   uint32_t SlowFactor = 1;
   bool IgnoresFencing = false;
-  uint32_t MisattributedTexts = 0; ///< Next texts sent under another run.
-  uint32_t DuplicatedTexts = 0;    ///< Next texts sent twice.
+  uint32_t MisattributedTexts = 0; ///< Texts left to send as another run's.
+  uint32_t DuplicatedTexts = 0;    ///< Texts left to send twice.
   /// Defect that a test can switch on: a weight load keeps the cache, so pieces
   /// of the previous version are used.
   bool KeepsCacheOnLoad = false;
--- a/tests/matrix/entry_host.cpp
+++ b/tests/matrix/entry_host.cpp
@@ -11,6 +11,8 @@
 
 namespace {
 
+/// Time for the announcement to spread before the first check whether the
+/// process may exit, and from one check to the next.
 constexpr Duration DrainCheckInterval{500'000};
 const std::string Secret = "a secret that all entries share: 32 bytes";
 const std::string Region = "riga";
--- a/tests/matrix/invariants.h
+++ b/tests/matrix/invariants.h
@@ -57,7 +57,8 @@
   void onAnswerEnd(uint64_t submission, TimePoint now);
   void onErrorAnswer(uint64_t submission, const Error &reason, Outcome ran,
                      TimePoint now);
-  /// The submission's entry died; the caller may resume at another entry.
+  /// The submission's entry died; the caller may resume at another entry after
+  /// the chunks that it has.
   void onEntryDied(uint64_t submission);
   void onEntryPaused(uint64_t submission);
 
@@ -78,8 +79,8 @@
     AppliedRevisions.erase(process);
   }
 
-  /// Records a violation for each submission that is past its deadline and has
-  /// no final answer.
+  /// Records a violation for each submission that is past its deadline, with a
+  /// tolerance, and has no final answer though its entry didn't die.
   void checkAllAnswered(TimePoint now);
 
   size_t completed() const { return Completed; }
--- a/tests/process/crash_test.py
+++ b/tests/process/crash_test.py
@@ -80,6 +80,7 @@
 
 
 def check_streams(results):
+    """Checks that each answer is whole or refused as not run; returns the number of whole ones."""
     for prompt, status, got in results:
         if status == 200:
             check_whole(got, prompt, LONG_TOKENS // 3)
--- a/tests/process/platform_names_test.py
+++ b/tests/process/platform_names_test.py
@@ -1,4 +1,4 @@
-"""Names that belong to the users' platform (headers, paths, settings) occur only in platform/."""
+"""Names of the users' platform (headers, paths, settings) belong in platform/, not in src, include, tools or bench."""
 import pathlib
 import re
 import sys
--- a/tests/process/suspend_test.py
+++ b/tests/process/suspend_test.py
@@ -1,9 +1,9 @@
 """After its machine was suspended, an entry counts the suspended time in all timeouts.
 
-Guards against decisions by the steady clock, which stands still during a suspension; found by reading the code. State
-confirmed before a suspension of ten seconds then counted as just confirmed: an entry cut off from the key-value service
-refused with 401 keys that might have been added since, held its lease for too long, and let requests run past their
-deadlines. Here the clocks behave as after a suspension (preload/suspended.cpp).
+Guards against decisions by the steady clock, which stands still during a suspension. State confirmed before a
+suspension of ten seconds then counted as just confirmed: an entry cut off from the key-value service refused with 401
+keys that might have been added since, held its lease for too long, and let requests run past their deadlines. Here the
+clocks behave as after a suspension (preload/suspended.cpp).
 """
 
 import asyncio
--- a/tests/soak/platform_side.py
+++ b/tests/soak/platform_side.py
@@ -165,7 +165,8 @@
 
 
 class Run:
-    """A request that a server began to execute. aborted: the run or its server ended without a complete answer."""
+    """A request that a server began to execute. aborted: the run or its server ended by itself without a
+    complete answer, not because the caller or the entry closed the connection."""
 
     ended, aborted = 0.0, False
 
@@ -190,7 +191,7 @@
     requests."""
 
     FAULTS = ("lose", "cut", "extra", "error", "full", "hang")
-    is_loading = False  # Loads new weights; here they load at once.
+    is_loading = False  # True while new weights load; without Engine they load at once.
     is_leaving, is_rejecting = False, False
     limit = None  # Maximum requests per second from all entries together; None for no limit.
     cold_until = 0.0
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,7 +1,8 @@
 """A TCP proxy on loopback that injects link faults.
 
 A link is sound, slow, silent (no data in either direction, connections stay open), deaf (no data from the client to the
-server) or mute (no data from the server to the client). reset() closes its open connections.
+server) or mute (no data from the server to the client). Data is held back meanwhile and passed on if the connection is
+still open when the state ends. reset() closes the open connections of the link.
 """
 
 import asyncio
