--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -57,9 +57,9 @@
                     self.writers.discard(it)
                     http11.close(it)
 
-    async def _pass(self, reader, writer, dropping_state):
+    async def _pass(self, reader, writer, blocking_state):
         while block := await reader.read(BLOCK_BYTES):
-            while self.state in (SILENT, dropping_state):
+            while self.state in (SILENT, blocking_state):
                 await asyncio.sleep(0.02)
             if self.state == SLOW:
                 await asyncio.sleep(SLOW_DELAY_SECONDS)
