--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,7 +1,8 @@
 """A TCP proxy on loopback that injects link faults.
 
 A link is sound, slow, silent (no data in either direction, connections stay open), deaf (no data from the client to the
-server) or mute (no data from the server to the client). reset() closes its open connections.
+server) or mute (no data from the server to the client). Data is held back meanwhile and passed on if the connection is
+still open when the state ends. reset() closes the open connections of the link.
 """
 
 import asyncio
@@ -56,9 +57,9 @@
                     self.writers.discard(it)
                     http11.close(it)
 
-    async def _pass(self, reader, writer, dropping_state):
+    async def _pass(self, reader, writer, blocking_state):
         while block := await reader.read(BLOCK_BYTES):
-            while self.state in (SILENT, dropping_state):
+            while self.state in (SILENT, blocking_state):
                 await asyncio.sleep(0.02)
             if self.state == SLOW:
                 await asyncio.sleep(SLOW_DELAY_SECONDS)
