--- a/src/base/standard_metrics.cpp
+++ b/src/base/standard_metrics.cpp
@@ -19,16 +19,16 @@
   Pair pair{model, requestClass};
   {
     std::shared_lock guard(Lock);
-    auto it = Known.find(pair);
-    if (it != Known.end())
+    auto it = Series.find(pair);
+    if (it != Series.end())
       return it->second;
   }
   std::unique_lock guard(Lock);
-  if (Known.size() >= MaxPairs && !Known.contains(pair))
+  if (Series.size() >= MaxPairs && !Series.contains(pair))
     pair = {OtherName, OtherName};
-  auto it = Known.find(pair);
-  if (it == Known.end())
-    it = Known.emplace(pair, make(pair)).first;
+  auto it = Series.find(pair);
+  if (it == Series.end())
+    it = Series.emplace(pair, make(pair)).first;
   return it->second;
 }
 
--- a/src/base/standard_metrics.h
+++ b/src/base/standard_metrics.h
@@ -51,7 +51,7 @@
 
   Metrics &Owner;
   std::shared_mutex Lock;
-  std::map<Pair, ServingSeries> Known;
+  std::map<Pair, ServingSeries> Series;
 };
 
 /// Bytes transferred between engines and stores.
--- a/src/control/readers.cpp
+++ b/src/control/readers.cpp
@@ -36,7 +36,7 @@
       std::count_if(members.begin(), members.end(), before));
 }
 
-bool ReaderChoice::shouldRead(TimePoint lastTry, TimePoint now) {
+bool ReaderElection::shouldRead(TimePoint lastTry, TimePoint now) {
   if (Rank && *Rank < ReadersPerDomain)
     return true;
   size_t rank = std::min(Rank.value_or(MaxRank), MaxRank);
--- a/src/control/readers.h
+++ b/src/control/readers.h
@@ -17,7 +17,7 @@
                                  const Member &self);
 
 /// Decides whether one process is a reader. Not thread-safe.
-class ReaderChoice {
+class ReaderElection {
 public:
   /// Sets the readerRank; to be called after a change of members.
   void setRank(std::optional<size_t> rank) { Rank = rank; }
--- a/src/control/rollout_check.cpp
+++ b/src/control/rollout_check.cpp
@@ -35,7 +35,7 @@
     return out;
   NextProbe = now + ProbeInterval;
   for (const auto &[nonce, target] : Targets)
-    if (!target.InForce)
+    if (!target.IsUpdated)
       out.push_back({target.Peer, {nonce}});
   return out;
 }
@@ -43,23 +43,23 @@
 void RolloutCheck::onAnswer(const RevisionAnswer &answer) {
   auto it = Targets.find(answer.Nonce);
   if (it != Targets.end() && answer.ConfigRevision >= Revision)
-    it->second.InForce = true;
+    it->second.IsUpdated = true;
 }
 
 bool RolloutCheck::isOver(TimePoint now) const {
   return now >= Deadline ||
          std::all_of(Targets.begin(), Targets.end(),
-                     [](const auto &row) { return row.second.InForce; });
+                     [](const auto &row) { return row.second.IsUpdated; });
 }
 
 RolloutReport RolloutCheck::report(uint64_t ownRevision) const {
   RolloutReport out;
   out.Members = Members;
-  out.Asked = Targets.size() + 1;
-  out.InForce = ownRevision >= Revision ? 1 : 0;
+  out.Sampled = Targets.size() + 1;
+  out.Updated = ownRevision >= Revision ? 1 : 0;
   for (const auto &[nonce, target] : Targets) {
-    if (target.InForce)
-      ++out.InForce;
+    if (target.IsUpdated)
+      ++out.Updated;
     else if (out.Missing.size() < MaxMissing)
       out.Missing.push_back(target.Name);
   }
--- a/src/control/rollout_check.h
+++ b/src/control/rollout_check.h
@@ -17,8 +17,8 @@
 /// Rollout state of one configuration revision.
 struct RolloutReport {
   size_t Members = 0;               ///< Live members known to this process.
-  size_t Asked = 0;                 ///< Members sampled, with this process.
-  size_t InForce = 0;               ///< Sampled members that have the revision.
+  size_t Sampled = 0;               ///< Members sampled, with this process.
+  size_t Updated = 0;               ///< Sampled members that have the revision.
   std::vector<std::string> Missing; ///< Names of up to MaxMissing sampled
                                     ///< members without the revision or that
                                     ///< do not answer.
@@ -54,7 +54,7 @@
   struct Target {
     std::string Name;
     Endpoint Peer;
-    bool InForce = false;
+    bool IsUpdated = false;
   };
 
   uint64_t Revision;
--- a/src/decide/limits.cpp
+++ b/src/decide/limits.cpp
@@ -268,33 +268,33 @@
       continue;
     ++holders;
     others.Rate += it.Rate;
-    others.RateWanted += it.RateWanted;
+    others.RequestedRate += it.RequestedRate;
     others.Slots += it.Slots;
-    others.SlotsWanted += it.SlotsWanted;
+    others.RequestedSlots += it.RequestedSlots;
   }
   // An equal share of the pool, or more if the other entries want less. It
   // covers what is in use, as running requests can't be taken back, but never
   // exceeds what the other entries leave free.
-  auto quotaPart = [holders](double all, double held, double wantedByOthers,
-                             double wanted, double inUse) {
-    double fair = std::max({all / holders, all - wantedByOthers, inUse});
-    return std::max(0.0, std::min({wanted, fair, all - held}));
+  auto quotaPart = [holders](double all, double held, double requestedByOthers,
+                             double requested, double inUse) {
+    double fair = std::max({all / holders, all - requestedByOthers, inUse});
+    return std::max(0.0, std::min({requested, fair, all - held}));
   };
   // Until the grants of a previous owner have expired, an entry only gets what
   // it already holds.
   bool priorGrantsExpired = now >= pool.CreatedAt + Settings.GrantValidity;
   Lease out;
-  out.RateWanted = request.Rate / MillisPerRequest;
-  out.SlotsWanted = request.Slots;
+  out.RequestedRate = request.Rate / MillisPerRequest;
+  out.RequestedSlots = request.Slots;
   out.Rate = quotaPart(
-      limit.Rate, others.Rate, others.RateWanted,
+      limit.Rate, others.Rate, others.RequestedRate,
       priorGrantsExpired
-          ? out.RateWanted
-          : std::min(out.RateWanted, request.RateHeld / MillisPerRequest),
+          ? out.RequestedRate
+          : std::min(out.RequestedRate, request.RateHeld / MillisPerRequest),
       0);
   out.Slots = std::floor(quotaPart(
-      limit.Slots, others.Slots, others.SlotsWanted,
-      priorGrantsExpired ? out.SlotsWanted
+      limit.Slots, others.Slots, others.RequestedSlots,
+      priorGrantsExpired ? out.RequestedSlots
                          : std::min<double>(request.Slots, request.SlotsHeld),
       request.SlotsHeld));
   out.Until = now + Settings.GrantValidity;
@@ -310,7 +310,7 @@
   refresh(pool, limit, now);
   pool.LastRequestAt = now;
   Lease granted = lease(pool, limit, request, now);
-  if (granted.RateWanted > 0 || granted.SlotsWanted > 0)
+  if (granted.RequestedRate > 0 || granted.RequestedSlots > 0)
     pool.Leases[request.Entry] = granted;
   else
     pool.Leases.erase(request.Entry);
--- a/src/decide/limits.h
+++ b/src/decide/limits.h
@@ -148,11 +148,11 @@
 private:
   /// What one entry holds of the pool, and what it requested.
   struct Lease {
-    double Rate = 0;        ///< Requests per second.
-    double RateWanted = 0;  ///< Requests per second.
-    double Slots = 0;       ///< Concurrent requests.
-    double SlotsWanted = 0; ///< Concurrent requests.
-    TimePoint Until;        ///< End of the lease.
+    double Rate = 0;           ///< Requests per second.
+    double RequestedRate = 0;  ///< Requests per second.
+    double Slots = 0;          ///< Concurrent requests.
+    double RequestedSlots = 0; ///< Concurrent requests.
+    TimePoint Until;           ///< End of the lease.
   };
   struct PoolState {
     bool IsInitialised = false; ///< False until the first quota request.
--- a/src/decide/load_view.cpp
+++ b/src/decide/load_view.cpp
@@ -98,7 +98,7 @@
   const Slot *slot = find(server);
   if (slot == nullptr)
     return out;
-  out.Known = true;
+  out.HasData = true;
   out.Leaving = slot->Leaving.load(std::memory_order_relaxed);
   out.Wait = decayedWait(*slot, now);
   if (uint32_t rate = slot->PrefillRate.load(std::memory_order_relaxed))
--- a/src/decide/load_view.h
+++ b/src/decide/load_view.h
@@ -33,8 +33,8 @@
 
 /// Estimated current load of one server.
 struct LoadEstimate {
-  bool Known = false; ///< False if the view has no data on the server; Wait is
-                      ///< then zero and PrefillRate the default.
+  bool HasData = false; ///< False if the view has no data on the server; Wait
+                        ///< is then zero and PrefillRate the default.
   bool Leaving = false; ///< The server has reported that it is shutting down.
   Duration Wait{0}; ///< Expected time before a new request's prefill starts.
   uint32_t PrefillRate = 0; ///< Tokens per second.
--- a/src/decide/run_queue.cpp
+++ b/src/decide/run_queue.cpp
@@ -126,21 +126,21 @@
 std::optional<RunRequest> RunQueue::preemptionVictim(const RunRequest &request,
                                                      TimePoint now) const {
   const ActiveRun *best = nullptr;
-  Duration bestSpare{0};
+  Duration bestSlack{0};
   TimePoint restart = now + request.service();
   for (const ActiveRun &run : Running) {
     const RunRequest &it = run.Request;
     if (!it.Preemptible || it.Priority >= request.Priority)
       continue;
-    Duration spare = it.Deadline - (restart + it.service());
-    if (spare < Duration{0})
+    Duration slack = it.Deadline - (restart + it.service());
+    if (slack < Duration{0})
       continue;
     if (best != nullptr &&
         (best->Request.Priority < it.Priority ||
-         (best->Request.Priority == it.Priority && bestSpare >= spare)))
+         (best->Request.Priority == it.Priority && bestSlack >= slack)))
       continue;
     best = &run;
-    bestSpare = spare;
+    bestSlack = slack;
   }
   if (best == nullptr)
     return std::nullopt;
--- a/src/direct/admission.cpp
+++ b/src/direct/admission.cpp
@@ -41,14 +41,14 @@
   if (maxMs &&
       Cost.prefillMs(request, static_cast<double>(load.WaitingTokens)) > *maxMs)
     return true;
-  Duration patience = request.Deadline - now;
+  Duration waitLimit = request.Deadline - now;
   if (request.MatchedRoute.MaxFirstEventWait > Duration::zero())
-    patience = std::min(patience, request.MatchedRoute.MaxFirstEventWait);
-  if (patience <= Duration::zero())
+    waitLimit = std::min(waitLimit, request.MatchedRoute.MaxFirstEventWait);
+  if (waitLimit <= Duration::zero())
     return false;
   double earliestMs = Cost.firstTokenMs(request, load, 0);
   return earliestMs * 1000 >
-         static_cast<double>(patience.count()) * Settings.PatienceShare;
+         static_cast<double>(waitLimit.count()) * Settings.PatienceShare;
 }
 
 Duration Admission::retryAfter(const ForwardRequest &request,
--- a/src/direct/catalog.cpp
+++ b/src/direct/catalog.cpp
@@ -57,8 +57,8 @@
   return it == DesiredVersions.end() ? 0 : it->second.back().Version;
 }
 
-std::optional<TimePoint> Catalog::behindSince(std::string_view model,
-                                              uint64_t version) const {
+std::optional<TimePoint> Catalog::outdatedSince(std::string_view model,
+                                                uint64_t version) const {
   auto it = DesiredVersions.find(model);
   if (it == DesiredVersions.end())
     return std::nullopt;
@@ -107,7 +107,7 @@
   std::map<std::string_view, const StoreRecord *> present;
   for (const StoreRecord &record : records)
     present[record.Key] = &record;
-  for (auto &[key, state] : Known) {
+  for (auto &[key, state] : States) {
     bool isOlder = state.Record.Revision <= revision;
     bool isGone = !state.Record.IsDeleted && isOlder && !present.contains(key);
     if (isGone && !outlastsRestore(state))
@@ -130,7 +130,7 @@
     return;
   Era = eraOf(upTo);
   EraSince = now;
-  if (Known.empty())
+  if (States.empty())
     return;
   RestoredTo = upTo;
   RestoredAt = now;
@@ -209,16 +209,17 @@
 
 bool CatalogKeeper::merge(const StoreRecord &record, TimePoint now) {
   HighestRevision = std::max(HighestRevision, record.Revision);
-  auto it = Known.find(record.Key);
-  if (it != Known.end() && isOutdated(record, it->second, now))
+  auto it = States.find(record.Key);
+  if (it != States.end() && isOutdated(record, it->second, now))
     return false;
   RecordSubject subject = Hooks.SubjectOf(record.Key);
   if (subject.Kind == RecordKind::Other)
     return false;
   if (record.IsDeleted) {
-    if (it == Known.end())
-      it = Known.emplace(record.Key, KeyState{record, subject, {}, {}, {}, now})
-               .first;
+    if (it == States.end())
+      it =
+          States.emplace(record.Key, KeyState{record, subject, {}, {}, {}, now})
+              .first;
     return mergeDeletion(it->second, record.Revision, now);
   }
   Error reason;
@@ -237,13 +238,13 @@
     EverRetired = mergeRetired(std::move(EverRetired), retired->Retirements);
   const auto *server = std::get_if<BackendServer>(&*value);
   bool isRestart =
-      server && it != Known.end() && isOtherStart(it->second.Value, *server);
+      server && it != States.end() && isOtherStart(it->second.Value, *server);
   if (server)
     dropOutdatedNotes(*server, isRestart);
   Hooks.Changed(subject,
-                it == Known.end() ? "new"
-                : isRestart       ? "restarted"
-                                  : "changed",
+                it == States.end() ? "new"
+                : isRestart        ? "restarted"
+                                   : "changed",
                 record.Revision, now);
   if (server && !isConfigured(*server))
     Hooks.Unreadable(record,
@@ -258,9 +259,10 @@
                                     const RecordSubject &subject,
                                     const Error &reason, TimePoint now) {
   Hooks.Unreadable(record, reason, now);
-  auto before = Known.find(record.Key);
+  auto before = States.find(record.Key);
   bool staysInForce = subject.Kind != RecordKind::Server &&
-                      before != Known.end() && !before->second.Record.IsDeleted;
+                      before != States.end() &&
+                      !before->second.Record.IsDeleted;
   replaceState(record, subject,
                staysInForce ? before->second.Value : RecordValue(), now);
   return true;
@@ -270,13 +272,13 @@
                                  const RecordSubject &subject,
                                  RecordValue value, TimePoint now) {
   std::vector<ModelVersion> weights;
-  auto before = Known.find(record.Key);
+  auto before = States.find(record.Key);
   const auto *server = std::get_if<BackendServer>(&value);
   if (server && isConfigured(*server))
     weights = server->Weights;
-  else if (before != Known.end() && !before->second.Record.IsDeleted)
+  else if (before != States.end() && !before->second.Record.IsDeleted)
     weights = std::move(before->second.LastUsableWeights);
-  Known.insert_or_assign(
+  States.insert_or_assign(
       record.Key,
       KeyState{record, subject, std::move(value), std::move(weights), {}, now});
 }
@@ -406,7 +408,7 @@
   if (!std::exchange(IsStoreLost, false))
     return;
   StoreRecoveredAt = now;
-  for (auto &[key, state] : Known)
+  for (auto &[key, state] : States)
     if (state.KeptUntil)
       state.KeptUntil = now + Settings.ExpiryGrace;
   setStale(false);
@@ -431,7 +433,7 @@
 
 void CatalogKeeper::onTimer(TimePoint now) {
   bool changed = false;
-  for (auto &[key, state] : Known) {
+  for (auto &[key, state] : States) {
     if (!state.KeptUntil || now < *state.KeptUntil)
       continue;
     state.KeptUntil.reset();
@@ -444,7 +446,7 @@
 
 void CatalogKeeper::dropOldDeletions() {
   std::vector<uint64_t> revisions;
-  for (const auto &[key, state] : Known)
+  for (const auto &[key, state] : States)
     if (state.Record.IsDeleted && !state.KeptUntil)
       revisions.push_back(state.Record.Revision);
   if (revisions.size() <= 2 * DeletionsRemembered)
@@ -452,7 +454,7 @@
   auto oldest = revisions.end() - DeletionsRemembered;
   std::nth_element(revisions.begin(), oldest, revisions.end());
   DeletionsMissingTo = std::max(DeletionsMissingTo, *oldest - 1);
-  std::erase_if(Known, [&](const auto &it) {
+  std::erase_if(States, [&](const auto &it) {
     const KeyState &state = it.second;
     return state.Record.IsDeleted && !state.KeptUntil &&
            state.Record.Revision < *oldest;
@@ -471,7 +473,7 @@
   next->EraSince = EraSince;
   next->RestoredAt = RestoredAt;
   std::vector<BackendServer> servers;
-  for (const auto &[key, state] : Known) {
+  for (const auto &[key, state] : States) {
     if (state.Record.IsDeleted && !(state.KeptUntil && now < *state.KeptUntil))
       continue;
     if (const auto *peer = std::get_if<EntryPeer>(&state.Value))
@@ -529,7 +531,7 @@
 
 std::vector<StoreRecord> CatalogKeeper::recordsSince(uint64_t revision) const {
   std::vector<StoreRecord> out;
-  for (const auto &[key, state] : Known)
+  for (const auto &[key, state] : States)
     if (state.Record.Revision > revision)
       out.push_back(state.Record);
   return out;
--- a/src/direct/catalog.h
+++ b/src/direct/catalog.h
@@ -87,8 +87,8 @@
   uint64_t desiredVersion(std::string_view model) const;
   /// When the first version newer than this one became desired; empty if this
   /// version is up to date.
-  std::optional<TimePoint> behindSince(std::string_view model,
-                                       uint64_t version) const;
+  std::optional<TimePoint> outdatedSince(std::string_view model,
+                                         uint64_t version) const;
 };
 
 /// Addresses of server starts that are in the second catalog but not in the
@@ -257,7 +257,7 @@
 
   CatalogSettings Settings;
   CatalogHooks Hooks;
-  std::map<std::string, KeyState> Known; ///< By key, including deleted keys.
+  std::map<std::string, KeyState> States; ///< By key, including deleted keys.
   std::shared_ptr<const ConfigIndex> Config;
   uint64_t ConfigRevision = 0;
   std::map<std::string, std::vector<DesiredVersion>, std::less<>>
--- a/src/direct/eligibility.cpp
+++ b/src/direct/eligibility.cpp
@@ -26,7 +26,7 @@
   Candidate out{&server, Trackers.Loads.view(server.ref(), now), {}, false};
   const std::string &model = request.Head.Model;
   if (!model.empty())
-    if (auto since = catalog.behindSince(model, server.versionOf(model)))
+    if (auto since = catalog.outdatedSince(model, server.versionOf(model)))
       out.OutdatedFor = now - *since;
   // While no source reports what servers write, any server may have become
   // cold, and must not be flooded.
--- a/src/direct/weight_plan.cpp
+++ b/src/direct/weight_plan.cpp
@@ -12,7 +12,7 @@
     if (server.IsDraining)
       continue;
     for (const ModelVersion &loaded : server.Weights)
-      if (auto since = catalog.behindSince(loaded.Model, loaded.Version))
+      if (auto since = catalog.outdatedSince(loaded.Model, loaded.Version))
         out.push_back({&server,
                        {loaded.Model, catalog.desiredVersion(loaded.Model)},
                        *since});
--- a/src/gateway/gateway_request.cpp
+++ b/src/gateway/gateway_request.cpp
@@ -342,7 +342,7 @@
   // version because it has just loaded the newer one.
   const std::string &model = Flow.request().Head.Model;
   bool mayBeWeights =
-      State.catalog()->behindSince(model, order.WeightVersion).has_value();
+      State.catalog()->outdatedSince(model, order.WeightVersion).has_value();
   if (mayBeWeights)
     return;
   State.Loads.onReplaced(order.server(), now);
--- a/src/gateway/kv_service_follower.cpp
+++ b/src/gateway/kv_service_follower.cpp
@@ -69,10 +69,10 @@
 void KvServiceFollower::onTimer(TimePoint now) {
   // Every answer of the service names its era, which each restore increments,
   // even while this entry gets the records from readers.
-  bool isBehind =
+  bool isOldEra =
       Store.LatestEra &&
       Store.LatestEra() > direct::eraOf(State.SyncedRevision.load());
-  if (isBehind || State.Catalog.needsReread(now))
+  if (isOldEra || State.Catalog.needsReread(now))
     resync();
 }
 
@@ -124,10 +124,11 @@
       monotonicNow().time_since_epoch().count());
   hooks.Changed = [on, askedAfter](const edge::KvHeader &header,
                                    std::vector<edge::KvChange> changes) {
-    TimePoint asked{Duration(
+    TimePoint askedAt{Duration(
         askedAfter->exchange(monotonicNow().time_since_epoch().count()))};
-    on([header, changes = std::move(changes), asked](KvServiceFollower &self) {
-      self.onChanged(header, changes, asked);
+    on([header, changes = std::move(changes),
+        askedAt](KvServiceFollower &self) {
+      self.onChanged(header, changes, askedAt);
     });
   };
   hooks.Ended = [on](const edge::KvHeader &header, uint64_t compactRevision) {
--- a/src/once/ticket_ledger.cpp
+++ b/src/once/ticket_ledger.cpp
@@ -19,7 +19,7 @@
                      Duration retryAfter = Duration(0)) {
   TicketVerdict out;
   out.Reason = {kind, std::move(detail), retryAfter};
-  out.Ran = ran;
+  out.RunOutcome = ran;
   return out;
 }
 
@@ -160,7 +160,7 @@
   if (record.Running)
     return refuse(ErrorKind::StillRunning, Outcome::MayHaveRun,
                   "the call is still running", Init.RetryDelay);
-  if (record.Ran != Outcome::Completed)
+  if (record.RunOutcome != Outcome::Completed)
     return refuse(record.FailureKind, Outcome::MayHaveRun,
                   "the call failed and may have run");
   if (!record.Answer)
@@ -169,7 +169,7 @@
   TicketVerdict out;
   out.Decision = TicketVerdict::Action::Replay;
   out.Answer = record.Answer;
-  out.Ran = Outcome::Completed;
+  out.RunOutcome = Outcome::Completed;
   return out;
 }
 
@@ -205,7 +205,7 @@
 
 void TicketLedger::finish(const TicketKey &key, StoredAnswer answer,
                           TimePoint now) {
-  if (answer.End.Ran == Outcome::NotRun) {
+  if (answer.End.RunOutcome == Outcome::NotRun) {
     withdraw(key, now);
     return;
   }
@@ -215,11 +215,11 @@
     return;
   Record &record = it->second;
   record.Running = false;
-  record.Ran = answer.End.Ran;
+  record.RunOutcome = answer.End.RunOutcome;
   record.FailureKind = answer.End.Kind;
   if (LatestTime >= record.ExpiresAt)
     erase(it);
-  else if (record.Ran == Outcome::Completed)
+  else if (record.RunOutcome == Outcome::Completed)
     storeAnswer(key, record, std::move(answer));
 }
 
--- a/src/once/ticket_ledger.h
+++ b/src/once/ticket_ledger.h
@@ -68,7 +68,7 @@
   enum class Action : uint8_t {
     Run, ///< Recorded as running; finish() or withdraw() must follow for Key.
     Replay, ///< The call has completed; send Answer again.
-    Refuse, ///< Reason says why, and Ran whether the call may have run.
+    Refuse, ///< Reason says why, and RunOutcome whether the call may have run.
     /// The message duplicates a submission that is running, was withdrawn, or
     /// was refused because the ledger was full.
     Ignore,
@@ -77,7 +77,7 @@
   TicketKey Key;
   std::shared_ptr<const StoredAnswer> Answer;
   Error Reason;
-  Outcome Ran = Outcome::NotRun;
+  Outcome RunOutcome = Outcome::NotRun;
 };
 
 struct TicketLedgerInit {
@@ -114,8 +114,8 @@
   /// this submission are ignored.
   void withdraw(const TicketKey &key, TimePoint now);
 
-  /// Records that a call completed or failed. The outcome answer.End.Ran tells
-  /// whether a failed call may have run; with NotRun, this is withdraw().
+  /// Records that a call completed or failed. The outcome answer.End.RunOutcome
+  /// tells whether a failed call may have run; with NotRun, this is withdraw().
   void finish(const TicketKey &key, StoredAnswer answer, TimePoint now);
 
   size_t records() const { return Records.size(); }
@@ -136,7 +136,7 @@
     Id128 Call;
     Submission ExecutedBy; ///< The submission that is running or has run.
     bool Running = true;
-    Outcome Ran = Outcome::MayHaveRun;
+    Outcome RunOutcome = Outcome::MayHaveRun;
     ErrorKind FailureKind = ErrorKind::None;
     std::shared_ptr<const StoredAnswer> Answer;
     uint64_t AnswerNumber = 0; ///< Key in AnswerOrder.
--- a/src/query/rows.h
+++ b/src/query/rows.h
@@ -44,7 +44,7 @@
 struct RefusalRow {
   RequestId Request;
   ErrorKind Kind = ErrorKind::None;
-  Outcome Ran = Outcome::NotRun; ///< Whether the request was executed.
+  Outcome RunOutcome = Outcome::NotRun; ///< Whether the request was executed.
   std::string Organisation;
   std::string Class;
   std::string Model;
--- a/src/query/tables.cpp
+++ b/src/query/tables.cpp
@@ -149,7 +149,7 @@
   for (const RefusalRow &it : rows)
     out.Rows.push_back({std::string(instance), idCell(it.Request),
                         std::string(errorName(it.Kind)),
-                        std::string(outcomeName(it.Ran)),
+                        std::string(outcomeName(it.RunOutcome)),
                         textCell(it.Organisation), textCell(it.Class),
                         textCell(it.Model), it.Age});
   return out;
--- a/src/runtime/control_metrics.cpp
+++ b/src/runtime/control_metrics.cpp
@@ -25,17 +25,18 @@
       ReachedMillis(metrics.gauge(
           "daisytack_platform_reached_age_milliseconds",
           "Since any reader was last answered, as far as known; -1: never")),
-      NotUnderstood(metrics.gauge(
+      UnreadableObjects(metrics.gauge(
           "daisytack_config_not_understood",
           "Objects whose value needs a newer build or does not parse")),
       Sent(metrics.counter("daisytack_control_sent_bytes_total",
                            "Bytes sent to peers, with headers")),
       Received(metrics.counter("daisytack_control_received_bytes_total",
                                "Bytes received from peers, with headers")),
-      Held(metrics.counter("daisytack_control_held_total",
-                           "Messages held back by the budget of bytes")),
-      OtherState(metrics.counter("daisytack_control_other_state_total",
-                                 "Messages of another lineage or service")) {}
+      RateLimited(metrics.counter("daisytack_control_held_total",
+                                  "Messages held back by the budget of bytes")),
+      StateMismatches(
+          metrics.counter("daisytack_control_other_state_total",
+                          "Messages of another lineage or service")) {}
 
 void ControlMetrics::update(const ControlStats &stats) {
   Revision.set(static_cast<int64_t>(stats.ConfigRevision));
@@ -47,11 +48,11 @@
                               *stats.SinceReached)
                               .count()
                         : -1);
-  NotUnderstood.set(static_cast<int64_t>(stats.NotUnderstood));
+  UnreadableObjects.set(static_cast<int64_t>(stats.UnreadableObjects));
   raiseTo(Sent, stats.BytesSent);
   raiseTo(Received, stats.BytesReceived);
-  raiseTo(Held, stats.Gossip.RateLimited);
-  raiseTo(OtherState, stats.Gossip.StateMismatches);
+  raiseTo(RateLimited, stats.Gossip.RateLimited);
+  raiseTo(StateMismatches, stats.Gossip.StateMismatches);
 }
 
 void ControlMetrics::countRejected(ErrorKind kind) {
--- a/src/runtime/control_metrics.h
+++ b/src/runtime/control_metrics.h
@@ -25,11 +25,11 @@
   Gauge &Members;
   Gauge &Reader;
   Gauge &ReachedMillis;
-  Gauge &NotUnderstood;
+  Gauge &UnreadableObjects;
   Counter &Sent;
   Counter &Received;
-  Counter &Held;
-  Counter &OtherState;
+  Counter &RateLimited;
+  Counter &StateMismatches;
 };
 
 } // namespace daisytack::runtime
--- a/src/runtime/control_process.cpp
+++ b/src/runtime/control_process.cpp
@@ -137,7 +137,7 @@
     schedulePublish();
   updateReader(now);
   refreshOwnSignal(now);
-  advanceGatherings(now);
+  advanceRolloutChecks(now);
   applyActions(Gossip.onTick(now));
   if (now < NextView)
     return;
@@ -153,7 +153,7 @@
     return;
   }
   TimePoint lastAttempt = std::max(Gossip.lastPlatformCall(), Started);
-  Reader->setActive(Choice.shouldRead(lastAttempt, now));
+  Reader->setActive(Election.shouldRead(lastAttempt, now));
 }
 
 void ControlProcess::refreshOwnSignal(TimePoint now) {
@@ -229,14 +229,14 @@
     control::RevisionAnswer answer{probe->Nonce,
                                    Current.load()->ConfigRevision};
     Peers->send(from, wire::encode(control::PeerMessage(answer)));
-  } else if (const auto *force =
+  } else if (const auto *revision =
                  std::get_if<control::RevisionAnswer>(&message)) {
-    for (auto &[number, gathering] : Gatherings)
-      gathering.State.onAnswer(*force);
-  } else if (const auto *asked = std::get_if<QuotaRequest>(&message)) {
+    for (auto &[number, pending] : RolloutChecks)
+      pending.State.onAnswer(*revision);
+  } else if (const auto *request = std::get_if<QuotaRequest>(&message)) {
     std::optional<QuotaGrant> grant;
     if (QuotaRequested)
-      grant = QuotaRequested(*asked);
+      grant = QuotaRequested(*request);
     if (grant)
       Peers->send(from, wire::encode(control::PeerMessage(*grant)));
   } else if (const auto *grant = std::get_if<QuotaGrant>(&message)) {
@@ -276,7 +276,7 @@
     bool membersChanged = next->MemberVersion != Current.load()->MemberVersion;
     if (membersChanged || Gossip.peers() + 1 != State.memberTable().size())
       Gossip.refreshPeers();
-    Choice.setRank(control::readerRank(State.memberTable(), Init.Self));
+    Election.setRank(control::readerRank(State.memberTable(), Init.Self));
     Current.publish(next);
     LastPublish = monotonicNow();
     LastBuild = LastPublish - begin;
@@ -315,7 +315,7 @@
   View.SinceReached.reset();
   if (Gossip.lastPlatformAnswer() != control::NeverTime)
     View.SinceReached = monotonicNow() - Gossip.lastPlatformAnswer();
-  View.NotUnderstood = State.rejectedConfig().size();
+  View.UnreadableObjects = State.rejectedConfig().size();
   View.Gossip = Gossip.stats();
   View.BytesSent = Peers->bytesSent();
   View.BytesReceived = Peers->bytesReceived();
--- a/src/runtime/control_process.h
+++ b/src/runtime/control_process.h
@@ -37,8 +37,8 @@
   void addSignal(const control::Signal &signal);
   void reportDraining(const std::string &instance);
   void propose(control::Command command, CommandDone done);
-  void gatherInForce(uint64_t revision, Duration timeout,
-                     std::function<void(control::RolloutReport)> done);
+  void checkRollout(uint64_t revision, Duration timeout,
+                    std::function<void(control::RolloutReport)> done);
   void requestQuota(const Endpoint &peer, const QuotaRequest &request);
   void setKeys(net::PeerKeys keys);
 
@@ -54,8 +54,8 @@
   std::function<void(const QuotaGrant &)> Granted;
 
 private:
-  /// A pending call of gatherInForce().
-  struct Gathering {
+  /// A pending call of checkRollout().
+  struct PendingRolloutCheck {
     control::RolloutCheck State;
     std::function<void(control::RolloutReport)> Done;
   };
@@ -73,7 +73,7 @@
   void fetchFrom(const Endpoint &peer);
   void onMessage(const Endpoint &from, const control::PeerMessage &message);
   void onRejected(ErrorKind kind);
-  void advanceGatherings(TimePoint now);
+  void advanceRolloutChecks(TimePoint now);
   void schedulePublish();
   void publish();
   void refreshView();
@@ -89,7 +89,7 @@
   RandomSource Random;
   control::ControlState State;
   control::Gossip Gossip;
-  control::ReaderChoice Choice;
+  control::ReaderElection Election;
   Rcu<Snapshot> Current;
   std::shared_ptr<ServiceReader> Reader;
   std::shared_ptr<PeerLink> Peers;
@@ -107,8 +107,9 @@
   bool ServiceReached = true;
   std::string LastServiceError;
   std::string LastPeerError;
-  std::map<uint64_t, Gathering> Gatherings; ///< Keyed by sequence number.
-  uint64_t NextGathering = 0;
+  std::map<uint64_t, PendingRolloutCheck>
+      RolloutChecks; ///< Keyed by sequence number.
+  uint64_t NextRolloutCheck = 0;
 
   mutable std::mutex ViewLock; ///< Guards View and Ready.
   ControlStats View;
--- a/src/runtime/control_requests.cpp
+++ b/src/runtime/control_requests.cpp
@@ -57,25 +57,24 @@
              Init.ServiceTimeout, CommandTimeout, std::move(finish));
 }
 
-void ControlProcess::gatherInForce(
+void ControlProcess::checkRollout(
     uint64_t revision, Duration timeout,
     std::function<void(control::RolloutReport)> done) {
-  control::RolloutCheck gather(State.memberTable(), Init.Self.Name, revision,
-                               monotonicNow() + timeout, Random);
-  Gatherings.emplace(++NextGathering,
-                     Gathering{std::move(gather), std::move(done)});
+  control::RolloutCheck check(State.memberTable(), Init.Self.Name, revision,
+                              monotonicNow() + timeout, Random);
+  RolloutChecks.emplace(++NextRolloutCheck,
+                        PendingRolloutCheck{std::move(check), std::move(done)});
 }
 
-void ControlProcess::advanceGatherings(TimePoint now) {
-  for (auto it = Gatherings.begin(); it != Gatherings.end();) {
-    Gathering &gathering = it->second;
-    if (gathering.State.isOver(now)) {
-      gathering.Done(gathering.State.report(Current.load()->ConfigRevision));
-      it = Gatherings.erase(it);
+void ControlProcess::advanceRolloutChecks(TimePoint now) {
+  for (auto it = RolloutChecks.begin(); it != RolloutChecks.end();) {
+    PendingRolloutCheck &pending = it->second;
+    if (pending.State.isOver(now)) {
+      pending.Done(pending.State.report(Current.load()->ConfigRevision));
+      it = RolloutChecks.erase(it);
       continue;
     }
-    for (const control::RolloutCheck::Probe &probe :
-         gathering.State.onTick(now))
+    for (const control::RolloutCheck::Probe &probe : pending.State.onTick(now))
       Peers->send(probe.To, wire::encode(control::PeerMessage(probe.Message)));
     ++it;
   }
--- a/src/runtime/control_runtime.cpp
+++ b/src/runtime/control_runtime.cpp
@@ -78,11 +78,11 @@
                  ControlProcess &self) { self.propose(command, done); });
 }
 
-void ControlRuntime::gatherInForce(
+void ControlRuntime::checkRollout(
     uint64_t revision, Duration timeout,
     std::function<void(control::RolloutReport)> done) {
   Self->post([revision, timeout, done = std::move(done)](ControlProcess &self) {
-    self.gatherInForce(revision, timeout, done);
+    self.checkRollout(revision, timeout, done);
   });
 }
 
--- a/src/runtime/control_runtime.h
+++ b/src/runtime/control_runtime.h
@@ -65,7 +65,7 @@
   std::optional<Duration> SinceReached;
   /// Number of objects whose latest value this build cannot read; they keep
   /// their last readable value.
-  size_t NotUnderstood = 0;
+  size_t UnreadableObjects = 0;
   uint64_t ServiceCalls = 0;
   uint64_t BytesSent = 0;
   uint64_t BytesReceived = 0;
@@ -120,8 +120,8 @@
   void onGrant(std::function<void(const QuotaGrant &)> hook);
 
   /// Queries live members for the revision that they have in force.
-  void gatherInForce(uint64_t revision, Duration timeout,
-                     std::function<void(control::RolloutReport)> done);
+  void checkRollout(uint64_t revision, Duration timeout,
+                    std::function<void(control::RolloutReport)> done);
 
 private:
   std::shared_ptr<class ControlProcess> Self;
--- a/src/runtime/operator_command.cpp
+++ b/src/runtime/operator_command.cpp
@@ -34,13 +34,13 @@
          outcome == CommandOutcome::Unchanged;
 }
 
-json::object forceToJson(const control::RolloutReport &report) {
+json::object rolloutToJson(const control::RolloutReport &report) {
   json::array missing;
   for (const std::string &name : report.Missing)
     missing.emplace_back(name);
   return {{"members", report.Members},
-          {"asked", report.Asked},
-          {"in_force", report.InForce},
+          {"asked", report.Sampled},
+          {"in_force", report.Updated},
           {"missing", std::move(missing)}};
 }
 
@@ -80,20 +80,20 @@
 /// Totals over the replies of the entries.
 struct StopSum {
   uint64_t Stopped = 0; ///< Number of stopped requests.
-  size_t Silent = 0;    ///< Number of entries without a valid reply.
+  size_t NoReply = 0;   ///< Number of entries without a valid reply.
 };
 
 CommandAnswer answerOf(const StopSum &sum, size_t asked) {
   CommandAnswer out;
   out.Stopped = sum.Stopped;
   out.Planned = asked;
-  out.Changes = asked - sum.Silent;
+  out.Changes = asked - sum.NoReply;
   out.Outcome =
       sum.Stopped > 0 ? CommandOutcome::Applied : CommandOutcome::Unchanged;
-  if (sum.Silent > 0) {
+  if (sum.NoReply > 0) {
     out.Outcome = CommandOutcome::Unknown;
     out.Reason = {ErrorKind::ServerLost,
-                  std::to_string(sum.Silent) + " of " + std::to_string(asked) +
+                  std::to_string(sum.NoReply) + " of " + std::to_string(asked) +
                       " entries did not answer",
                   {}};
   }
@@ -116,8 +116,8 @@
     out["other"] = otherToJson(*answer.Other);
   if (answer.Stopped)
     out["stopped"] = *answer.Stopped;
-  if (answer.InForce)
-    out["in_force"] = forceToJson(*answer.InForce);
+  if (answer.Rollout)
+    out["in_force"] = rolloutToJson(*answer.Rollout);
   return json::serialize(out);
 }
 
@@ -166,7 +166,7 @@
                                    Duration wait, const DoneHook &done) {
   if (soFar.Changes == changes->size()) {
     if (wait > Duration::zero())
-      waitInForce(soFar, monotonicNow() + wait, done);
+      waitForRollout(soFar, monotonicNow() + wait, done);
     else
       done(std::move(soFar));
     return;
@@ -190,8 +190,8 @@
   });
 }
 
-void OperatorCommands::waitInForce(const CommandAnswer &answer, TimePoint until,
-                                   const DoneHook &done) {
+void OperatorCommands::waitForRollout(const CommandAnswer &answer,
+                                      TimePoint until, const DoneHook &done) {
   Duration left = until - monotonicNow();
   auto timeout = std::clamp(left, Duration(1), InForcePollTimeout);
   // Without a revision there was nothing to change: the configuration in force
@@ -199,12 +199,12 @@
   uint64_t revision = answer.Revision != 0
                           ? answer.Revision
                           : Init.Control.Snapshots()->ConfigRevision;
-  Init.Control.GatherInForce(
+  Init.Control.CheckRollout(
       revision, timeout,
       [this, answer, until, done](control::RolloutReport report) {
         CommandAnswer next = answer;
-        bool isEverywhere = report.InForce == report.Asked;
-        next.InForce = std::move(report);
+        bool isEverywhere = report.Updated == report.Sampled;
+        next.Rollout = std::move(report);
         if (isEverywhere || monotonicNow() >= until) {
           done(std::move(next));
           return;
@@ -213,7 +213,7 @@
         timer->expires_after(InForcePollInterval);
         timer->async_wait(
             [this, timer, next, until, done](boost::system::error_code) {
-              waitInForce(next, until, done);
+              waitForRollout(next, until, done);
             });
       });
 }
@@ -239,7 +239,7 @@
   hooks.Replied = [sum](size_t, const FleetReply &reply) {
     auto stopped = parseStoppedCount(reply);
     sum->Stopped += stopped.value_or(0);
-    sum->Silent += stopped ? 0 : 1;
+    sum->NoReply += stopped ? 0 : 1;
     return true;
   };
   hooks.Done = [sum, done](size_t asked) { done(answerOf(*sum, asked)); };
--- a/src/runtime/operator_command.h
+++ b/src/runtime/operator_command.h
@@ -22,7 +22,7 @@
   std::optional<uint64_t> Stopped; ///< Number of requests that were stopped;
                                    ///< set for a stop command only.
   /// Set if the operator waits for the change to be in force.
-  std::optional<control::RolloutReport> InForce;
+  std::optional<control::RolloutReport> Rollout;
 };
 
 /// Body of the HTTP response, as JSON. Its status is commandStatus().
@@ -53,8 +53,8 @@
                    const DoneHook &done);
   void stop(const query::StopTarget &target, std::string_view text,
             const OperatorCaller &caller, const DoneHook &done);
-  void waitInForce(const CommandAnswer &answer, TimePoint until,
-                   const DoneHook &done);
+  void waitForRollout(const CommandAnswer &answer, TimePoint until,
+                      const DoneHook &done);
 
   boost::asio::io_context &Io;
   const OperatorInit &Init;
--- a/src/runtime/operator_http.cpp
+++ b/src/runtime/operator_http.cpp
@@ -79,9 +79,9 @@
   out.Propose = [&control](const control::Command &command, auto done) {
     control.propose(command, std::move(done));
   };
-  out.GatherInForce = [&control](uint64_t revision, Duration timeout,
-                                 auto done) {
-    control.gatherInForce(revision, timeout, std::move(done));
+  out.CheckRollout = [&control](uint64_t revision, Duration timeout,
+                                auto done) {
+    control.checkRollout(revision, timeout, std::move(done));
   };
   return out;
 }
--- a/src/runtime/operator_http.h
+++ b/src/runtime/operator_http.h
@@ -65,7 +65,7 @@
       Propose;
   std::function<void(uint64_t revision, Duration timeout,
                      std::function<void(control::RolloutReport)>)>
-      GatherInForce;
+      CheckRollout;
 };
 OperatorControl controlHooks(ControlRuntime &control);
 
--- a/src/runtime/operator_query.cpp
+++ b/src/runtime/operator_query.cpp
@@ -14,7 +14,7 @@
 
 constexpr unsigned HttpOk = 200;
 
-void addSilent(query::Answer &out, std::string name, std::string reason) {
+void addFailure(query::Answer &out, std::string name, std::string reason) {
   if (out.Failures.size() < query::MaxListedFailures)
     out.Failures.push_back({std::move(name), std::move(reason)});
 }
@@ -85,7 +85,7 @@
     const Part &part = Parts[index];
     ++out.Queried;
     if (!part.Answer) {
-      addSilent(out, Plan.Instances[index].Name, reasonText(part.Reason));
+      addFailure(out, Plan.Instances[index].Name, reasonText(part.Reason));
       return;
     }
     ++out.Answered;
@@ -109,11 +109,12 @@
 
 /// Answer for the case that the entry that minted the request identifier does
 /// not reply.
-query::Answer silentEntryAnswer(const query::Query &query, const Member &entry,
-                                const Error &reason) {
+query::Answer unresponsiveEntryAnswer(const query::Query &query,
+                                      const Member &entry,
+                                      const Error &reason) {
   query::Answer out = emptyAnswer(query);
   out.Queried = 1;
-  addSilent(out, entry.Name, reasonText(reason));
+  addFailure(out, entry.Name, reasonText(reason));
   return out;
 }
 
@@ -172,7 +173,7 @@
     if (events)
       gather(query, caller, withServers(plan, query, events->Rows), done);
     else
-      done(silentEntryAnswer(query, entry, reason));
+      done(unresponsiveEntryAnswer(query, entry, reason));
     return false;
   };
   hooks.Done = [](size_t) {};
--- a/src/runtime/service_reader.cpp
+++ b/src/runtime/service_reader.cpp
@@ -61,10 +61,10 @@
            });
 }
 
-void ServiceReader::onConfig(uint64_t asked, edge::KvRangeResult result) {
+void ServiceReader::onConfig(uint64_t minRevision, edge::KvRangeResult result) {
   Hooks.CallFinished(result.Header.Reason);
   bool ok = result.Header.Status == edge::KvStatus::Ok &&
-            Hooks.Accept(result.Header, asked);
+            Hooks.Accept(result.Header, minRevision);
   if (!ok) {
     schedule(ConfigTimer, backoff(ConfigFailures++),
              &ServiceReader::checkConfig);
--- a/src/runtime/service_reader.h
+++ b/src/runtime/service_reader.h
@@ -53,7 +53,7 @@
   using Timer = net::Timer;
 
   void checkConfig();
-  void onConfig(uint64_t asked, edge::KvRangeResult result);
+  void onConfig(uint64_t minRevision, edge::KvRangeResult result);
   void startWatch();
   void onWatched(const edge::KvHeader &header,
                  const std::vector<edge::KvChange> &changes);
--- a/src/serve/agent_export.cpp
+++ b/src/serve/agent_export.cpp
@@ -94,8 +94,8 @@
   for (const Candidate &it : job.Candidates)
     for (StoreHandle store : missingStores(it, MaxStoreCopies, step.Now))
       keys[store].push_back(job.Params.Pieces[it.Index]);
-  for (auto &[store, wanted] : keys) {
-    callStore(CallPurpose::Lookup, store, LookupPieces{std::move(wanted)},
+  for (auto &[store, storeKeys] : keys) {
+    callStore(CallPurpose::Lookup, store, LookupPieces{std::move(storeKeys)},
               step);
     ++job.PendingCalls;
   }
--- a/src/serve/agent_export_write.cpp
+++ b/src/serve/agent_export_write.cpp
@@ -151,24 +151,24 @@
 void ExportFlow::performWriteStep(WriteStep next, Step &step) {
   CommittedWrite &write = CurrentWrite->Write;
   StoreHandle store = CurrentWrite->Store;
-  auto ask = [&](StoreRequest request) {
+  auto send = [&](StoreRequest request) {
     CurrentWrite->Call =
         callStore(CallPurpose::Write, store, std::move(request), step);
   };
   switch (next) {
   case WriteStep::Create:
-    return ask(BeginPiece{write.key()});
+    return send(BeginPiece{write.key()});
   case WriteStep::Put:
-    return ask(WritePiece{write.key(), write.generation(),
-                          std::make_shared<const std::string>(write.frame())});
+    return send(WritePiece{write.key(), write.generation(),
+                           std::make_shared<const std::string>(write.frame())});
   case WriteStep::Commit:
-    return ask(CommitPiece{write.key(), write.generation(),
-                           write.frame().size(), hexDigest(write.checksum()),
-                           encodeMeta(CurrentWrite->Meta)});
+    return send(CommitPiece{write.key(), write.generation(),
+                            write.frame().size(), hexDigest(write.checksum()),
+                            encodeMeta(CurrentWrite->Meta)});
   case WriteStep::ReadGeneration:
-    return ask(ReadGeneration{write.key()});
+    return send(ReadGeneration{write.key()});
   case WriteStep::Sample:
-    return ask(SamplePieces{Settings.SampleSize});
+    return send(SamplePieces{Settings.SampleSize});
   case WriteStep::Evict:
     freeVictims(write.victims(), step);
     return performWriteStep(write.onEvicted(), step);
--- a/src/serve/agent_fetch.cpp
+++ b/src/serve/agent_fetch.cpp
@@ -48,11 +48,12 @@
     for (StoreHandle store :
          Stores.storesOf(pieces, i, MaxStoreCopies, step.Now))
       keys[store].push_back(pieces[i]);
-  for (auto &[store, wanted] : keys) {
+  for (auto &[store, storeKeys] : keys) {
     CallId call = Numbers.next();
     LookupCalls[call] = job.Params.Id;
     ++job.PendingLookups;
-    step.Out.push_back(CallStore{call, store, LookupPieces{std::move(wanted)},
+    step.Out.push_back(CallStore{call, store,
+                                 LookupPieces{std::move(storeKeys)},
                                  Stores.settings().LookupTimeout});
   }
 }
--- a/src/serve/agent_impl.h
+++ b/src/serve/agent_impl.h
@@ -124,7 +124,7 @@
   /// Applies the progress of fetches, and starts the transfers that the store
   /// links allow.
   void processFetches(Step &step);
-  void onFetchUpdate(const FetchUpdate &news, Step &step);
+  void onFetchUpdate(const FetchUpdate &update, Step &step);
   /// Starts the transfers that the store links allow.
   void startTransfers(Step &step);
 
--- a/src/serve/agent_links.cpp
+++ b/src/serve/agent_links.cpp
@@ -69,7 +69,7 @@
     out.Id = run.Token.Id;
     out.AttemptNumber = reader.AttemptNumber;
     out.Kind = ErrorKind::AnswerLost;
-    out.Ran = Outcome::MayHaveRun;
+    out.RunOutcome = Outcome::MayHaveRun;
     out.Detail = "that part of the answer is no longer held";
     out.Load = loadReport(step.Now);
     send(step, reader.Link, std::move(out));
@@ -110,7 +110,7 @@
   wire::Finished out;
   out.Id = run.Token.Id;
   out.AttemptNumber = reader.AttemptNumber;
-  out.Ran = Outcome::MayHaveRun;
+  out.RunOutcome = Outcome::MayHaveRun;
   out.Kind = ErrorKind::Cancelled;
   out.Detail = "cancelled by the entry; it goes on for another";
   out.Chunks = run.Answer.nextIndex();
@@ -126,7 +126,7 @@
     out.Id = resume.Id;
     out.AttemptNumber = resume.AttemptNumber;
     out.Kind = ErrorKind::AnswerLost;
-    out.Ran = Outcome::MayHaveRun;
+    out.RunOutcome = Outcome::MayHaveRun;
     out.Detail = "this agent holds no such answer";
     out.Load = loadReport(step.Now);
     return send(step, link, std::move(out));
--- a/src/serve/agent_messages.h
+++ b/src/serve/agent_messages.h
@@ -81,13 +81,13 @@
   std::vector<wire::HeaderField> ServiceHeaders;
 };
 
-/// The run ended without a complete answer. Ran is NotRun only if the server
-/// can't have run any of it: no byte of the request was sent, or the server
-/// refused it.
+/// The run ended without a complete answer. RunOutcome is NotRun only if the
+/// server can't have run any of it: no byte of the request was sent, or the
+/// server refused it.
 struct RunFailed {
   RunToken Run;
   Error Why;
-  Outcome Ran = Outcome::MayHaveRun;
+  Outcome RunOutcome = Outcome::MayHaveRun;
 };
 
 /// State that the engine last reported. It may be out of date.
--- a/src/serve/agent_offers.cpp
+++ b/src/serve/agent_offers.cpp
@@ -63,7 +63,7 @@
   case TicketVerdict::Action::Ignore:
     return;
   case TicketVerdict::Action::Refuse:
-    return refuse(link, offer, verdict.Reason, verdict.Ran, step);
+    return refuse(link, offer, verdict.Reason, verdict.RunOutcome, step);
   case TicketVerdict::Action::Run:
     if (!decideOffer(link, offer, verdict.Key, step))
       Tickets.withdraw(verdict.Key, step.Now);
@@ -197,7 +197,7 @@
   out.Id = offer.Id;
   out.AttemptNumber = offer.AttemptNumber;
   out.Kind = why.Kind;
-  out.Ran = ran;
+  out.RunOutcome = ran;
   out.RetryAfterMicros = static_cast<uint64_t>(why.RetryAfter.count());
   out.Detail = why.Detail;
   out.Load = loadReport(step.Now);
--- a/src/serve/agent_runs.cpp
+++ b/src/serve/agent_runs.cpp
@@ -95,7 +95,7 @@
   if (!run || !checkAnswerToken(*run, input.Answer, step))
     return;
   wire::Finished out;
-  out.Ran = Outcome::Completed;
+  out.RunOutcome = Outcome::Completed;
   out.FinishReason = input.FinishReason;
   out.PromptTokens = input.PromptTokens;
   out.RecomputedTokens =
@@ -112,7 +112,7 @@
   Run *run = findActive(input.Run);
   if (!run)
     return;
-  if (input.Ran == Outcome::NotRun && run->NextSequence == 0)
+  if (input.RunOutcome == Outcome::NotRun && run->NextSequence == 0)
     run->MayHaveRun = run->MayHaveRunBefore;
   record(step, EventKind::AttemptLost, *run, input.Why.Kind);
   fail(*run, input.Why, step);
@@ -122,7 +122,7 @@
   if (!run.MayHaveRun)
     return refuseAccepted(run, why, step);
   wire::Finished out;
-  out.Ran = Outcome::MayHaveRun;
+  out.RunOutcome = Outcome::MayHaveRun;
   out.Kind = why.Kind;
   out.Detail = why.Detail;
   out.GeneratedTokens = run.Answer.tokens();
@@ -161,7 +161,7 @@
     out.Id = run.Token.Id;
     out.AttemptNumber = reader.AttemptNumber;
     out.Kind = why.Kind;
-    out.Ran = Outcome::NotRun;
+    out.RunOutcome = Outcome::NotRun;
     out.RetryAfterMicros = micros(why.RetryAfter);
     out.Detail = why.Detail;
     out.Load = loadReport(step.Now);
--- a/src/serve/agent_snapshot.h
+++ b/src/serve/agent_snapshot.h
@@ -43,7 +43,7 @@
   std::string Organisation;
   std::string Class;
   ErrorKind Kind = ErrorKind::None;
-  Outcome Ran = Outcome::NotRun;
+  Outcome RunOutcome = Outcome::NotRun;
   TimePoint At;
   bool operator==(const RefusalView &) const = default;
 };
--- a/src/serve/request_answer.cpp
+++ b/src/serve/request_answer.cpp
@@ -132,13 +132,13 @@
 }
 
 void RequestFlow::armTimer(Step &step) {
-  std::optional<TimePoint> wanted = earliestTimer();
+  std::optional<TimePoint> earliest = earliestTimer();
   // A timer that fires early is harmless, and cheaper than moving the timer
   // with every chunk.
-  if (!wanted || (ArmedTimer && *ArmedTimer <= *wanted))
+  if (!earliest || (ArmedTimer && *ArmedTimer <= *earliest))
     return;
-  ArmedTimer = wanted;
-  step.Out.emplace_back(ArmTimer{*wanted});
+  ArmedTimer = earliest;
+  step.Out.emplace_back(ArmTimer{*earliest});
 }
 
 void RequestFlow::record(Step &step, EventKind kind, Attempt attempt,
--- a/src/serve/request_flow.cpp
+++ b/src/serve/request_flow.cpp
@@ -111,8 +111,8 @@
   Error reason{ErrorKind::ServerLost,
                "the connection to " + attempt.Server + " broke"};
   // A server that replied to the attempt has received its offer.
-  bool wasHeard = attempt.Phase != AttemptPhase::Offered;
-  if (input.MayBeDelivered || attempt.IsResume || wasHeard)
+  bool hasReplied = attempt.Phase != AttemptPhase::Offered;
+  if (input.MayBeDelivered || attempt.IsResume || hasReplied)
     return onAttemptLost(attempt, reason, step);
   attempt.MayHaveArrived = false;
   attempt.Phase = AttemptPhase::Closed;
@@ -202,22 +202,23 @@
     return giveUp({ErrorKind::ServerLost, "its answer is no longer held"},
                   Outcome::MayHaveRun, step);
   }
-  if (message.Ran == Outcome::NotRun &&
+  if (message.RunOutcome == Outcome::NotRun &&
       attempt.Phase != AttemptPhase::Streaming) {
     attempt.Refused = true;
     attempt.ExceededWaitLimit =
         attempt.HasWaitLimit && message.Kind == ErrorKind::Overloaded;
     attempt.Phase = AttemptPhase::Closed;
     if (isFinalRefusal(message.Kind) && !hasOpenAttempt())
-      return giveUp(reason, mayHaveRun() ? Outcome::MayHaveRun : message.Ran,
+      return giveUp(reason,
+                    mayHaveRun() ? Outcome::MayHaveRun : message.RunOutcome,
                     step);
     return retryOrGiveUp(reason, step);
   }
   if (Spec.Resume || !Spec.Offer.Idempotent) {
     attempt.Phase = AttemptPhase::Closed;
     return giveUp(reason,
-                  message.Ran == Outcome::NotRun ? Outcome::MayHaveRun
-                                                 : message.Ran,
+                  message.RunOutcome == Outcome::NotRun ? Outcome::MayHaveRun
+                                                        : message.RunOutcome,
                   step);
   }
   onAttemptLost(attempt, reason, step);
@@ -253,8 +254,8 @@
 
 void RequestFlow::onFinished(AttemptState &attempt,
                              const wire::Finished &message, Step &step) {
-  bool whole =
-      message.Kind == ErrorKind::None && message.Ran == Outcome::Completed;
+  bool whole = message.Kind == ErrorKind::None &&
+               message.RunOutcome == Outcome::Completed;
   if (whole && message.Chunks == ChunksReceived)
     return completeAnswer(attempt, message, step);
   if (whole) {
@@ -267,9 +268,9 @@
                message.Detail};
   if (isFinalEnd(message.Kind)) {
     attempt.Phase = AttemptPhase::Closed;
-    return giveUp(reason, message.Ran, step);
+    return giveUp(reason, message.RunOutcome, step);
   }
-  if (message.Ran == Outcome::NotRun &&
+  if (message.RunOutcome == Outcome::NotRun &&
       attempt.Phase != AttemptPhase::Streaming) {
     attempt.Refused = true;
     attempt.Phase = AttemptPhase::Closed;
--- a/src/serve/request_messages.h
+++ b/src/serve/request_messages.h
@@ -109,7 +109,8 @@
 /// The error that ends a request without a complete answer.
 struct AnswerError {
   Error Reason;
-  Outcome Ran = Outcome::NotRun; ///< Whether the request ran on a server.
+  Outcome RunOutcome =
+      Outcome::NotRun; ///< Whether the request ran on a server.
   bool operator==(const AnswerError &) const = default;
 };
 
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -124,13 +124,13 @@
   RequestId Id;
   Attempt AttemptNumber = 0;
   ErrorKind Kind = ErrorKind::Internal;
-  Outcome Ran = Outcome::NotRun;
+  Outcome RunOutcome = Outcome::NotRun;
   uint64_t RetryAfterMicros = 0;
   std::string Detail;
   LoadReport Load;
   bool operator==(const Refused &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Id, AttemptNumber, Kind, Ran, RetryAfterMicros, Detail, Load);
+    ar(Id, AttemptNumber, Kind, RunOutcome, RetryAfterMicros, Detail, Load);
   }
 };
 
@@ -152,7 +152,7 @@
 struct Finished {
   RequestId Id;
   Attempt AttemptNumber = 0;
-  Outcome Ran = Outcome::Completed;
+  Outcome RunOutcome = Outcome::Completed;
   ErrorKind Kind = ErrorKind::None; ///< None if the answer is complete.
   std::string Detail;
   std::string FinishReason; ///< "stop" or "length".
@@ -169,9 +169,9 @@
   LoadReport Load;
   bool operator==(const Finished &) const = default;
   template <class Archive> void serialize(Archive &ar) {
-    ar(Id, AttemptNumber, Ran, Kind, Detail, FinishReason, Chunks, PromptTokens,
-       RecomputedTokens, GeneratedTokens, FirstTokenMicros, ServiceStatus,
-       ServiceHeaders, Load);
+    ar(Id, AttemptNumber, RunOutcome, Kind, Detail, FinishReason, Chunks,
+       PromptTokens, RecomputedTokens, GeneratedTokens, FirstTokenMicros,
+       ServiceStatus, ServiceHeaders, Load);
   }
 };
 
--- a/tests/control/gossip_test.cpp
+++ b/tests/control/gossip_test.cpp
@@ -249,14 +249,14 @@
     std::optional<size_t> rank =
         readerRank(node.State->memberTable(), node.Self);
     ASSERT_TRUE(rank);
-    ReaderChoice choice;
+    ReaderElection choice;
     choice.setRank(rank);
     readers[node.Self.FailureDomain] += choice.shouldRead(fleet.Now, fleet.Now);
   }
   EXPECT_EQ(readers.size(), Domains);
   for (const auto &[domain, count] : readers)
     EXPECT_EQ(count, static_cast<int>(ReadersPerDomain)) << domain;
-  ReaderChoice third;
+  ReaderElection third;
   third.setRank(ReadersPerDomain);
   EXPECT_FALSE(third.shouldRead(fleet.Now, fleet.Now + seconds(5)));
   EXPECT_TRUE(third.shouldRead(fleet.Now, fleet.Now + seconds(20)));
@@ -265,7 +265,7 @@
       << "stays a reader for a while to avoid flapping";
   EXPECT_FALSE(
       third.shouldRead(fleet.Now + seconds(60), fleet.Now + seconds(61)));
-  ReaderChoice unknown;
+  ReaderElection unknown;
   EXPECT_TRUE(unknown.shouldRead(NeverTime, fleet.Now));
 }
 
--- a/tests/control/rollout_check_test.cpp
+++ b/tests/control/rollout_check_test.cpp
@@ -31,7 +31,7 @@
   check.onAnswer({12345, 99});
   EXPECT_TRUE(check.onTick(start).empty());
   EXPECT_FALSE(check.isOver(start));
-  EXPECT_EQ(check.report(20).InForce, 2U);
+  EXPECT_EQ(check.report(20).Updated, 2U);
   EXPECT_EQ(check.report(20).Missing.size(), 2U);
   probes = check.onTick(start + std::chrono::seconds(1));
   ASSERT_EQ(probes.size(), 2U);
@@ -48,7 +48,7 @@
                      [&] { return mix64(++draws); });
   EXPECT_EQ(check.onTick(TimePoint{}).size(), RolloutCheck::MaxSampled);
   EXPECT_EQ(check.report(20).Members, 2000U);
-  EXPECT_EQ(check.report(20).Asked, RolloutCheck::MaxSampled + 1);
+  EXPECT_EQ(check.report(20).Sampled, RolloutCheck::MaxSampled + 1);
   EXPECT_EQ(check.report(20).Missing.size(), RolloutCheck::MaxMissing);
   EXPECT_TRUE(check.isOver(TimePoint{}));
 }
--- a/tests/control/runtime_peers_test.cpp
+++ b/tests/control/runtime_peers_test.cpp
@@ -133,8 +133,8 @@
   runUntil([&] { return countWithVersion("v2") == 6; });
 
   std::optional<RolloutReport> report;
-  Processes[5].Control->gatherInForce(result.Revision, Duration(5'000'000),
-                                      [&](RolloutReport r) { report = r; });
+  Processes[5].Control->checkRollout(result.Revision, Duration(5'000'000),
+                                     [&](RolloutReport r) { report = r; });
   runUntil([&] { return report.has_value(); });
   EXPECT_EQ(*report, (RolloutReport{6, 6, 6, {}}));
 }
--- a/tests/decide/routing_test.cpp
+++ b/tests/decide/routing_test.cpp
@@ -145,7 +145,7 @@
   EXPECT_DOUBLE_EQ(loads.estimate(42, at(2'000)).TrafficShare, 0.1);
   EXPECT_DOUBLE_EQ(loads.estimate(42, at(7'000)).TrafficShare, 0.5);
   EXPECT_DOUBLE_EQ(loads.estimate(42, at(60'000)).TrafficShare, 1.0);
-  EXPECT_FALSE(loads.estimate(43, Epoch).Known);
+  EXPECT_FALSE(loads.estimate(43, Epoch).HasData);
 }
 
 TEST(LoadView, ReplacesTheOldestOfAFullSet) {
@@ -154,9 +154,9 @@
   LoadView loads(settings);
   for (uint64_t i = 1; i <= 9; ++i)
     loads.observe(i, {}, at(static_cast<int64_t>(i)));
-  EXPECT_FALSE(loads.estimate(1, at(10)).Known);
+  EXPECT_FALSE(loads.estimate(1, at(10)).HasData);
   for (uint64_t i = 2; i <= 9; ++i)
-    EXPECT_TRUE(loads.estimate(i, at(10)).Known) << i;
+    EXPECT_TRUE(loads.estimate(i, at(10)).HasData) << i;
 }
 
 } // namespace daisytack
--- a/tests/direct/catalog_test.cpp
+++ b/tests/direct/catalog_test.cpp
@@ -100,9 +100,9 @@
 TEST(CatalogKeeper, AssumesThatAVersionFoundAtTheFirstReadIsOld) {
   CatalogKeeper keeper({}, textHooks());
   keeper.applyAll({{"weights:model", "2", 7, false}}, 7, Start);
-  EXPECT_EQ(keeper.view()->behindSince("model", 1), Start - 5s);
+  EXPECT_EQ(keeper.view()->outdatedSince("model", 1), Start - 5s);
   keeper.applyAll({{"weights:model", "3", 9, false}}, 9, Start + 1s);
-  EXPECT_EQ(keeper.view()->behindSince("model", 2), Start + 1s);
+  EXPECT_EQ(keeper.view()->outdatedSince("model", 2), Start + 1s);
 }
 
 TEST(CatalogKeeper, KeepsTheTimeOfEachDesiredVersion) {
@@ -112,10 +112,10 @@
   keeper.apply({put("weights:model", "2", 5)}, Start + 5s);
   auto view = keeper.view();
   EXPECT_EQ(view->desiredVersion("model"), 3);
-  EXPECT_EQ(view->behindSince("model", 1), Start);
-  EXPECT_EQ(view->behindSince("model", 2), Start + 4s);
-  EXPECT_EQ(view->behindSince("model", 3), std::nullopt);
-  EXPECT_EQ(view->behindSince("other", 1), std::nullopt);
+  EXPECT_EQ(view->outdatedSince("model", 1), Start);
+  EXPECT_EQ(view->outdatedSince("model", 2), Start + 4s);
+  EXPECT_EQ(view->outdatedSince("model", 3), std::nullopt);
+  EXPECT_EQ(view->outdatedSince("other", 1), std::nullopt);
 }
 
 TEST(CatalogKeeper, AcceptsAReportOfNewWeightsAheadOfTheRecord) {
--- a/tests/edge/engine_test.cpp
+++ b/tests/edge/engine_test.cpp
@@ -81,7 +81,7 @@
     unsigned Status;
     std::string Body;
     ErrorKind Kind;
-    Outcome Ran;
+    Outcome RunOutcome;
   };
   const Case cases[] = {
       {"broken off", 200, "data: {\"choices\":[]}\n\n", ErrorKind::ServerFailed,
@@ -98,7 +98,7 @@
     ASSERT_EQ(inputs.size(), 1U) << it.Name;
     const auto &failed = std::get<RunFailed>(inputs[0]);
     EXPECT_EQ(failed.Why.Kind, it.Kind) << it.Name;
-    EXPECT_EQ(failed.Ran, it.Ran) << it.Name;
+    EXPECT_EQ(failed.RunOutcome, it.RunOutcome) << it.Name;
   }
 }
 
@@ -108,7 +108,7 @@
       makeHttpEngine(rig.Client, {{"127.0.0.1", 1}, {}}, rig.sink());
   engine.Start(startOf("{}"));
   auto inputs = rig.wait(1);
-  EXPECT_EQ(std::get<RunFailed>(inputs.at(0)).Ran, Outcome::NotRun);
+  EXPECT_EQ(std::get<RunFailed>(inputs.at(0)).RunOutcome, Outcome::NotRun);
   EXPECT_EQ(std::get<RunFailed>(inputs.at(0)).Why.Kind, ErrorKind::ServerLost);
 }
 
@@ -117,7 +117,7 @@
   Engine engine = makeHttpEngine(rig.Client, {rig.address(), {}}, rig.sink());
   engine.Start(startOf("{}"));
   auto inputs = rig.wait(1);
-  EXPECT_EQ(std::get<RunFailed>(inputs.at(0)).Ran, Outcome::MayHaveRun);
+  EXPECT_EQ(std::get<RunFailed>(inputs.at(0)).RunOutcome, Outcome::MayHaveRun);
 }
 
 TEST(Engine, CancelEndsTheRunAndNotifiesTheEngine) {
--- a/tests/matrix/control_host.h
+++ b/tests/matrix/control_host.h
@@ -71,7 +71,7 @@
   Hooks On;
   control::ControlState State;
   control::Gossip Talk;
-  control::ReaderChoice Choice;
+  control::ReaderElection Choice;
   control::SignalContent Own;
   std::shared_ptr<const Snapshot> Current;
   TimePoint Started;
--- a/tests/matrix/entry_actions.cpp
+++ b/tests/matrix/entry_actions.cpp
@@ -167,7 +167,8 @@
 
 void EntryHost::on(Going &going, AnswerError &action) {
   Check.toldError(going.What.Number, action.Reason,
-                  TellsNotRunAlways ? Outcome::NotRun : action.Ran, On.Now());
+                  TellsNotRunAlways ? Outcome::NotRun : action.RunOutcome,
+                  On.Now());
 }
 
 void EntryHost::on(Going &going, ArmTimer &action) {
--- a/tests/once/once_world.cpp
+++ b/tests/once/once_world.cpp
@@ -207,7 +207,7 @@
       Seeded == Defect::DuplicateRunsAgain)
     startRun(agent, verdict.Key, message);
   if (verdict.Decision == Action::Refuse)
-    recordOutcome(message, verdict.Ran);
+    recordOutcome(message, verdict.RunOutcome);
   if (verdict.Decision == Action::Replay) {
     recordOutcome(message, Outcome::Completed);
     if (verdict.Answer->Body != message.Submission.Organisation)
@@ -255,7 +255,7 @@
   StoredAnswer answer;
   answer.Body = it->Origin.Submission.Organisation;
   if (!completed) {
-    answer.End.Ran = Outcome::MayHaveRun;
+    answer.End.RunOutcome = Outcome::MayHaveRun;
     answer.End.Kind = ErrorKind::ServerLost;
   }
   Fleet[it->Agent].Ledger->finish(it->Key, answer, clockOf(it->Agent));
--- a/tests/once/ticket_ledger_test.cpp
+++ b/tests/once/ticket_ledger_test.cpp
@@ -60,7 +60,7 @@
 
   auto second = ledger.present(submission(ticket), at(2));
   EXPECT_EQ(second.Reason.Kind, ErrorKind::StillRunning);
-  EXPECT_EQ(second.Ran, Outcome::MayHaveRun);
+  EXPECT_EQ(second.RunOutcome, Outcome::MayHaveRun);
 
   ledger.finish(first.Key, completed("done"), at(3));
   auto third = ledger.present(submission(ticket), at(4));
@@ -69,7 +69,7 @@
 
   auto other = ledger.present(submission(ticket, 2), at(5));
   EXPECT_EQ(other.Reason.Kind, ErrorKind::KeyReused);
-  EXPECT_EQ(other.Ran, Outcome::NotRun);
+  EXPECT_EQ(other.RunOutcome, Outcome::NotRun);
 }
 
 TEST_F(LedgerTest, RefusesTicketsOfOtherProcessesOrganisationsAndSecrets) {
@@ -79,7 +79,7 @@
   auto old = make(predecessor);
   auto verdict = ledger.present(submission(issue(old, at(0))), at(1));
   EXPECT_EQ(verdict.Reason.Kind, ErrorKind::TicketUnknown);
-  EXPECT_EQ(verdict.Ran, Outcome::MayHaveRun);
+  EXPECT_EQ(verdict.RunOutcome, Outcome::MayHaveRun);
 
   auto foreign = submission(issue(ledger, at(0)));
   foreign.Organisation = "other";
@@ -103,7 +103,7 @@
   EXPECT_EQ(ledger.records(), 1U);
   auto late = ledger.present(submission(ticket), at(100));
   EXPECT_EQ(late.Reason.Kind, ErrorKind::TicketExpired);
-  EXPECT_EQ(late.Ran, Outcome::MayHaveRun);
+  EXPECT_EQ(late.RunOutcome, Outcome::MayHaveRun);
   EXPECT_EQ(ledger.records(), 0U);
   EXPECT_EQ(ledger.answerBytes(), 0U);
   // The ticket stays expired if the clock goes back.
@@ -138,7 +138,7 @@
   auto spareSubmission = submission(spare);
   auto refused = ledger.present(spareSubmission, at(2));
   EXPECT_EQ(refused.Reason.Kind, ErrorKind::RecordFull);
-  EXPECT_EQ(refused.Ran, Outcome::NotRun);
+  EXPECT_EQ(refused.RunOutcome, Outcome::NotRun);
   Error reason;
   EXPECT_FALSE(ledger.issue("org", at(2), reason));
   EXPECT_EQ(reason.Kind, ErrorKind::RecordFull);
@@ -161,7 +161,7 @@
   }
   auto oldest = ledger.present(submission(tickets[0]), at(2));
   EXPECT_EQ(oldest.Reason.Kind, ErrorKind::AnswerLost);
-  EXPECT_EQ(oldest.Ran, Outcome::Completed);
+  EXPECT_EQ(oldest.RunOutcome, Outcome::Completed);
   EXPECT_EQ(ledger.present(submission(tickets[3]), at(2)).Decision,
             Action::Replay);
   EXPECT_LE(ledger.answerBytes(), init.MaxAnswerBytes);
@@ -173,13 +173,13 @@
   std::string ticket = issue(ledger, at(0));
   auto run = ledger.present(submission(ticket), at(1));
   StoredAnswer lost;
-  lost.End.Ran = Outcome::MayHaveRun;
+  lost.End.RunOutcome = Outcome::MayHaveRun;
   lost.End.Kind = ErrorKind::ServerLost;
   ledger.finish(run.Key, lost, at(2));
   auto repeat = ledger.present(submission(ticket), at(3));
   EXPECT_EQ(repeat.Decision, Action::Refuse);
   EXPECT_EQ(repeat.Reason.Kind, ErrorKind::ServerLost);
-  EXPECT_EQ(repeat.Ran, Outcome::MayHaveRun);
+  EXPECT_EQ(repeat.RunOutcome, Outcome::MayHaveRun);
 }
 
 TEST_F(LedgerTest, IgnoresADuplicateOfAWithdrawnSubmission) {
@@ -201,7 +201,7 @@
   fresh.Process = {6, 6};
   auto verdict = ledger.present(fresh, at(1));
   EXPECT_EQ(verdict.Reason.Kind, ErrorKind::TicketUnknown);
-  EXPECT_EQ(verdict.Ran, Outcome::MayHaveRun);
+  EXPECT_EQ(verdict.RunOutcome, Outcome::MayHaveRun);
 }
 
 TEST_F(LedgerTest, TreatsTheSameIdOverAnotherLinkAsARepeat) {
--- a/tests/operators/operator_http_test.cpp
+++ b/tests/operators/operator_http_test.cpp
@@ -89,7 +89,7 @@
       Proposed.push_back(command);
       done(Result);
     };
-    out.GatherInForce = [this](uint64_t revision, Duration, const auto &done) {
+    out.CheckRollout = [this](uint64_t revision, Duration, const auto &done) {
       ++InForceQueries;
       InForceRevision = revision;
       control::RolloutReport report{4, 4, InForceQueries < 3 ? 3U : 4U, {}};
--- a/tests/serve_agent/agent_core_test.cpp
+++ b/tests/serve_agent/agent_core_test.cpp
@@ -27,7 +27,7 @@
   auto final = rig.lastTo<wire::Finished>(LinkA);
   EXPECT_EQ(final.Kind, ErrorKind::None);
   EXPECT_EQ(final.Chunks, 2U);
-  EXPECT_EQ(final.Ran, Outcome::Completed);
+  EXPECT_EQ(final.RunOutcome, Outcome::Completed);
 }
 
 struct RefusalCase {
@@ -72,7 +72,7 @@
     rig.offer(offer);
     auto refused = rig.lastTo<wire::Refused>(LinkA);
     EXPECT_EQ(refused.Kind, it.Want) << it.Name;
-    EXPECT_EQ(refused.Ran, Outcome::NotRun) << it.Name;
+    EXPECT_EQ(refused.RunOutcome, Outcome::NotRun) << it.Name;
     EXPECT_TRUE(rig.Started.empty()) << it.Name;
   }
 }
@@ -84,7 +84,7 @@
   rig.apply(RunText{rig.Started[0].Run, other, std::nullopt, 1, "secret"});
   EXPECT_EQ(rig.textTo(LinkA), "");
   EXPECT_EQ(rig.lastTo<wire::Finished>(LinkA).Kind, ErrorKind::ServerFailed);
-  EXPECT_EQ(rig.lastTo<wire::Finished>(LinkA).Ran, Outcome::MayHaveRun);
+  EXPECT_EQ(rig.lastTo<wire::Finished>(LinkA).RunOutcome, Outcome::MayHaveRun);
   EXPECT_EQ(rig.Cancelled.size(), 1U);
 }
 
@@ -217,7 +217,7 @@
   rig.done(rig.Started[0].Run);
   EXPECT_EQ(rig.Started.size(), 2U);
   EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).Kind, ErrorKind::NotReady);
-  EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).Ran, Outcome::NotRun);
+  EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).RunOutcome, Outcome::NotRun);
 }
 
 TEST(AgentCore, SnapshotShowsRunningWaitingAndRefused) {
--- a/tests/serve_agent/agent_decisions_test.cpp
+++ b/tests/serve_agent/agent_decisions_test.cpp
@@ -40,7 +40,7 @@
   rig.offer(offerWith(3, 5, 3'000));
   auto refused = rig.lastTo<wire::Refused>(LinkA);
   EXPECT_EQ(refused.Kind, ErrorKind::Overloaded);
-  EXPECT_EQ(refused.Ran, Outcome::NotRun);
+  EXPECT_EQ(refused.RunOutcome, Outcome::NotRun);
   EXPECT_GT(refused.RetryAfterMicros, 0U);
   EXPECT_GT(refused.Load.WaitMicros, 0U);
 }
@@ -102,7 +102,7 @@
   rig.advanceTime(Duration(4'000'000));
   auto refused = rig.lastTo<wire::Refused>(LinkA);
   EXPECT_EQ(refused.Id.Lo, 2U);
-  EXPECT_EQ(refused.Ran, Outcome::NotRun);
+  EXPECT_EQ(refused.RunOutcome, Outcome::NotRun);
   EXPECT_EQ(refused.Kind, ErrorKind::Overloaded);
   EXPECT_EQ(rig.Started.size(), 1U);
 }
@@ -154,13 +154,13 @@
   rig.offer(callOf(1, ticket));
   rig.offer(callOf(2, ticket), LinkB);
   EXPECT_EQ(rig.lastTo<wire::Refused>(LinkB).Kind, ErrorKind::StillRunning);
-  EXPECT_EQ(rig.lastTo<wire::Refused>(LinkB).Ran, Outcome::MayHaveRun);
+  EXPECT_EQ(rig.lastTo<wire::Refused>(LinkB).RunOutcome, Outcome::MayHaveRun);
   ASSERT_EQ(rig.Started.size(), 1U);
   rig.text(rig.Started[0].Run, "printed");
   rig.done(rig.Started[0].Run);
   rig.offer(callOf(3, ticket), LinkB);
   EXPECT_EQ(rig.textTo(LinkB), "printed");
-  EXPECT_EQ(rig.lastTo<wire::Finished>(LinkB).Ran, Outcome::Completed);
+  EXPECT_EQ(rig.lastTo<wire::Finished>(LinkB).RunOutcome, Outcome::Completed);
   EXPECT_EQ(rig.Started.size(), 1U);
 }
 
@@ -170,7 +170,7 @@
   wire::Offer late = callOf(1, ticket);
   late.RemainingMicros = 0;
   rig.offer(late);
-  EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).Ran, Outcome::NotRun);
+  EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).RunOutcome, Outcome::NotRun);
   rig.offer(callOf(2, ticket));
   ASSERT_EQ(rig.Started.size(), 1U);
   rig.apply(RunFailed{
@@ -187,7 +187,7 @@
   rig.offer(callOf(1, ticket, 2));
   rig.offer(callOf(2, ticket));
   EXPECT_EQ(rig.Started.size(), 1U);
-  EXPECT_EQ(rig.lastTo<wire::Finished>(LinkA).Ran, Outcome::MayHaveRun);
+  EXPECT_EQ(rig.lastTo<wire::Finished>(LinkA).RunOutcome, Outcome::MayHaveRun);
 }
 
 TEST(AgentTickets, TicketOfACallCancelledWhileWaitingCanBePresentedAgain) {
--- a/tests/serve_agent/agent_swap_test.cpp
+++ b/tests/serve_agent/agent_swap_test.cpp
@@ -72,7 +72,7 @@
   EXPECT_TRUE(answerSlots(rig).empty());
   rig.offer(offerOf(2));
   EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).Kind, ErrorKind::NotReady);
-  EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).Ran, Outcome::NotRun);
+  EXPECT_EQ(rig.lastTo<wire::Refused>(LinkA).RunOutcome, Outcome::NotRun);
   rig.done(rig.Started[0].Run);
   EXPECT_EQ(rig.lastTo<wire::Finished>(LinkA).Kind, ErrorKind::None);
   std::vector<SendOrder> orders = answerSlots(rig);
--- a/tests/serve_entry/flow_harness.h
+++ b/tests/serve_entry/flow_harness.h
@@ -150,7 +150,7 @@
     ++FinalAnswers;
     Failure = it;
     appendTrace("error " + std::string(errorName(it.Reason.Kind)) + " " +
-                std::string(outcomeName(it.Ran)));
+                std::string(outcomeName(it.RunOutcome)));
   }
   void observe(const ArmTimer &it) { Timer = it.At; }
   void observe(const ReportServer &) {}
@@ -188,7 +188,7 @@
       in >> word;
       out.Kind = parseErrorKind(word);
       if (in >> word)
-        out.Ran = Outcome::MayHaveRun;
+        out.RunOutcome = Outcome::MayHaveRun;
       applyInput(ServerMessage{server, out});
     } else if (verb == "chunk") {
       auto out = message<wire::Chunk>(in, server);
@@ -204,7 +204,7 @@
       in >> word;
       out.Kind = parseErrorKind(word);
       in >> word;
-      out.Ran = word == "not" ? Outcome::NotRun : Outcome::MayHaveRun;
+      out.RunOutcome = word == "not" ? Outcome::NotRun : Outcome::MayHaveRun;
       applyInput(ServerMessage{server, out});
     } else {
       otherCommand(verb, in);
--- a/tests/serve_entry/request_flow_property_test.cpp
+++ b/tests/serve_entry/request_flow_property_test.cpp
@@ -117,7 +117,7 @@
     out.Chunks = AnswerChunks;
     if (*rc::gen::inRange(0, 4) == 0) {
       out.Kind = ErrorKind::ServerFailed;
-      out.Ran = Outcome::MayHaveRun;
+      out.RunOutcome = Outcome::MayHaveRun;
     }
     Harness.applyInput(ServerMessage{run.Server, out});
   }
@@ -175,7 +175,7 @@
   bool noneRan = true;
   for (const AgentRun &run : scenario.Runs)
     noneRan = noneRan && (run.Refused || !run.MayHaveArrived);
-  if (harness.Failure->Ran == Outcome::NotRun)
+  if (harness.Failure->RunOutcome == Outcome::NotRun)
     RC_ASSERT(noneRan);
 }
 
--- a/tools/agent/agent_operators.cpp
+++ b/tools/agent/agent_operators.cpp
@@ -42,7 +42,7 @@
   TimePoint now = monotonicNow();
   std::vector<query::RefusalRow> out;
   for (const serve::RefusalView &it : snapshot->Refusals)
-    out.push_back({it.Id, it.Kind, it.Ran, it.Organisation, it.Class,
+    out.push_back({it.Id, it.Kind, it.RunOutcome, it.Organisation, it.Class,
                    options.Core.Serves, now - it.At});
   return out;
 }
--- a/tools/entry/active_request.cpp
+++ b/tools/entry/active_request.cpp
@@ -252,7 +252,7 @@
   query::RefusalRow row;
   row.Request = spec.Offer.Id;
   row.Kind = action.Reason.Kind;
-  row.Ran = action.Ran;
+  row.RunOutcome = action.RunOutcome;
   row.Organisation = spec.Offer.Organisation;
   row.Class = spec.Offer.Class;
   row.Model = spec.Service.empty() ? spec.Offer.Model : spec.Service;
@@ -264,10 +264,10 @@
   State.Counts.countAnswer(action.Reason.Kind);
   if (!StreamStarted)
     return Exchange->respond(
-        net::problemResponse(action.Reason, action.Ran, Identity.Id));
+        net::problemResponse(action.Reason, action.RunOutcome, Identity.Id));
   net::SseEvent event;
   event.Event = "error";
-  event.Data = net::problemJson(action.Reason, action.Ran, Identity.Id);
+  event.Data = net::problemJson(action.Reason, action.RunOutcome, Identity.Id);
   Exchange->write(net::formatSse(event));
   Exchange->endStream();
 }
--- a/tools/entry/operator_rows.cpp
+++ b/tools/entry/operator_rows.cpp
@@ -25,7 +25,7 @@
     row.Name = it.Name;
     row.Ejected = state.Ejected.isEjected(it.NameHash, now);
     LoadEstimate load = state.Loads.estimate(it.NameHash, now);
-    if (load.Known)
+    if (load.HasData)
       row.PredictedWait = load.Wait;
     if (auto received = state.LoadReports.find(it.Name)) {
       row.Version = received->Load.Version;
