--- a/src/control/readers.h
+++ b/src/control/readers.h
@@ -17,7 +17,7 @@
                                  const Member &self);
 
 /// Decides whether one process is a reader. Not thread-safe.
-class ReaderChoice {
+class ReaderElection {
 public:
   /// Sets the result of readerRank() for this process; to be called after a
   /// change of members.
--- a/tests/matrix/control_host.h
+++ b/tests/matrix/control_host.h
@@ -74,7 +74,7 @@
   Hooks Callbacks;
   control::ControlState State;
   control::Gossip PeerGossip;
-  control::ReaderChoice ReaderSelection;
+  control::ReaderElection ReaderSelection;
   control::SignalContent OwnSignal;
   std::shared_ptr<const Snapshot> Current;
   TimePoint Started;
--- a/tests/matrix/entry_actions.cpp
+++ b/tests/matrix/entry_actions.cpp
@@ -167,7 +167,8 @@
 
 void EntryHost::on(ActiveRequest &active, AnswerError &action) {
   Checker.onErrorAnswer(active.Request.Number, action.Reason,
-                        AlwaysReportsNotRun ? Outcome::NotRun : action.Ran,
+                        AlwaysReportsNotRun ? Outcome::NotRun
+                                            : action.RunOutcome,
                         Callbacks.Now());
 }
 
