--- a/include/daisytack/error.h
+++ b/include/daisytack/error.h
@@ -1,5 +1,5 @@
 /// Typed errors. Each kind has one stable name, one HTTP status and one remedy,
-/// so that a refusal tells the receiver what to do.
+/// so that the receiver of a refusal knows what to do.
 #pragma once
 
 #include "daisytack/types.h"
--- a/include/daisytack/objects.h
+++ b/include/daisytack/objects.h
@@ -54,8 +54,8 @@
   auto operator<=>(const RequestClass &) const = default;
 };
 
-/// Reuse of kept context by one organisation in one class ("*" for all
-/// classes).
+/// Whether and how long the kept context of one organisation in one class ("*"
+/// for all classes) may be reused, and how much of it is kept.
 struct ReusePolicy {
   std::string Organisation;
   std::string Class = "*";
--- a/src/base/request_id.h
+++ b/src/base/request_id.h
@@ -11,8 +11,8 @@
 /// 32 bits of the hash of the entry's name and 96 random bits.
 RequestId makeRequestId(std::string_view entry, const RandomSource &random);
 
-/// False: the entry of that name did not create the identifier. True: it did,
-/// with a false positive for 1 in 2^32 other entry names.
+/// Whether the entry of that name created the identifier. Returns true by
+/// mistake for 1 in 2^32 other entry names, and never returns false by mistake.
 bool isMintedBy(const RequestId &id, std::string_view entry);
 
 } // namespace daisytack
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,5 +1,5 @@
-/// INI settings, read as a whole. Every error is collected, so that all are
-/// reported together.
+/// Reads settings from an INI file. Errors are collected, so that all errors of
+/// a file are reported together.
 #pragma once
 
 #include "daisytack/types.h"
--- a/src/control/control_state.h
+++ b/src/control/control_state.h
@@ -49,7 +49,7 @@
   const SignalTable &signals() const { return Signals; }
   uint64_t clusterId() const { return Cluster; }
   /// Members merged from the instance list, signals and observations, without
-  /// those that are gone.
+  /// those in the state Gone.
   const std::map<std::string, Member> &memberTable() const {
     return Builder.members();
   }
--- a/src/control/readers.h
+++ b/src/control/readers.h
@@ -24,9 +24,10 @@
 
   /// Whether to read now. The first ReadersPerDomain members of each failure
   /// domain do. The others become readers in the order of their rank when no
-  /// reader has called the platform for a timeout: then all readers are gone,
-  /// and no process would learn this from the instance list. lastTry is the
-  /// last call of any reader that this process knows of.
+  /// reader has called the platform for a timeout: then all readers have
+  /// failed, and no process would be informed of it by the instance list, which
+  /// only readers poll. lastTry is the last call of any reader that this
+  /// process knows of.
   bool shouldRead(TimePoint lastTry, TimePoint now);
 
 private:
--- a/src/decide/acceptance.h
+++ b/src/decide/acceptance.h
@@ -26,7 +26,7 @@
   bool operator==(const AcceptanceSettings &) const = default;
 };
 
-/// The decision on one offer, with the predictions behind it.
+/// The decision on one offer, with the predictions that it is based on.
 struct AcceptanceDecision {
   /// Why the offer is refused, without a detail; its kind is None when the
   /// offer is accepted. RetryAfter is zero when retrying later can't help.
--- a/src/decide/demand.h
+++ b/src/decide/demand.h
@@ -20,7 +20,7 @@
               TimePoint now);
 
   /// Demand of the organisation as a share of the server's capacity: above 1
-  /// when it asks for more than the whole server, 0 when it is not tracked.
+  /// when it demands more than the whole server, 0 when it is not tracked.
   double demandOf(uint64_t organisation, TimePoint now) const;
   /// Demand of all other organisations together, in the same unit.
   double demandOfOthers(uint64_t organisation, TimePoint now) const;
--- a/src/decide/limits.cpp
+++ b/src/decide/limits.cpp
@@ -272,7 +272,7 @@
     others.Slots += it.Slots;
     others.RequestedSlots += it.RequestedSlots;
   }
-  // An equal share of the pool, or more if the other entries want less. It
+  // An equal share of the pool, or more if the other entries request less. It
   // covers what is in use, as running requests can't be taken back, but never
   // exceeds what the other entries leave free.
   auto quotaPart = [holders](double all, double held, double requestedByOthers,
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -56,7 +56,7 @@
   size_t MaxResponseBodyBytes = 64U << 20;
   /// Whether a GET or HEAD request that was sent over a stale connection is
   /// retried once automatically. Disable it if the caller must know that the
-  /// request may have run: the response to the retry does not tell whether the
+  /// request may have run: the response to the retry does not show whether the
   /// first attempt ran.
   bool RetriesSafeMethods = true;
 };
--- a/src/once/ticket_ledger.h
+++ b/src/once/ticket_ledger.h
@@ -114,8 +114,8 @@
   /// this submission are ignored.
   void withdraw(const TicketKey &key, TimePoint now);
 
-  /// Records that a call completed or failed. The outcome answer.End.RunOutcome
-  /// tells whether a failed call may have run; with NotRun, this is withdraw().
+  /// Records that a call completed or failed. answer.End.RunOutcome states
+  /// whether a failed call may have run; with NotRun, this is withdraw().
   void finish(const TicketKey &key, StoredAnswer answer, TimePoint now);
 
   size_t records() const { return Records.size(); }
--- a/src/query/rows.h
+++ b/src/query/rows.h
@@ -23,7 +23,7 @@
 /// Name of the state in queries: "offered", "waiting", "running" or "held".
 std::string_view requestStateName(RequestState state);
 
-/// A request as one process sees it.
+/// State of one request at one process.
 struct RequestRow {
   RequestId Request;
   RequestState State = RequestState::Offered;
--- a/src/runtime/control_process.cpp
+++ b/src/runtime/control_process.cpp
@@ -23,7 +23,8 @@
 /// Interval between updates of the statistics.
 constexpr Duration ViewInterval{1'000'000};
 /// Interval at which the Leaving signal is renewed. It is shorter than the
-/// lifetime of a signal, so that peers do not forget a long drain.
+/// lifetime of a signal, so that the signal does not expire during a long
+/// drain.
 constexpr Duration RenewalInterval{60'000'000};
 
 } // namespace
@@ -112,7 +113,8 @@
 }
 
 PeerLinkHooks ControlProcess::peerHooks() {
-  // Called by the link, whose sockets stop() closes for good.
+  // The hooks capture a plain pointer: only the link calls them, and stop()
+  // closes its sockets permanently.
   PeerLinkHooks hooks;
   hooks.Message = [this](const Endpoint &from,
                          const control::PeerMessage &message) {
--- a/src/runtime/process.cpp
+++ b/src/runtime/process.cpp
@@ -284,8 +284,8 @@
   std::fflush(nullptr);
   // The destructor of the log library waits for the end of its four threads.
   // Some platforms do not deliver the wake-up to threads that were started
-  // before main, so the threads never end: entries hung after they had stopped,
-  // and were killed at the end of the grace period, 6 s later.
+  // before main, so the threads never end, and a stopped entry hangs until it
+  // is killed at the end of the grace period, 6 s later.
   ::_exit(code);
 }
 
