--- a/src/direct/crash_suspects.cpp
+++ b/src/direct/crash_suspects.cpp
@@ -12,7 +12,7 @@
 /// would quarantine requests.
 constexpr uint32_t IncidentsToQuarantine = 2;
 /// Data that a server sent before its crash may be read this long after the
-/// connection broke, so only later data shows that the server is alive. This
+/// connection broke, so only later data shows that the server runs. This
 /// entry also delays reports of its own by this time, since most broken
 /// connections are explained by then.
 constexpr Duration LateDataWindow{100'000};
--- a/src/direct/crash_suspects.h
+++ b/src/direct/crash_suspects.h
@@ -62,7 +62,8 @@
   template <class Archive> void serialize(Archive &ar) { ar(Subject, AgeMs); }
 };
 
-/// What one entry knows about one suspect, as sent to the other entries.
+/// The state of one suspected request at one entry, as sent to the other
+/// entries.
 struct CrashReport {
   Id128 Request;
   /// Number of incidents, each of which began after the previous one was known.
@@ -111,7 +112,7 @@
   /// Identities of the requests in quarantine.
   std::vector<Id128> quarantinedRequests(TimePoint now) const;
   /// Whether the request was cleared recently, here or on another entry: it was
-  /// answered, or servers counted against it turned out to be alive.
+  /// answered, or servers counted as crashed by it turned out to be running.
   bool wasCleared(const Id128 &request, TimePoint now) const;
 
   // Each of the next three functions returns the requests that it quarantined.
@@ -154,10 +155,12 @@
     TimePoint SendFrom; ///< No report is sent before this time.
     double SendsLeft = 0;
   };
-  /// Evidence that clears a request or shows that a server is alive. SendsLeft
-  /// counts how often it is still to be sent to every entry.
+  /// Evidence that clears a request or shows that a server is running.
+  /// SendsLeft is the number of times that it is still to be sent to every
+  /// entry.
   struct Refutation {
-    /// Time of the answer or sign of life. It disproves earlier crashes.
+    /// Time of the answer or of the data that the server sent. It disproves
+    /// earlier crashes.
     TimePoint At;
     double SendsLeft = 0;
   };
@@ -180,14 +183,14 @@
   void removeExplainedCrashes(const Id128 &culprit);
   /// Removes suspects that have no crashes left and are not quarantined.
   void dropEmptySuspects();
-  /// Removes the server's crashes that are disproved because it was alive at
+  /// Removes the server's crashes that are disproved because it was running at
   /// aliveAt, and lifts quarantines that depended on them. Returns whether
   /// there were any.
   bool removeCrashesOf(uint64_t server, TimePoint aliveAt);
   /// Removes the request's crashes up to a time; the evidence is sent to all
   /// entries the given number of times.
   void clearRequest(const Id128 &request, double sends, TimePoint at);
-  /// Records that the server was alive at a time; the evidence is sent to all
+  /// Records that the server was running at a time; the evidence is sent to all
   /// entries the given number of times.
   void markAlive(uint64_t server, double sends, TimePoint at);
   /// Whether this entry answered the request within the last half minute or so.
--- a/src/direct/drain_plan.cpp
+++ b/src/direct/drain_plan.cpp
@@ -12,7 +12,7 @@
 }
 
 /// The end of the process, earlier by the time from the sending of the signal
-/// until the stalled process saw it, but not before it was seen.
+/// until the stalled process handled it, but not before it was handled.
 TimePoint adjustedEnd(TimePoint sent, TimePoint seen, TimePoint end) {
   return std::max(before(end, std::max(seen - sent, Duration::zero())), seen);
 }
--- a/src/direct/drain_plan.h
+++ b/src/direct/drain_plan.h
@@ -33,10 +33,10 @@
 /// Immutable.
 class DrainPlan {
 public:
-  /// The signal was seen at `seen` and sent no earlier than at `sent`. `end` is
-  /// when a process that sees the signal at once ends, whatever is unfinished;
-  /// TimePoint::max() means never. A process that saw the signal late ends
-  /// earlier by that delay.
+  /// The process handled the signal at `seen`; it was sent no earlier than at
+  /// `sent`. `end` is when a process that handles the signal at once ends, even
+  /// if work is unfinished; TimePoint::max() means never. A process that
+  /// handled the signal late ends earlier by that delay.
   DrainPlan(DrainSettings settings, TimePoint sent, TimePoint seen,
             TimePoint end);
 
--- a/src/direct/eligibility.h
+++ b/src/direct/eligibility.h
@@ -1,11 +1,11 @@
 /// Which backend servers a request may be sent to now.
 ///
 /// Never eligible are servers of an evacuated failure domain (the catalog
-/// leaves them out), servers that asked for no new requests, servers outside
-/// the regions that the request is confined to, and servers for which this
-/// entry has used up its share of the slow start or of the server's request
-/// limit. Unresponsive, ejected and outdated servers are used only when no
-/// better server is left.
+/// leaves them out), servers that are leaving or whose Retry-After has not
+/// passed, servers outside the regions that the request is confined to, and
+/// servers for which this entry has used up its share of the slow start or of
+/// the server's request limit. Unresponsive, ejected and outdated servers are
+/// used only when no better server is left.
 #pragma once
 
 #include "decide/ejection.h"
--- a/src/direct/exchange.h
+++ b/src/direct/exchange.h
@@ -47,7 +47,8 @@
 /// saves it to; empty: none.
 using PartAddress = std::optional<Endpoint>;
 
-/// What an entry decides about one attempt at a request, and tells the server.
+/// An entry's decisions about one attempt at a request. They are sent to the
+/// server with the request.
 struct AttemptOrder {
   std::string ServerId; ///< Any other server refuses the attempt.
   /// Start of the server as far as the entry knows. A later start under the
@@ -70,7 +71,7 @@
   /// Id of the event after which the server is to resume the stream; empty: the
   /// stream begins with its first event.
   std::optional<std::string> LastEventId;
-  // Figures behind the choice of the server, for load accounting and the log.
+  // Inputs of the choice of the server, for load accounting and the log.
   /// Tokens that the attempt adds to the server's queue and memory: the whole
   /// prompt, less a share of the tokens that are fetched.
   uint64_t QueuedTokens = 0;
@@ -110,7 +111,7 @@
   auto operator<=>(const ServerHead &) const = default;
 };
 
-/// Whether the status code tells the caller that its request was not run.
+/// Whether the status code means to the caller that its request was not run.
 constexpr bool promisesNotRun(unsigned status) {
   return status == net::StatusRequestTimeout ||
          status == net::StatusMisdirected ||
--- a/src/direct/follow_plan.cpp
+++ b/src/direct/follow_plan.cpp
@@ -44,8 +44,8 @@
   if (now < NextPollAt)
     return out;
   NextPollAt = now + Settings.PollInterval;
-  // Round-robin with a different first reader in each entry, so that the next
-  // poll makes up for a reader that is dead or stale.
+  // Round-robin with a different first reader in each entry: if a reader is
+  // unavailable or its state is stale, the next poll goes to another one.
   size_t index = stableHash(Own.Name) + PollCount++;
   out.PollTarget = readers[index % readers.size()];
   return out;
--- a/src/direct/follow_plan.h
+++ b/src/direct/follow_plan.h
@@ -20,7 +20,8 @@
 
 namespace daisytack::direct {
 
-/// When entries rely on readers, and on how many.
+/// Number of readers, and timing of the switch between polling readers and
+/// watching the key-value service.
 struct FollowSettings {
   /// Minimum number of readers in a failure domain. With two, one may fail
   /// without additional calls to the service.
@@ -45,15 +46,15 @@
   bool operator==(const FollowSettings &) const = default;
 };
 
-/// Addresses of the failure domain's readers. The same in every process that
-/// knows the same announced entries.
+/// Addresses of the failure domain's readers. All processes with the same list
+/// of announced entries get the same addresses.
 std::vector<Endpoint> readersOf(const Catalog &catalog, std::string_view domain,
                                 const FollowSettings &settings);
 
-/// What one entry is to do now.
+/// Source of new records for one entry at present.
 struct FollowStep {
   bool WatchesService = true; ///< Watch the key-value service itself.
-  /// Reader to ask for newer records; empty: none now.
+  /// Reader to poll for newer records; empty: no poll is due.
   std::optional<Endpoint> PollTarget;
   auto operator<=>(const FollowStep &) const = default;
 };
--- a/src/direct/forward_flow.h
+++ b/src/direct/forward_flow.h
@@ -56,7 +56,7 @@
   TimePoint Deadline; ///< For the final answer.
 };
 
-/// The server chosen for an attempt, and what the attempt tells it.
+/// The server chosen for an attempt, and the order that is sent to it.
 struct AttemptChoice {
   AttemptOrder Order;
   bool operator==(const AttemptChoice &) const = default;
@@ -108,7 +108,7 @@
   std::function<void(unsigned status, const Error &)> SendError;
   /// Replaces the time at which onTimer() is to be called.
   std::function<void(TimePoint)> ArmTimer;
-  /// The final answer was given, or the caller is gone.
+  /// The final answer was sent, or the caller has disconnected.
   std::function<void()> Ended;
 };
 
--- a/src/direct/kept_context.h
+++ b/src/direct/kept_context.h
@@ -1,5 +1,6 @@
 /// Index of the kept context that one entry knows of: which store holds which
-/// parts of which prompts, and which parts the entry has asked servers to save.
+/// parts of which prompts, and which parts the entry has instructed servers to
+/// save.
 /// Kept context is what a server's prefill of a prompt part has computed.
 ///
 /// Stores report a part once it is complete. Reports arrive late, and a few are
--- a/src/direct/peer_messages.h
+++ b/src/direct/peer_messages.h
@@ -14,8 +14,8 @@
 
 namespace daisytack::direct {
 
-/// Asks another entry for records newer than the revision. Sent by entries that
-/// don't read the key-value service themselves or get no answer from it.
+/// Requests records newer than the revision from another entry. Sent by entries
+/// that don't read the key-value service themselves or get no answer from it.
 struct RecordsRequest {
   uint64_t Revision = 0;
   bool operator==(const RecordsRequest &) const = default;
@@ -30,10 +30,11 @@
   /// Age of the sender's state in microseconds: it includes everything that the
   /// service held at that time.
   int64_t CompleteStateAge = 0;
-  /// The sender knows everything that the service held up to this revision.
+  /// The sender has the service's complete state up to this revision.
   uint64_t CompleteTo = 0;
   /// Deletions up to this revision may be missing from the records. A receiver
-  /// that asked from a lower revision does not get the sender's full state.
+  /// that requested records from a lower revision on does not get the sender's
+  /// full state.
   uint64_t DeletionsMissingTo = 0;
   /// Microseconds for which the sender still keeps servers whose records
   /// expired during an outage of the service; 0: none.
--- a/src/direct/protocol.h
+++ b/src/direct/protocol.h
@@ -57,24 +57,24 @@
   std::function<std::string()> EncodeQuarantined;
 
   // Stores of kept context and engines.
-  /// Asks a store for its changes from number `since` on. The store waits for
-  /// up to `wait` if there are none yet.
+  /// Request to a store for its changes from number `since` on. The store waits
+  /// for up to `wait` if there are none yet.
   std::function<net::HttpRequest(uint64_t since, Duration wait)> ChangesRequest;
   std::function<std::optional<PartChanges>(std::string_view body,
                                            uint64_t since)>
       ReadChanges;
-  /// Asks a store for all parts that it holds.
+  /// Request to a store for all parts that it holds.
   std::function<net::HttpRequest()> ListRequest;
   std::function<std::optional<PartList>(std::string_view body)> ReadList;
-  /// Asks a store to free parts if it is still in the epoch and, by the
+  /// Request to a store to free parts if it is still in the epoch and, by the
   /// servers' clock, `until` (Unix milliseconds) has not passed; empty: no time
   /// limit.
   std::function<net::HttpRequest(const std::vector<PartRef> &, uint64_t epoch,
                                  std::optional<int64_t> until)>
       FreeRequest;
-  /// Orders an engine to load a version of a model's weights.
+  /// Order to an engine to load a version of a model's weights.
   std::function<net::HttpRequest(const WeightOrder &)> OrderRequest;
-  /// Asks an engine for its report.
+  /// Request to an engine for its report.
   std::function<net::HttpRequest()> ReportRequest;
   std::function<std::optional<EngineReport>(std::string_view body)> ReadReport;
 };
--- a/src/direct/records.h
+++ b/src/direct/records.h
@@ -67,7 +67,7 @@
   auto operator<=>(const EntryRegistration &) const = default;
 };
 
-/// The version of a model's weights that the operator wants on its servers.
+/// The version of a model's weights that the operator has set for its servers.
 struct DesiredWeights {
   ModelVersion Desired;
   auto operator<=>(const DesiredWeights &) const = default;
--- a/src/direct/retirement.cpp
+++ b/src/direct/retirement.cpp
@@ -191,7 +191,7 @@
 
 bool RetirementAgreement::isSafe(const SeenRecord &record,
                                  TimePoint now) const {
-  // By now every entry either knows the record or names no sources.
+  // After this time every entry either has the record or names no sources.
   if (now >= record.SeenAt + Settings.MaxStaleness + Settings.FetchTime)
     return true;
   // After a restore, an entry whose registration is missing from the copy is
--- a/src/direct/retirement.h
+++ b/src/direct/retirement.h
@@ -1,18 +1,18 @@
 /// Retirement of kept context: which context must not be named as a source any
 /// more, and when it can be freed without a server still fetching it.
 ///
-/// Naming a source means telling a server in which context store it can fetch
-/// kept context. Retired context is recorded in the key-value service. The
-/// record is permanent and only grows, and a new process reads it before it
-/// names any source. An entry names sources only while its state of the service
-/// is complete up to a recent time (MaxSourceStaleness). Once a record is older
-/// than that, every process either knows it or names no sources. To free
-/// context sooner, the holder of the order lease notifies all registered
-/// processes and waits until each has agreed. This covers every process that
-/// may name sources: an address is registered before its process names any, and
-/// stays registered until it can name none. In both cases the holder also waits
-/// for the longest fetch to end; each fetch has a deadline on the server's
-/// clock.
+/// Naming a source means sending a server the address of a context store from
+/// which it can fetch kept context. Retired context is recorded in the
+/// key-value service. The record is permanent and only grows, and a new process
+/// reads it before it names any source. An entry names sources only while its
+/// state of the service is complete up to a recent time (MaxSourceStaleness).
+/// Once a record is older than that, every process either has it or names no
+/// sources. To free context sooner, the holder of the order lease notifies all
+/// registered processes and waits until each has agreed. This covers every
+/// process that may name sources: an address is registered before its process
+/// names any, and stays registered until it can name none. In both cases the
+/// holder also waits for the longest fetch to end; each fetch has a deadline on
+/// the server's clock.
 #pragma once
 
 #include "direct/catalog.h"
--- a/src/direct/server_loads.h
+++ b/src/direct/server_loads.h
@@ -37,7 +37,7 @@
   /// periods, as some datagrams are lost, but at most for MaxPeerTtl.
   int64_t PeerTtlPeriods = 5;
   Duration MaxPeerTtl{10'000'000};
-  /// Upper bound on a server's Retry-After. A server that asked for more by
+  /// Upper bound on a server's Retry-After. A server that sent a longer one by
   /// mistake gets requests again after this time.
   Duration MaxRetryAfter{3'600'000'000};
   /// How long it is remembered that a server is leaving: long enough for the
@@ -87,18 +87,20 @@
   /// The prompt was prefilled: its tokens are no longer waiting. The request is
   /// still running.
   void onFirstByte(ServerRef server, uint64_t tokens, TimePoint now);
-  /// The request has ended. `hadFirstByte` tells whether onFirstByte() was
-  /// called for it.
+  /// The request has ended. `hadFirstByte` is true if onFirstByte() was called
+  /// for it.
   void onEnded(ServerRef server, uint64_t tokens, bool hadFirstByte,
                TimePoint now);
   /// The server rejected a request or refused a connection for it.
   void onRejected(ServerRef server, TimePoint now);
-  /// The server asked this entry to send it nothing for this time.
+  /// The server's answer requires this entry to send it no requests for this
+  /// time.
   void onRetryAfter(ServerRef server, Duration time, TimePoint now);
   /// The server, given by its ServerRef::key(), announced that it is leaving,
   /// or another entry reported so. Returns whether this was not known before.
   bool onLeaving(uint64_t server, TimePoint now);
-  /// Another instance answered at the server's address: the server is gone.
+  /// Another instance answered at the server's address: the server no longer
+  /// exists.
   void onReplaced(ServerRef server, TimePoint now);
   /// The server is loading new weights and rejects requests until then.
   void avoidUntil(ServerRef server, TimePoint until);
--- a/src/direct/server_start.h
+++ b/src/direct/server_start.h
@@ -4,7 +4,7 @@
 /// Loads, failures, orders and weights are therefore tracked per start: reports
 /// on another start never affect the current one, however late they arrive.
 ///
-/// The start time only tells starts apart. The newest record decides which
+/// The start time only distinguishes starts. The newest record decides which
 /// start is current; comparing start times would keep a server out of use
 /// permanently if its clock were set to an earlier time.
 #pragma once
--- a/src/direct/store_links.h
+++ b/src/direct/store_links.h
@@ -32,7 +32,7 @@
   /// would be quick now.
   Duration BaselineMaxAge{2'000'000};
   /// A delay that was not observed for this time is dropped, to free the memory
-  /// of stores that are gone. It has decayed to nothing by then.
+  /// of removed stores. It has decayed to nothing by then.
   Duration DropAfter{20'000'000};
   /// Upper bound, in milliseconds, on what one observation counts for: the
   /// delay of a lost server says nothing about the link.
--- a/src/direct/weight_plan.h
+++ b/src/direct/weight_plan.h
@@ -47,7 +47,7 @@
   /// A load that takes longer is started again. Several times the usual
   /// duration.
   Duration LoadTimeout{6'000'000};
-  /// Time until an engine that refused an order is asked again.
+  /// Time until the next order to an engine that refused one.
   Duration RefusalRetryDelay{300'000};
   bool operator==(const WeightPlanSettings &) const = default;
 };
--- a/src/gateway/context_follower.h
+++ b/src/gateway/context_follower.h
@@ -81,7 +81,7 @@
     TimePoint CalledAt;
     /// Changes whenever the store restarts.
     uint64_t Epoch = 0;
-    /// Sequence number from which to ask for changes.
+    /// Sequence number from which to request changes.
     uint64_t Next = 0;
     /// Whether the list of all parts has to be read.
     bool NeedsList = true;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -356,7 +356,8 @@
 void Gateway::applyWatchPlan(TimePoint now) {
   direct::FollowStep step = WatchPlan.next(*State.catalog(), now);
   Follower->setWatching(step.WatchesService);
-  // While the service is unreachable, PeerExchange asks more entries anyway.
+  // While the service is unreachable, PeerExchange polls several entries
+  // itself.
   if (step.PollTarget && Follower->isReachable())
     Peers->requestRecords(*step.PollTarget);
 }
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -61,7 +61,7 @@
   PeerHooks peerHooks();
   void onRecords(const direct::RecordsResponse &found, uint64_t syncedRevision,
                  TimePoint askedAt);
-  /// Watches the key-value service or asks an entry that does, as WatchPlan
+  /// Watches the key-value service or polls an entry that does, as WatchPlan
   /// decides.
   void applyWatchPlan(TimePoint now);
   RetirementHooks retirementHooks();
--- a/src/gateway/gateway_options.h
+++ b/src/gateway/gateway_options.h
@@ -62,7 +62,7 @@
   /// Address at which other entries reach this one.
   Endpoint Peers;
   Endpoint Store; ///< Address of the key-value service.
-  /// Peers to ask while no other entry is known.
+  /// Peers to request records from while no other entry is known.
   std::vector<Endpoint> Seeds;
   size_t MaxConnections = 2000;
   direct::DrainSettings Drain;
--- a/src/gateway/gateway_request.h
+++ b/src/gateway/gateway_request.h
@@ -50,8 +50,8 @@
   void send(uint32_t attempt, const direct::AttemptOrder &order);
   void onHead(uint32_t attempt, unsigned status,
               const std::vector<net::HttpHeader> &headers);
-  /// Applies what the head of an answer says about the server: that it is
-  /// leaving, wants no requests for some time, or limits their rate.
+  /// Applies what the head of an answer states about the server: that it is
+  /// leaving, accepts no requests for some time, or limits their rate.
   void applyServerSignals(const direct::ServerHead &head, TimePoint now);
   void onData(uint32_t attempt, std::string_view data);
   void onDone(uint32_t attempt, const Error &error);
--- a/src/gateway/peer_exchange.cpp
+++ b/src/gateway/peer_exchange.cpp
@@ -17,13 +17,13 @@
 /// Time between requests for records while the key-value service is
 /// unreachable.
 constexpr Duration RequestInterval{400'000};
-/// Number of entries that are asked at a time. With three, it is likely that
+/// Number of entries that are polled at a time. With three, it is likely that
 /// one of them has newer records within two rounds, even if a third of all
 /// entries are cut off from the service as well.
 constexpr size_t PeersPerRound = 3;
 /// How long an entry that is no longer listed is remembered: longer than usual
-/// outages of the key-value service. A call to an entry that is gone costs one
-/// connection attempt.
+/// outages of the key-value service. A call to an entry that has ended costs
+/// one connection attempt.
 constexpr Duration PeerRetention{30'000'000};
 constexpr const char *PeerPath = "/peer";
 
@@ -155,7 +155,7 @@
 
 void PeerExchange::requestRecords(const Endpoint &peer) {
   uint64_t syncedRevision = State.SyncedRevision;
-  // Until it has read a snapshot itself, this entry asks only for records newer
+  // Until it has read a snapshot itself, this entry only requests records newer
   // than its own.
   uint64_t newerThan =
       syncedRevision != 0 ? syncedRevision : State.Catalog.revision();
--- a/src/gateway/peer_exchange.h
+++ b/src/gateway/peer_exchange.h
@@ -18,7 +18,7 @@
 /// Called on the strand.
 struct PeerHooks {
   /// Called with the records of another entry. Durations in the message count
-  /// from `askedAt`, when this entry asked and had everything up to
+  /// from `askedAt`, when this entry sent the request and had everything up to
   /// `syncedRevision`.
   std::function<void(const direct::RecordsResponse &, uint64_t syncedRevision,
                      TimePoint askedAt)>
@@ -35,12 +35,12 @@
 
   bool start(Error &reason);
   void stop();
-  /// Asks a few entries for newer records while the key-value service is
+  /// Polls a few entries for newer records while the key-value service is
   /// unreachable. Call several times a second.
   void onTimer(bool serviceIsReachable, TimePoint now);
-  /// Asks one entry for records newer than those of this entry.
+  /// Requests records newer than those of this entry from one other entry.
   void requestRecords(const Endpoint &peer);
-  /// Sets the peers to ask while no other entry is known.
+  /// Sets the peers to request records from while no other entry is known.
   void setSeeds(std::vector<Endpoint> seeds);
   /// Sends the message to every known entry.
   void broadcast(const direct::PeerMessage &message);
