--- a/src/serve/agent_core.cpp
+++ b/src/serve/agent_core.cpp
@@ -15,8 +15,8 @@
     out = when;
 }
 
-/// The ticket secret is generated anew for each process, because only the
-/// process that issued a ticket verifies it.
+/// Each process generates its own ticket secret, because only the process that
+/// issued a ticket verifies it.
 TicketLedgerInit ledgerInit(const AgentSettings &settings,
                             const RandomSource &random) {
   TicketLedgerInit out;
--- a/src/serve/agent_impl.h
+++ b/src/serve/agent_impl.h
@@ -19,7 +19,7 @@
 /// offer of the same attempt is not accepted as a new one.
 struct ClosedAttempt {
   Attempt AttemptNumber = 0;
-  TimePoint ExpiresAt; ///< The attempt is forgotten at this time.
+  TimePoint ExpiresAt; ///< The attempt is removed at this time.
 };
 
 /// Sequence number of the first cache event after an engine starts.
@@ -133,7 +133,7 @@
   /// Moves the engine towards the weight version in the configuration.
   void converge(Step &step);
   void performSwapActions(swap::SwapActions actions, Step &step);
-  /// Tells the engine to load weights or an adapter.
+  /// Orders the engine to load weights or an adapter.
   void sendOrder(const swap::LoadOrder &load, Step &step);
   /// Weight version that the engine is known to run. Empty if unknown.
   std::string trustedVersion() const;
--- a/src/serve/agent_links.cpp
+++ b/src/serve/agent_links.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Limits the memory for closed attempts; the oldest are forgotten first.
+/// Limits the memory for closed attempts; the oldest are removed first.
 constexpr size_t MaxClosedAttempts = 4096;
 
 } // namespace
--- a/src/serve/agent_messages.h
+++ b/src/serve/agent_messages.h
@@ -1,6 +1,6 @@
 /// Inputs and actions of an agent's core. All are plain values: I/O threads
-/// create inputs, the shell carries out actions, and they share no other data
-/// with the core.
+/// create inputs, the driver of the daemon (AgentDriver) performs actions, and
+/// they share no other data with the core.
 #pragma once
 
 #include "base/digest.h"
@@ -18,13 +18,13 @@
 
 namespace daisytack::serve {
 
-/// One connection to an entry. The shell never reuses a handle.
+/// One connection to an entry. Handles are never reused.
 using LinkHandle = Handle<struct LinkTag>;
 
 /// One store of kept context. The index is its position in StoreSettings.
 using StoreHandle = Handle<struct StoreTag>;
 
-/// Matches the answer of a store or an engine to the action that asked for it.
+/// Matches the answer of a store or an engine to the action that made the call.
 /// Never reused within a process; 0 is invalid.
 using CallId = uint64_t;
 
@@ -115,8 +115,8 @@
 
 /// Answer to PollCacheEvents.
 struct CacheEvents {
-  uint64_t From = 0; ///< First sequence number asked for.
-  uint64_t Next = 0; ///< Sequence number to ask for next.
+  uint64_t From = 0; ///< First sequence number of the poll.
+  uint64_t Next = 0; ///< Sequence number at which the next poll begins.
   std::vector<CacheEvent> Events;
 };
 
@@ -323,11 +323,11 @@
   PieceKey Key;
   uint64_t Generation = 0;
 };
-/// Asks a store for a sample of its committed pieces.
+/// Requests a sample of a store's committed pieces.
 struct SamplePieces {
   uint32_t Count = 0;
 };
-/// Asks for the usage of the pieces whose Meta starts with MetaPrefix.
+/// Requests the usage of the pieces whose Meta starts with MetaPrefix.
 struct ReadUsage {
   std::string MetaPrefix;
 };
--- a/src/serve/agent_offers.cpp
+++ b/src/serve/agent_offers.cpp
@@ -16,9 +16,9 @@
 constexpr uint64_t MaxRemainingMicros = 365ULL * 24 * 3600 * 1'000'000;
 constexpr Duration NotReadyRetryAfter{1'000'000};
 
-/// Hash that tells a repeated offer from another request with the same id. Only
-/// requests of one organisation are compared, so a forged collision harms only
-/// the organisation that forged it.
+/// Hash that distinguishes a repeated offer from another request with the same
+/// id. Only requests of one organisation are compared, so a forged collision
+/// harms only the organisation that forged it.
 uint64_t hashRequest(const wire::Offer &offer) {
   return hashName(offer.Body) ^ mix64(hashName(offer.Call.Target)) ^
          mix64(hashName(offer.Call.Method) + 1);
--- a/src/serve/request_answer.cpp
+++ b/src/serve/request_answer.cpp
@@ -94,7 +94,8 @@
 
 void RequestFlow::giveUp(Error reason, Outcome ran, Step &step) {
   cancelAll(step);
-  // The ticket may have been presented before, which only its agent knows.
+  // The ticket may have been presented before; only its agent has a record of
+  // that.
   bool isKnown = Spec.Offer.Ticket.empty() ||
                  (!Attempts.empty() && Attempts.back().Refused);
   if (!isKnown && ran == Outcome::NotRun)
--- a/src/serve/request_attempts.cpp
+++ b/src/serve/request_attempts.cpp
@@ -141,7 +141,7 @@
   if (canRetry(step.Context))
     candidate = pickServer(step.Context);
   if (!candidate && HasWaitLimit && canRetry(step.Context)) {
-    // All servers were asked with a wait limit; ask again without one.
+    // Offers to all servers had a wait limit; repeat them without one.
     HasWaitLimit = false;
     candidate = pickServer(step.Context);
   }
--- a/src/serve/request_flow.h
+++ b/src/serve/request_flow.h
@@ -167,7 +167,7 @@
   bool WasAccepted = false;
   bool HasWaitLimit = true;       ///< True while offers limit the queue wait.
   bool HasWaitedForRetry = false; ///< True once a retry was delayed: servers
-                                  ///< that refused may be asked again.
+                                  ///< that refused may get the offer again.
   uint32_t ReconnectCount = 0;
   Error LastReason;
   /// When an accepted request is offered again; unset if no retry is pending.
--- a/src/serve/request_spec.h
+++ b/src/serve/request_spec.h
@@ -26,7 +26,7 @@
   wire::Offer Offer;
   std::string Service; ///< Name of the plain service; empty for a prompt.
   PieceScope Scope;    ///< Scope of the offer's piece keys.
-  bool Stream = false; ///< True if the caller wants the answer in parts.
+  bool Stream = false; ///< True if the caller requested a stream.
   TimePoint Arrived;   ///< When the entry received the request.
   TimePoint Deadline;
   /// Number of the first attempt. Flows of one process for the same request id
