--- a/src/query/measures.h
+++ b/src/query/measures.h
@@ -1,6 +1,6 @@
-/// The three measures of a deployment, summed from the metrics of its
-/// processes: time to first token, share of recomputed prompt tokens and link
-/// use.
+/// Measures of a deployment, summed from the metrics of its processes: time to
+/// first token, share of recomputed prompt tokens and number of bytes
+/// transferred between engines and stores.
 #pragma once
 
 #include <cstdint>
--- a/src/query/timeline_page.h
+++ b/src/query/timeline_page.h
@@ -1,5 +1,5 @@
-/// Renders the timeline and the three measures as a self-contained HTML page
-/// without scripts or network access.
+/// Renders the timeline and the measures (query/measures.h) as a self-contained
+/// HTML page without scripts or network access.
 #pragma once
 
 #include "query/measures.h"
--- a/src/runtime/control_runtime.h
+++ b/src/runtime/control_runtime.h
@@ -58,7 +58,7 @@
   size_t Objects = 0;
   size_t Members = 0;
   bool Reader = false;        ///< True while this process reads the platform.
-  bool ServiceReached = true; ///< True if the last call to them was answered.
+  bool ServiceReached = true; ///< True if the platform answered the last call.
   /// Time since the platform last answered any reader, as far as this process
   /// knows. At that time the configuration in force was complete. Empty if no
   /// reader has been answered yet.
