--- a/src/runtime/control_process.cpp
+++ b/src/runtime/control_process.cpp
@@ -24,7 +24,8 @@
 /// Interval between updates of the statistics.
 constexpr Duration ViewInterval{1'000'000};
 /// Interval at which the Leaving signal is renewed. It is shorter than the
-/// lifetime of a signal, so that peers do not forget a long drain.
+/// lifetime of a signal, so that the signal does not expire during a long
+/// drain.
 constexpr Duration RenewalInterval{60'000'000};
 
 } // namespace
